--- a/crates/baselines/src/lib.rs
+++ b/crates/baselines/src/lib.rs
@@ -18,7 +18,7 @@
 }
 
 /// A pending task is looked at again after so long.
-const TICK: Span = Span::from_nanos(50_000_000);
+const TICK: Duration = Duration::from_nanos(50_000_000);
 /// A send is waited for during this part of the client timeout.
 const WAIT: f64 = 0.25;
 /// So near its client timeout (as a part of it) a task gets its final answer.
@@ -35,25 +35,25 @@
     order: Order,
     state: State,
     machine: Option<MachineId>,
-    sent_at: Time,
+    sent_at: Timestamp,
     sends: u32,
-    may_run: Option<(Time, MachineId)>,
+    may_run: Option<(Timestamp, MachineId)>,
     last: Option<MachineId>,
 }
 
 struct Machine {
     entry: Entry,
-    left: Room,
-    cold_sends: Vec<Time>,
+    left: Resources,
+    cold_sends: Vec<Timestamp>,
 }
 
 pub struct Baseline {
     rule: Rule,
     use_cases: Vec<UseCase>,
-    kinds: Vec<Room>,
-    taking: Taking,
-    cold: ColdRule,
-    listing: Listing,
+    kinds: Vec<Resources>,
+    taking: AcceptanceRules,
+    cold: SlowStart,
+    listing: Discovery,
     tasks: BTreeMap<TaskId, Task>,
     machines: BTreeMap<MachineId, Machine>,
     ticking: bool,
@@ -65,10 +65,10 @@
         rule: Rule,
         seed: u64,
         use_cases: Vec<UseCase>,
-        kinds: Vec<Room>,
-        taking: Taking,
-        cold: ColdRule,
-        listing: Listing,
+        kinds: Vec<Resources>,
+        taking: AcceptanceRules,
+        cold: SlowStart,
+        listing: Discovery,
     ) -> Self {
         let (tasks, machines) = (BTreeMap::new(), BTreeMap::new());
         let chance = seed | 1;
@@ -94,9 +94,9 @@
         }
     }
 
-    fn may_go(&self, now: Time, task: &Task, to: MachineId, machine: &Machine) -> bool {
+    fn may_go(&self, now: Timestamp, task: &Task, to: MachineId, machine: &Machine) -> bool {
         let case = &self.use_cases[task.order.use_case.0];
-        let size = self.kinds.get(machine.entry.kind.0).copied().unwrap_or(Room::NONE);
+        let size = self.kinds.get(machine.entry.kind.0).copied().unwrap_or(Resources::NONE);
         let fits = (machine.left + self.taking.beyond(size)).fits(task.order.ask);
         if machine.entry.mode != Mode::Active || !fits || task.last == Some(to) {
             return false;
@@ -124,7 +124,7 @@
         !cold || lately < share
     }
 
-    fn pick(&mut self, now: Time, id: TaskId) -> Option<MachineId> {
+    fn pick(&mut self, now: Timestamp, id: TaskId) -> Option<MachineId> {
         let task = &self.tasks[&id];
         let fits = self.machines.iter().filter(|(to, m)| self.may_go(now, task, **to, m));
         match self.rule {
@@ -147,7 +147,7 @@
         }
     }
 
-    fn settle(&mut self, now: Time, out: &mut dyn Writer, id: TaskId) {
+    fn settle(&mut self, now: Timestamp, out: &mut dyn Dispatch, id: TaskId) {
         let task = &self.tasks[&id];
         let case = &self.use_cases[task.order.use_case.0];
         let left = task.order.deadline - now;
@@ -160,7 +160,7 @@
             let anywhere =
                 matches!(case.effect, Effect::Replayable | Effect::Referenced { group: Reach::All, .. });
             if anywhere || task.may_run.is_none() {
-                out.nack(id, Span::ZERO);
+                out.nack(id, Duration::ZERO);
             } else {
                 out.error(id);
             }
@@ -184,11 +184,11 @@
 
 struct Heard<'a> {
     b: &'a mut Baseline,
-    now: Time,
-    out: &'a mut dyn Writer,
+    now: Timestamp,
+    out: &'a mut dyn Dispatch,
 }
 
-impl Ears for Heard<'_> {
+impl PolicyEvents for Heard<'_> {
     fn start(&mut self) {
         if self.b.listing.asked {
             self.out.watch_list();
@@ -239,7 +239,7 @@
         }
     }
 
-    fn ends_by(&mut self, at: Time) {
+    fn ends_by(&mut self, at: Timestamp) {
         self.b.tasks.values_mut().for_each(|task| task.order.deadline = task.order.deadline.min(at));
     }
 
@@ -252,7 +252,7 @@
     }
 
     fn list_failed(&mut self) {
-        self.out.wake_at(1, self.now + Span::from_secs(1));
+        self.out.wake_at(1, self.now + Duration::from_secs(1));
     }
 
     fn list(&mut self, kind: ListKind, entries: &[Entry]) {
@@ -260,7 +260,7 @@
             self.b.machines.values_mut().for_each(|machine| machine.entry.mode = Mode::Left);
         }
         for entry in entries {
-            let left = entry.left.unwrap_or(Room::NONE);
+            let left = entry.left.unwrap_or(Resources::NONE);
             let machine = self.b.machines.entry(entry.id).or_insert(Machine {
                 entry: *entry,
                 left,
@@ -283,8 +283,8 @@
     fn probed(&mut self, _: MachineId, _: Report) {}
 }
 
-impl Mind for Baseline {
-    fn round(&mut self, now: Time, out: &mut dyn Writer, tell: &mut dyn FnMut(&mut dyn Ears)) {
+impl Policy for Baseline {
+    fn round(&mut self, now: Timestamp, out: &mut dyn Dispatch, tell: &mut dyn FnMut(&mut dyn PolicyEvents)) {
         tell(&mut Heard { b: self, now, out });
         let pending = |(id, task): (&TaskId, &Task)| (task.state == State::Pending).then_some(*id);
         let pending: Vec<TaskId> = self.tasks.iter().filter_map(pending).collect();
--- a/crates/benchlink/src/batch.rs
+++ b/crates/benchlink/src/batch.rs
@@ -3,7 +3,7 @@
 use crate::reporting::Reporting;
 use crate::values::{Bad, Values};
 use mulleinhub::interface::*;
-use mulleinhub::{Round, Time};
+use mulleinhub::{SchedulingRound, Timestamp};
 use std::io::BufRead;
 use std::ops::Range;
 use std::rc::Rc;
@@ -95,10 +95,10 @@
     }
 
     /// Tells one line to the round of its scheduler.
-    pub fn tell<W: Writer>(
+    pub fn tell<W: Dispatch>(
         &self,
         line: &Line,
-        round: &mut Round<'_, W>,
+        round: &mut SchedulingRound<'_, W>,
         reporting: &Reporting,
     ) -> Result<(), Bad> {
         let mut v = self.values(line);
@@ -120,10 +120,10 @@
                 let (id, class) = (TaskId(v.must("rid")?), reporting.use_case(v.must("category")?)?);
                 v.text("party")?;
                 let key = TaskKey(v.hex("taskName")?);
-                let deadline = Time::from_nanos(v.must("deadline")?);
+                let deadline = Timestamp::from_nanos(v.must("deadline")?);
                 v.text("runsFor")?;
                 let service = ServiceId(v.hex("app")?);
-                let ask = Room::new(v.amount("cpus")?, v.amount("mem")?);
+                let ask = Resources::new(v.amount("cpus")?, v.amount("mem")?);
                 let bits: u64 = v.maybe("stateBits")?.unwrap_or(0);
                 round.new_task(Order {
                     id,
@@ -141,9 +141,9 @@
                 let class = reporting.use_case(v.must("category")?)?;
                 let machine = MachineId(v.must("node")?);
                 v.text("runsFor")?;
-                let deadline = Time::from_nanos(v.maybe("deadline")?.unwrap_or(u64::MAX));
+                let deadline = Timestamp::from_nanos(v.maybe("deadline")?.unwrap_or(u64::MAX));
                 let memory = v.amount("mem")?;
-                let ask = Room::new(v.amount("cpus")?, memory);
+                let ask = Resources::new(v.amount("cpus")?, memory);
                 v.text("party")?;
                 let service = ServiceId(v.hex("app")?);
                 let key = TaskKey(v.hex("taskName")?);
@@ -195,20 +195,20 @@
         "Ok" => Ending::Ok,
         "Failed" => Ending::Errored,
         "QueueFull" => Ending::Nacked(match detail {
-            1 => Nack::NoCores,
-            2 => Nack::NoMemory,
-            3 => Nack::QueueFull,
-            4 => Nack::NotHere,
-            5..=7 => Nack::HandedBack,
-            _ => Nack::Untold,
+            1 => Rejection::NoCores,
+            2 => Rejection::NoMemory,
+            3 => Rejection::QueueFull,
+            4 => Rejection::NotHere,
+            5..=7 => Rejection::HandedBack,
+            _ => Rejection::Untold,
         }),
         "TimedOut" => Ending::TimedOut,
         "ConnectError" => Ending::NoConnection,
         "ResetByPeer" => Ending::Broken(match detail {
-            5 => Loss::Evicted,
-            6 => Loss::PushedOut,
-            7 => Loss::SentAway,
-            _ => Loss::Untold,
+            5 => FailureCause::Evicted,
+            6 => FailureCause::PushedOut,
+            7 => FailureCause::SentAway,
+            _ => FailureCause::Untold,
         }),
         "Canceled" => Ending::Recalled,
         "Ignored" => Ending::NotSent,
@@ -234,7 +234,7 @@
     let id = MachineId(v.must("node")?);
     let cores: Option<f64> = v.maybe("cpuLeft")?;
     let zone = ZoneId(v.must("site")?);
-    let left = cores.zip(memory).map(|(cores, memory)| Room::new(cores, memory));
-    let since = since.filter(|since| *since > 0).map(Time::from_nanos);
+    let left = cores.zip(memory).map(|(cores, memory)| Resources::new(cores, memory));
+    let since = since.filter(|since| *since > 0).map(Timestamp::from_nanos);
     Ok(Entry { id, kind, cell, zone, mode, since, left })
 }
--- a/crates/benchlink/src/main.rs
+++ b/crates/benchlink/src/main.rs
@@ -6,7 +6,7 @@
 mod writer;
 
 use batch::{Batch, Line, Rosters};
-use mulleinhub::{Brain, Time};
+use mulleinhub::{PlacementPolicy, Timestamp};
 use mulleinhub_site::Site;
 use reporting::Reporting;
 use std::collections::BTreeMap;
@@ -24,7 +24,7 @@
 }
 
 fn serve(mut input: impl BufRead, mut output: impl Write) -> Result<(), Bad> {
-    let mut brains: BTreeMap<u64, (Brain, Reporting)> = BTreeMap::new();
+    let mut brains: BTreeMap<u64, (PlacementPolicy, Reporting)> = BTreeMap::new();
     let mut rosters = Rosters::default();
     let mut batch = Batch::default();
     let mut reply = String::new();
@@ -44,7 +44,7 @@
 }
 
 /// A scheduler as its first message sets it up.
-fn hello(values: &mut values::Values<'_>) -> Result<(Brain, Reporting), Bad> {
+fn hello(values: &mut values::Values<'_>) -> Result<(PlacementPolicy, Reporting), Bad> {
     let seed = values.whole("salt")?;
     let config =
         serde_json::from_str(values.rest("config")?).map_err(|e| format!("HELLO: config is no JSON: {e}"))?;
@@ -59,7 +59,7 @@
     batch: &Batch,
     instance: u64,
     mut lines: &[Line],
-    brains: &mut BTreeMap<u64, (Brain, Reporting)>,
+    brains: &mut BTreeMap<u64, (PlacementPolicy, Reporting)>,
     reply: &mut String,
 ) -> Result<(), Bad> {
     if let Some(end) = lines.iter().rposition(|line| batch.name(line) == "EXIT") {
@@ -77,7 +77,7 @@
     }
     let (brain, reporting) = brains.get_mut(&instance).ok_or("an event before HELLO")?;
     let mut writer = writer::WireWriter { instance, reply };
-    brain.round(Time::from_nanos(batch.clock), &mut writer, |round| {
+    brain.round(Timestamp::from_nanos(batch.clock), &mut writer, |round| {
         if fresh {
             round.start();
         }
--- a/crates/benchlink/src/reporting.rs
+++ b/crates/benchlink/src/reporting.rs
@@ -32,7 +32,7 @@
             }
         }
         if self.of_use {
-            report.unused = cores.zip(memory).map(|(cores, memory)| Room::new(cores, memory));
+            report.unused = cores.zip(memory).map(|(cores, memory)| Resources::new(cores, memory));
         }
         Ok(report)
     }
--- a/crates/benchlink/src/writer.rs
+++ b/crates/benchlink/src/writer.rs
@@ -1,7 +1,7 @@
 //! Writes the decisions as actions of the wire.
 
-use mulleinhub::interface::{MachineId, TaskId, Writer};
-use mulleinhub::{Span, Time};
+use mulleinhub::interface::{Dispatch, MachineId, TaskId};
+use mulleinhub::{Duration, Timestamp};
 use std::fmt::{Arguments, Write};
 
 pub struct WireWriter<'a> {
@@ -15,8 +15,8 @@
     }
 }
 
-impl Writer for WireWriter<'_> {
-    fn send(&mut self, task: TaskId, machine: MachineId, time_out: Span) {
+impl Dispatch for WireWriter<'_> {
+    fn send(&mut self, task: TaskId, machine: MachineId, time_out: Duration) {
         self.line("BIND", format_args!("\t{}\t{}\t{}", task.0, machine.0, time_out.nanos()));
     }
 
@@ -24,7 +24,7 @@
         self.line("RECALL", format_args!("\t{}\t{send}", task.0));
     }
 
-    fn nack(&mut self, task: TaskId, stay_away: Span) {
+    fn nack(&mut self, task: TaskId, stay_away: Duration) {
         self.line("REJECT", format_args!("\t{}\t{}", task.0, stay_away.nanos()));
     }
 
@@ -36,7 +36,7 @@
         self.line("UNSEAT", format_args!("\t{}", task.0));
     }
 
-    fn wake_at(&mut self, token: u64, at: Time) {
+    fn wake_at(&mut self, token: u64, at: Timestamp) {
         self.line("SET_TIMER", format_args!("\t{token}\t{}", at.nanos()));
     }
 
--- a/crates/capture/src/lib.rs
+++ b/crates/capture/src/lib.rs
@@ -5,7 +5,7 @@
 //! May not touch: what frames mean, how a day is judged, sockets.
 
 use minicbor::{Decode, Encode};
-use mulleinhub_interface::Time;
+use mulleinhub_interface::Timestamp;
 use std::io::{BufRead, Write};
 
 pub const MAGIC: &[u8; 8] = b"MLNCAP1\n";
@@ -295,7 +295,7 @@
     }
 
     /// Failures are kept until `close`: a day goes on without its record.
-    pub fn record(&mut self, at: Time, record: Record<'_>) {
+    pub fn record(&mut self, at: Timestamp, record: Record<'_>) {
         self.scratch.clear();
         self.scratch.extend_from_slice(&[0; 4]);
         minicbor::encode(Stamped { at: at.nanos(), record }, &mut self.scratch).expect("a vector takes all");
@@ -311,7 +311,7 @@
     ///
     /// # Errors
     /// Where anything could not be written.
-    pub fn close(mut self, at: Time) -> std::io::Result<W> {
+    pub fn close(mut self, at: Timestamp) -> std::io::Result<W> {
         self.record(at, Record::Close { records: self.records });
         if let Some(failed) = self.failed {
             return Err(failed);
@@ -388,12 +388,12 @@
 
     fn small() -> Vec<u8> {
         let mut recorder = Recorder::new(Vec::new());
-        recorder.record(Time::from_nanos(5), Record::Opened { link: 1, opener: "a", opened: "b" });
+        recorder.record(Timestamp::from_nanos(5), Record::Opened { link: 1, opener: "a", opened: "b" });
         recorder.record(
-            Time::from_nanos(6),
+            Timestamp::from_nanos(6),
             Record::Frame { link: 1, side: Side::Opener, number: 0, bytes: &[1, 2, 3] },
         );
-        recorder.close(Time::from_nanos(7)).expect("a vector takes all")
+        recorder.close(Timestamp::from_nanos(7)).expect("a vector takes all")
     }
 
     #[test]
--- a/crates/cli/src/day.rs
+++ b/crates/cli/src/day.rs
@@ -4,7 +4,7 @@
 use clap::{Args, Subcommand};
 use indicatif::{ProgressBar, ProgressStyle};
 use mulleinhub_day::{Day, Progress, Score, parse_day};
-use mulleinhub_interface::Time;
+use mulleinhub_interface::Timestamp;
 use mulleinhub_load::play_over_sockets;
 use mulleinhub_runner::{Rule, Runner};
 use mulleinhub_settings::{Directive, Faults, parse, parse_text};
@@ -179,7 +179,7 @@
         }
         if let Some(length) = &self.length {
             use mulleinhub_settings::Value;
-            day.length = mulleinhub_interface::Span::read(length)
+            day.length = mulleinhub_interface::Duration::read(length)
                 .map_err(|words| format!("--length {length}: {words}"))?;
         }
         match day.too_large() {
@@ -219,14 +219,14 @@
         }
     }
 
-    fn in_virtual(&self, day: Day, path: &Path) -> Result<(PathBuf, Score, Time), String> {
+    fn in_virtual(&self, day: Day, path: &Path) -> Result<(PathBuf, Score, Timestamp), String> {
         let words = |e: std::io::Error| format!("{}: {e}", path.display());
         if let Some(parent) = path.parent() {
             std::fs::create_dir_all(parent).map_err(words)?;
         }
         let out = BufWriter::new(File::create(path).map_err(words)?);
         let watch = Watch::new(&day);
-        let mut end = Time::default();
+        let mut end = Timestamp::default();
         let rule = self.baseline.map(Baseline::rule);
         let mut runner = Runner::new(day, out).with_baseline(rule);
         runner.play_to_end(|now, stage| {
@@ -337,7 +337,7 @@
 fn told(
     path: &Path,
     score: &Score,
-    end: Time,
+    end: Timestamp,
     usage: Option<mulleinhub_load::Usage>,
 ) -> Result<ExitCode, String> {
     let file = File::open(path).map_err(|e| format!("{}: {e}", path.display()))?;
@@ -387,7 +387,7 @@
         Self { bar, length, last: std::cell::Cell::new(0) }
     }
 
-    fn see(&self, now: Time, progress: &Progress) {
+    fn see(&self, now: Timestamp, progress: &Progress) {
         let ms = now.nanos() / 1_000_000;
         let troubles =
             if progress.troubles.is_empty() { "none".to_owned() } else { progress.troubles.join(", ") };
--- a/crates/cli/src/load.rs
+++ b/crates/cli/src/load.rs
@@ -1,12 +1,12 @@
 //! `load`: campaigns of rising load, measured.
 
 use clap::{Args, Subcommand};
-use mulleinhub_interface::Span;
+use mulleinhub_interface::Duration;
 use mulleinhub_load::{Campaign, run as run_campaign};
 use mulleinhub_settings::Value;
 use std::path::PathBuf;
 use std::process::ExitCode;
-use std::time::Duration;
+use std::time::Duration as StdDuration;
 
 #[derive(Subcommand)]
 pub enum LoadCommand {
@@ -33,10 +33,10 @@
     busy: usize,
     /// How long silence is measured at each number
     #[arg(long, default_value = "20s", value_parser = span)]
-    silent_for: Duration,
+    silent_for: StdDuration,
     /// How long the busy ask at each number
     #[arg(long, default_value = "10s", value_parser = span)]
-    busy_for: Duration,
+    busy_for: StdDuration,
     /// Planners ask after so many seconds of silence
     #[arg(long, default_value_t = 20)]
     idle_after: u64,
@@ -54,11 +54,11 @@
     svg: Option<PathBuf>,
     /// It ends by itself after so long, whatever is left
     #[arg(long, default_value = "10min", value_parser = span)]
-    at_most: Duration,
+    at_most: StdDuration,
 }
 
-fn span(text: &str) -> Result<Duration, String> {
-    Span::read(text).map(|span| Duration::from_nanos(span.nanos()))
+fn span(text: &str) -> Result<StdDuration, String> {
+    Duration::read(text).map(|span| StdDuration::from_nanos(span.nanos()))
 }
 
 pub fn run(command: LoadCommand) -> Result<ExitCode, String> {
--- a/crates/cli/src/scale.rs
+++ b/crates/cli/src/scale.rs
@@ -1,7 +1,7 @@
 //! `scale`: profiles run, slopes fitted, the capacity page written and checked.
 
 use clap::{Args, Subcommand};
-use mulleinhub_interface::Span;
+use mulleinhub_interface::Duration;
 use mulleinhub_scale::fit::{Fit, fit};
 use mulleinhub_scale::hosts;
 use mulleinhub_scale::page::{self, read_results};
@@ -16,7 +16,7 @@
 use mulleinhub_settings::Value;
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
-use std::time::Duration;
+use std::time::Duration as StdDuration;
 
 #[derive(Subcommand)]
 pub enum ScaleCommand {
@@ -41,7 +41,7 @@
     out: PathBuf,
     /// A run of ledgers that takes longer is given up, and the profile has no results
     #[arg(long, default_value = "15min", value_parser = span)]
-    at_most: Duration,
+    at_most: StdDuration,
 }
 
 #[derive(Args)]
@@ -81,7 +81,7 @@
     record: bool,
     /// A run that takes longer is given up
     #[arg(long, default_value = "1min", value_parser = span)]
-    at_most: Duration,
+    at_most: StdDuration,
 }
 
 pub fn run(command: ScaleCommand) -> Result<ExitCode, String> {
@@ -242,13 +242,13 @@
 }
 
 /// Reads a profile and runs it on its host.
-fn play(path: &Path, seed: Option<u64>, at_most: Duration) -> Result<Results, String> {
+fn play(path: &Path, seed: Option<u64>, at_most: StdDuration) -> Result<Results, String> {
     let text = std::fs::read_to_string(path).map_err(|cause| words(path, &cause))?;
     let mut profile = profile::parse(&path.display().to_string(), &text)?;
     profile.seed = seed.unwrap_or(profile.seed);
     hosts::run(&profile, at_most, &mut |words| eprintln!("{words}")).map_err(|error| error.to_string())
 }
 
-fn span(text: &str) -> Result<Duration, String> {
-    Span::read(text).map(|span| Duration::from_nanos(span.nanos()))
+fn span(text: &str) -> Result<StdDuration, String> {
+    Duration::read(text).map(|span| StdDuration::from_nanos(span.nanos()))
 }
--- a/crates/cli/src/trace.rs
+++ b/crates/cli/src/trace.rs
@@ -4,7 +4,7 @@
 use clap::{Args, Subcommand, ValueEnum};
 use indicatif::{ProgressBar, ProgressStyle};
 use mulleinhub_day::Day;
-use mulleinhub_interface::{Span, Time};
+use mulleinhub_interface::{Duration, Timestamp};
 use mulleinhub_replay::{Bound, DEFAULT_MAP, Replay, Report, bound, build, html, play, read_map, text};
 use mulleinhub_runner::Rule;
 use mulleinhub_settings::{Faults, Value, parse, parse_text};
@@ -16,7 +16,7 @@
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
 use std::sync::atomic::Ordering;
-use std::time::{Duration, Instant};
+use std::time::{Duration as StdDuration, Instant};
 
 #[derive(Subcommand)]
 pub enum TraceCommand {
@@ -76,7 +76,7 @@
     #[arg(long, default_value_t = 500)]
     jobs: u64,
     #[arg(long, default_value = "10min", value_parser = span)]
-    length: Span,
+    length: Duration,
     /// One job of so many tasks at one instant, in the middle
     #[arg(long, default_value_t = 0)]
     burst: u64,
@@ -105,9 +105,9 @@
     load: f64,
     /// The slice's begin on the trace's clock
     #[arg(long, value_parser = span)]
-    from: Option<Span>,
+    from: Option<Duration>,
     #[arg(long, value_parser = span)]
-    to: Option<Span>,
+    to: Option<Duration>,
     /// Time goes so many times faster
     #[arg(long, default_value_t = 1.0)]
     compress: f64,
@@ -133,8 +133,8 @@
     most_tasks: usize,
 }
 
-fn span(text: &str) -> Result<Span, String> {
-    Span::read(text)
+fn span(text: &str) -> Result<Duration, String> {
+    Duration::read(text)
 }
 
 pub fn run(command: TraceCommand) -> Result<ExitCode, String> {
@@ -198,7 +198,7 @@
                     bar.set_message(format!("{} rows", progress.rows.load(Ordering::Relaxed)));
                     bar.tick();
                 }
-                std::thread::sleep(Duration::from_millis(50));
+                std::thread::sleep(StdDuration::from_millis(50));
             }
         });
         let done = work(&progress);
@@ -227,7 +227,7 @@
     }
 }
 
-fn tell(found: &Inspection, mapping: &Mapping, took: Duration) {
+fn tell(found: &Inspection, mapping: &Mapping, took: StdDuration) {
     let all: u64 = found.rows.values().sum();
     println!("layout {}; {all} rows in {:.1} s", found.layout, took.as_secs_f64());
     for (table, rows) in &found.rows {
@@ -295,7 +295,7 @@
         if !(self.compress > 0.0 && self.compress <= 1e6) {
             return Err("--compress: more than 0 and at most 1000000 is wanted".to_owned());
         }
-        let clock = |span: Option<Span>| span.map(|span| span.nanos() / 1_000);
+        let clock = |span: Option<Duration>| span.map(|span| span.nanos() / 1_000);
         Ok(Sample {
             seed: self.seed,
             share,
@@ -356,11 +356,11 @@
     let length = day.length.nanos() / 1_000_000_000;
     let bar = std::io::stderr().is_terminal().then(|| ProgressBar::new(length));
     let mut told = began;
-    let outcome = play(day, rule, |now: Time| {
+    let outcome = play(day, rule, |now: Timestamp| {
         let seconds = now.nanos() / 1_000_000_000;
         if let Some(bar) = &bar {
             bar.set_position(seconds.min(length));
-        } else if told.elapsed() > Duration::from_secs(5) {
+        } else if told.elapsed() > StdDuration::from_secs(5) {
             told = Instant::now();
             eprintln!("{name}: {seconds} s of {length} s");
         }
--- a/crates/day/src/script.rs
+++ b/crates/day/src/script.rs
@@ -4,7 +4,7 @@
 use crate::trouble::Trouble;
 use garde::Validate;
 use mulleinhub_interface::Effect;
-use mulleinhub_interface::{Span, Time};
+use mulleinhub_interface::{Duration, Timestamp};
 use mulleinhub_settings::{Args, Directive, Faults, Place, Range, Scope, Value};
 use mulleinhub_standins::{Planned, UseBook, Worth};
 use mulleinhub_terms::{
@@ -19,9 +19,9 @@
     pub case: Case,
     pub share: f64,
     pub asks: Vec<(f64, f64)>,
-    pub lives: Range<Span>,
+    pub lives: Range<Duration>,
     pub batch: Range<usize>,
-    pub work: Range<Span>,
+    pub work: Range<Duration>,
     pub cores_use: Range<f64>,
     pub memory_use: Range<f64>,
 }
@@ -31,7 +31,7 @@
 pub struct MachineModel {
     pub accepts_cores: f64,
     pub accepts_memory: f64,
-    pub look: Range<Span>,
+    pub look: Range<Duration>,
     pub line: Range<usize>,
     pub starts: Range<usize>,
     pub setup: Range<f64>,
@@ -43,25 +43,25 @@
     pub displaces: bool,
     pub tells_use: bool,
     pub tells_pressure: bool,
-    pub note_every: Span,
+    pub note_every: Duration,
     /// Where draining machines send tasks away: how long apart.
-    pub sends_away: Option<Span>,
+    pub sends_away: Option<Duration>,
 }
 
 #[derive(Clone, Debug)]
 pub struct ListModel {
-    pub late: Span,
-    pub period: Span,
-    pub silent_notice: Span,
+    pub late: Duration,
+    pub period: Duration,
+    pub silent_notice: Duration,
     pub lines_a_second: f64,
     pub asked: bool,
 }
 
 #[derive(Clone, Debug)]
 pub struct OwnerModel {
-    pub again: Range<Span>,
-    pub settle: Span,
-    pub reconnect: Span,
+    pub again: Range<Duration>,
+    pub settle: Duration,
+    pub reconnect: Duration,
 }
 
 #[derive(Clone, Debug, Validate)]
@@ -70,7 +70,7 @@
     pub name: String,
     pub seed: u64,
     #[garde(custom(a_day))]
-    pub length: Span,
+    pub length: Duration,
     #[garde(range(min = 1, max = 999))]
     pub planners: usize,
     #[garde(range(min = 1, max = 999))]
@@ -95,8 +95,8 @@
     pub machine: MachineModel,
     pub list: ListModel,
     pub owner: OwnerModel,
-    pub delay: Range<Span>,
-    pub cross_delay: Range<Span>,
+    pub delay: Range<Duration>,
+    pub cross_delay: Range<Duration>,
     pub machine_price: f64,
     pub cross_hall_price: f64,
     pub troubles: Vec<Trouble>,
@@ -116,9 +116,9 @@
 pub struct BooksDay {
     pub terms: BooksTerms,
     /// How long a planner's disk takes, in virtual time.
-    pub syncs: Range<Span>,
+    pub syncs: Range<Duration>,
     /// When a month ends, from the beginning of the day.
-    pub month_ends: Option<Span>,
+    pub month_ends: Option<Duration>,
 }
 
 /// An instant in the middle of a month, and one at which a month ends, in milliseconds of Unix time: the
@@ -172,12 +172,12 @@
 pub struct Spot {
     pub kind: usize,
     pub rack: u32,
-    pub changes: Vec<(Time, bool)>,
+    pub changes: Vec<(Timestamp, bool)>,
 }
 
 impl Spot {
     /// Whether the machine is up at an instant.
-    pub fn is_up(&self, at: Time) -> bool {
+    pub fn is_up(&self, at: Timestamp) -> bool {
         self.changes.iter().rev().find(|(since, _)| *since <= at).is_some_and(|(_, up)| *up)
     }
 }
@@ -190,8 +190,8 @@
     pub uses: Arc<UseBook>,
 }
 
-fn a_day(span: &Span, (): &()) -> garde::Result {
-    let fine = *span >= Span::from_secs(1) && *span <= Span::from_secs(24 * 3600);
+fn a_day(span: &Duration, (): &()) -> garde::Result {
+    let fine = *span >= Duration::from_secs(1) && *span <= Duration::from_secs(24 * 3600);
     if fine { Ok(()) } else { Err(garde::Error::new("a second to a day is wanted")) }
 }
 
@@ -210,8 +210,8 @@
     }
 }
 
-fn ms(low: u64, high: u64) -> (Span, Span) {
-    (Span::from_nanos(low * 1_000_000), Span::from_nanos(high * 1_000_000))
+fn ms(low: u64, high: u64) -> (Duration, Duration) {
+    (Duration::from_nanos(low * 1_000_000), Duration::from_nanos(high * 1_000_000))
 }
 
 fn read_case_day(directive: &Directive, faults: &mut Faults) -> Option<CaseDay> {
@@ -257,7 +257,7 @@
         displaces: scope.or("displaces", true, faults),
         tells_use: scope.or("tells-use", true, faults),
         tells_pressure: scope.or("tells-pressure", true, faults),
-        note_every: scope.or("note-every", Span::from_secs(1), faults),
+        note_every: scope.or("note-every", Duration::from_secs(1), faults),
         sends_away: scope.maybe("sends-away", faults),
     };
     scope.finish(faults);
@@ -267,9 +267,9 @@
 fn read_list(directive: Option<&Directive>, place: &Place, faults: &mut Faults) -> ListModel {
     let mut scope = directive.map_or_else(|| Scope::new(&[], place.clone()), Scope::of);
     let model = ListModel {
-        late: scope.or("late", Span::from_secs(1), faults),
-        period: scope.or("period", Span::from_nanos(500_000_000), faults),
-        silent_notice: scope.or("silent-notice", Span::from_secs(8), faults),
+        late: scope.or("late", Duration::from_secs(1), faults),
+        period: scope.or("period", Duration::from_nanos(500_000_000), faults),
+        silent_notice: scope.or("silent-notice", Duration::from_secs(8), faults),
         lines_a_second: scope.or("lines-a-second", 20_000.0, faults),
         asked: scope.or("asked", false, faults),
     };
@@ -282,8 +282,8 @@
     let (low, high) = ms(1_000, 3_000);
     let model = OwnerModel {
         again: range_or(&mut scope, "again", low, high, faults),
-        settle: scope.or("settle", Span::from_secs(3), faults),
-        reconnect: scope.or("reconnect", Span::from_nanos(300_000_000), faults),
+        settle: scope.or("settle", Duration::from_secs(3), faults),
+        reconnect: scope.or("reconnect", Duration::from_nanos(300_000_000), faults),
     };
     scope.finish(faults);
     model
@@ -295,7 +295,7 @@
     let mut scope = Scope::new(directives, place.clone());
     let name = scope.or("name", "a day".to_owned(), faults);
     let seed = scope.or("seed", 1u64, faults);
-    let length = scope.must::<Span>("length", faults);
+    let length = scope.must::<Duration>("length", faults);
     let planners = scope.or("planners", 3, faults);
     let owners = scope.or("owners", 4, faults);
     let silent = scope.or("silent", 0, faults);
@@ -311,7 +311,8 @@
     let machine = read_machine(scope.once("machine", faults), &place, faults);
     let list = read_list(scope.once("list", faults), &place, faults);
     let owner = read_owner(scope.once("owner", faults), &place, faults);
-    let delay = range_or(&mut scope, "delay", Span::from_nanos(100_000), Span::from_nanos(400_000), faults);
+    let delay =
+        range_or(&mut scope, "delay", Duration::from_nanos(100_000), Duration::from_nanos(400_000), faults);
     let (low, high) = ms(1, 3);
     let cross_delay = range_or(&mut scope, "cross-delay", low, high, faults);
     let machine_price = scope.or("machine-price", 0.0, faults);
--- a/crates/day/src/stage.rs
+++ b/crates/day/src/stage.rs
@@ -4,9 +4,9 @@
 use crate::tap::{At, Parcel, Pipe, To, Way, Weather};
 use crate::trouble::{Far, Store, Struck, Target, Trouble, What};
 use mulleinhub_capture::{self as capture, Deed, Record, Recorder, Side};
-use mulleinhub_interface::{Effect, Reach, Room};
-use mulleinhub_interface::{Span, Time};
-use mulleinhub_seam::{Ask, Door, End, Link, Links, Party};
+use mulleinhub_interface::{Duration, Timestamp};
+use mulleinhub_interface::{Effect, Reach, Resources};
+use mulleinhub_seam::{Ask, Connections, End, Link, ListenerId, StateMachine};
 use mulleinhub_settings::Range;
 use mulleinhub_standins::{
     CaseModel, Crowd, CrowdSettings, CrowdTally, Dice, Drain, Fact, ListPlight, ListService, ListSettings,
@@ -26,13 +26,13 @@
 pub(crate) const MOST_PLANNERS: usize = (LIST_DOOR - BOOKS_DOORS) as usize;
 
 /// The list's door of a planner.
-pub fn list_door(planner: usize) -> Door {
-    Door(planner as u32 * DOORS + LIST_DOOR)
+pub fn list_door(planner: usize) -> ListenerId {
+    ListenerId(planner as u32 * DOORS + LIST_DOOR)
 }
 
 /// The door of a planner behind which another one keeps books.
-fn books_door(planner: usize, other: usize) -> Door {
-    Door(planner as u32 * DOORS + BOOKS_DOORS + other as u32)
+fn books_door(planner: usize, other: usize) -> ListenerId {
+    ListenerId(planner as u32 * DOORS + BOOKS_DOORS + other as u32)
 }
 
 /// What is behind a door.
@@ -88,9 +88,9 @@
     pub in_use: u64,
     pub tasks: u64,
     pub waiting: u64,
-    pub size: Room,
-    pub asked: Room,
-    pub used: Room,
+    pub size: Resources,
+    pub asked: Resources,
+    pub used: Resources,
     /// By machines, up to when they last counted.
     pub earned: f64,
 }
@@ -117,7 +117,7 @@
 }
 
 impl Body {
-    fn party(&mut self) -> &mut dyn Party {
+    fn party(&mut self) -> &mut dyn StateMachine {
         match self {
             Self::Rack(rack) => rack.as_mut(),
             Self::List(list) => list.as_mut(),
@@ -126,7 +126,7 @@
         }
     }
 
-    fn wake(&self) -> Option<Time> {
+    fn wake(&self) -> Option<Timestamp> {
         match self {
             Self::Rack(rack) => rack.wake(),
             Self::List(list) => list.wake(),
@@ -151,11 +151,11 @@
 #[derive(Clone, Debug)]
 struct Active {
     trouble: usize,
-    begun: Time,
+    begun: Timestamp,
     machines: Vec<usize>,
     planners: Vec<usize>,
     amount: f64,
-    every: Span,
+    every: Duration,
 }
 
 pub struct Stage<W: Write> {
@@ -174,24 +174,24 @@
     next_pipe: u32,
     by_end: BTreeMap<(At, Link), (u32, usize)>,
     /// The next parcel of each way that may be handed on.
-    due: BTreeSet<(Time, u32, usize)>,
+    due: BTreeSet<(Timestamp, u32, usize)>,
     touched: BTreeSet<usize>,
     /// When each node wants its next turn, by node and in order of time.
-    wakes: Vec<Option<Time>>,
-    wake_order: BTreeSet<(Time, usize)>,
-    timeline: BTreeMap<(Time, u64), Act>,
+    wakes: Vec<Option<Timestamp>>,
+    wake_order: BTreeSet<(Timestamp, usize)>,
+    timeline: BTreeMap<(Timestamp, u64), Act>,
     acts: u64,
     active: Vec<Active>,
     deeds: Vec<PlannerDeed>,
-    next_look: Time,
-    outside: Links,
+    next_look: Timestamp,
+    outside: Connections,
     recorder: Recorder<W>,
     dice: Dice,
     lives: u64,
     machines_lost: u64,
     machines_fallen: u64,
     begun: bool,
-    now: Time,
+    now: Timestamp,
 }
 
 fn to_reach(reach: Reach) -> capture::Reach {
@@ -242,15 +242,15 @@
             acts: 0,
             active: Vec::new(),
             deeds: Vec::new(),
-            next_look: Time::default(),
-            outside: Links::default(),
+            next_look: Timestamp::default(),
+            outside: Connections::default(),
             recorder: Recorder::new(out),
             dice,
             lives: 0,
             machines_lost: 0,
             machines_fallen: 0,
             begun: false,
-            now: Time::default(),
+            now: Timestamp::default(),
             day,
         };
         stage.build();
@@ -278,12 +278,12 @@
         let work: u64 = cases.iter().map(|case| case.work.nanos()).sum();
         self.mean_work = work as f64 / cases.len().max(1) as f64;
         let all = day.machines + day.spare_machines;
-        let now = Time::default();
+        let now = Timestamp::default();
         let groups = if day.groups_are_wide() { 1 } else { day.racks as usize };
         let mut racks: Vec<Vec<Machine>> = (0..groups).map(|_| Vec::new()).collect();
         for n in 0..all {
             let settings = self.machine_settings(n);
-            let mut machine = Machine::new(settings, 0, Time::default(), false, day.seed);
+            let mut machine = Machine::new(settings, 0, Timestamp::default(), false, day.seed);
             machine.down = n >= day.machines;
             if let Some(fleet) = &day.fleet {
                 let spot = &fleet.spots[n];
@@ -328,7 +328,7 @@
                 cases: service_cases.clone(),
                 planners: (0..day.planners).map(|p| format!("planner-{}", p + 1)).collect(),
                 rate: day.rate / day.owners as f64,
-                until: Time::default() + day.length,
+                until: Timestamp::default() + day.length,
                 again: (day.owner.again.low, day.owner.again.high),
                 settle: day.owner.settle,
                 reconnect: day.owner.reconnect,
@@ -355,7 +355,7 @@
             self.names.push(settings.name.clone());
             self.nodes.push(Body::Crowd(Box::new(Crowd::new(settings, day.seed))));
         }
-        let now = Time::default();
+        let now = Timestamp::default();
         for planner in 0..day.planners {
             self.at(now, Act::Planner(PlannerDeed::Start(planner)));
         }
@@ -367,7 +367,7 @@
             let begin = now + self.dice.span(trouble.at.low, trouble.at.high);
             let length = self.dice.span(trouble.length.low, trouble.length.high);
             self.at(begin, Act::Begin(n));
-            if length > Span::ZERO {
+            if length > Duration::ZERO {
                 self.at(begin + length, Act::End(n));
             }
         }
@@ -385,7 +385,7 @@
             cell: rack,
             zone: rack % day.halls,
             size: day.kinds[kind].size,
-            accepts: Room::new(model.accepts_cores, model.accepts_memory),
+            accepts: Resources::new(model.accepts_cores, model.accepts_memory),
             look: dice.span(model.look.low, model.look.high),
             line: whole(dice, model.line),
             starts: whole(dice, model.starts),
@@ -403,7 +403,7 @@
             tells_pressure: model.tells_pressure,
             note_every: model.note_every,
             drain: model.sends_away.map_or(Drain::Keeps, Drain::SendsAway),
-            claim_within: day.owner.settle + Span::from_secs(1),
+            claim_within: day.owner.settle + Duration::from_secs(1),
             uses: day.fleet.as_ref().map(|fleet| fleet.uses.clone()).unwrap_or_default(),
         }
     }
@@ -415,8 +415,8 @@
             .iter()
             .map(|CaseDay { case, work, .. }| {
                 let (effect, group, window) = match case.effect {
-                    Effect::Replayable => (capture::Effect::Replayable, Reach::All, Span::ZERO),
-                    Effect::SingleUse => (capture::Effect::SingleUse, Reach::All, Span::ZERO),
+                    Effect::Replayable => (capture::Effect::Replayable, Reach::All, Duration::ZERO),
+                    Effect::SingleUse => (capture::Effect::SingleUse, Reach::All, Duration::ZERO),
                     Effect::Referenced { group, window } => (capture::Effect::Referenced, group, window),
                 };
                 capture::CaseTerms {
@@ -474,7 +474,7 @@
                 memory_second: books.terms.memory_second,
                 near: books.terms.near,
                 stretch: books.terms.stretch.nanos(),
-                month_ends: books.month_ends.map(Span::nanos),
+                month_ends: books.month_ends.map(Duration::nanos),
                 first_month: BooksDay::FIRST_MONTH,
             }),
         }
@@ -487,12 +487,12 @@
     }
 
     /// Every way in: its number, the planner it is for, and what is behind it.
-    pub fn doors(&self) -> Vec<(Door, usize, Behind)> {
+    pub fn doors(&self) -> Vec<(ListenerId, usize, Behind)> {
         let many = if self.day.books.is_some() { self.day.planners } else { 0 };
         let of = |planner: usize| {
             let base = planner as u32 * DOORS;
             let machines = (0..self.spots.len())
-                .map(move |n| (Door(base + n as u32), planner, Behind::Machine(n as u64 + 1)));
+                .map(move |n| (ListenerId(base + n as u32), planner, Behind::Machine(n as u64 + 1)));
             let others = (0..many).filter(move |other| *other != planner);
             let books = others.map(move |other| (books_door(planner, other), planner, Behind::Books(other)));
             machines.chain([(list_door(planner), planner, Behind::List)]).chain(books)
@@ -509,7 +509,7 @@
     }
 
     /// Tells the list service under which address a planner reaches the machine behind a door.
-    pub fn set_address(&mut self, door: Door, address: String) {
+    pub fn set_address(&mut self, door: ListenerId, address: String) {
         let (planner, n) = ((door.0 / DOORS) as usize, door.0 % DOORS);
         if let (Body::List(list), true) = (&mut self.nodes[self.list_node], n < BOOKS_DOORS) {
             list.address(&format!("planner-{}", planner + 1), u64::from(n) + 1, address);
@@ -521,7 +521,7 @@
     }
 
     /// A planner's deed was done.
-    pub fn did(&mut self, now: Time, deed: PlannerDeed) {
+    pub fn did(&mut self, now: Timestamp, deed: PlannerDeed) {
         let (deed, planner) = match deed {
             PlannerDeed::Start(planner) => (Deed::Started, planner),
             PlannerDeed::Kill(planner) => (Deed::Killed, planner),
@@ -575,9 +575,10 @@
     }
 
     /// The day's length is over, and every owner has heard of its tasks or has waited as long as it would.
-    pub fn is_over(&self, now: Time) -> bool {
-        let end = Time::default() + self.day.length;
-        let longest = self.day.cases.iter().map(|case| case.case.client_timeout).max().unwrap_or(Span::ZERO);
+    pub fn is_over(&self, now: Timestamp) -> bool {
+        let end = Timestamp::default() + self.day.length;
+        let longest =
+            self.day.cases.iter().map(|case| case.case.client_timeout).max().unwrap_or(Duration::ZERO);
         now >= end + longest || (now >= end && self.progress().waiting == 0)
     }
 
@@ -585,7 +586,7 @@
     ///
     /// # Errors
     /// Where the record could not be written.
-    pub fn finish(mut self, now: Time) -> std::io::Result<(Score, W)> {
+    pub fn finish(mut self, now: Timestamp) -> std::io::Result<(Score, W)> {
         let now = now.max(self.now);
         let mut score = Score {
             cases: self.day.cases.iter().map(|case| case.case.name.clone()).collect(),
@@ -626,12 +627,12 @@
 
     // Time.
 
-    fn at(&mut self, at: Time, act: Act) {
+    fn at(&mut self, at: Timestamp, act: Act) {
         self.acts += 1;
         self.timeline.insert((at, self.acts), act);
     }
 
-    fn play(&mut self, now: Time) {
+    fn play(&mut self, now: Timestamp) {
         while let Some(entry) = self.timeline.first_entry()
             && entry.key().0 <= now
         {
@@ -640,7 +641,7 @@
         }
     }
 
-    fn act(&mut self, now: Time, act: Act) {
+    fn act(&mut self, now: Timestamp, act: Act) {
         match act {
             Act::Planner(deed) => self.deeds.push(deed),
             Act::Toggle => self.strike(now),
@@ -673,7 +674,7 @@
         }
     }
 
-    fn record_trouble(&mut self, now: Time, deed: Deed, n: usize) {
+    fn record_trouble(&mut self, now: Timestamp, deed: Deed, n: usize) {
         let words = self.troubles[n].words();
         self.recorder.record(now, Record::Deed { deed, who: &words, machine: None });
     }
@@ -723,15 +724,15 @@
                 let all: Vec<usize> = (0..day.planners).filter(is).collect();
                 (Vec::new(), self.some(all, share))
             }
-            Struck::Links | Struck::Nothing => (Vec::new(), Vec::new()),
+            Struck::Connections | Struck::Nothing => (Vec::new(), Vec::new()),
         }
     }
 
-    fn begin(&mut self, now: Time, n: usize) {
+    fn begin(&mut self, now: Timestamp, n: usize) {
         self.record_trouble(now, Deed::TroubleBegins, n);
         let trouble = self.troubles[n].clone();
         let (machines, planners) = self.targets(&trouble);
-        let (mut amount, mut every) = (0.0, Span::ZERO);
+        let (mut amount, mut every) = (0.0, Duration::ZERO);
         let length = trouble.length.high;
         match &trouble.what {
             What::Slow { by } | What::Heavy { by, .. } | What::Surge { by } => amount = self.draw(*by),
@@ -744,7 +745,7 @@
                 let mut at = now + every;
                 while at < now + length {
                     self.at(at, Act::Toggle);
-                    at = at + every.max(Span::from_nanos(1_000_000));
+                    at = at + every.max(Duration::from_nanos(1_000_000));
                 }
             }
             What::ListLate { by } | What::Delay { by } => every = self.dice.span(by.low, by.high),
@@ -774,7 +775,7 @@
                     (self.day.machines..self.spots.len()).filter(|n| self.machine(*n).down).collect();
                 let part = self.draw(*part);
                 for n in self.some(spare, part) {
-                    let after = self.dice.span(Span::ZERO, length);
+                    let after = self.dice.span(Duration::ZERO, length);
                     self.at(now + after, Act::MachineUp(n));
                 }
             }
@@ -800,7 +801,7 @@
                         self.at(at, Act::Planner(PlannerDeed::Stop(*planner)));
                         self.at(at + stop, Act::Planner(PlannerDeed::Continue(*planner)));
                     }
-                    at = at + every.max(stop + Span::from_nanos(100_000_000));
+                    at = at + every.max(stop + Duration::from_nanos(100_000_000));
                 }
             }
             What::Roll { down, every } => {
@@ -865,7 +866,7 @@
             | What::StallLink
             | What::SlowReader => {}
         }
-        if length > Span::ZERO {
+        if length > Duration::ZERO {
             self.active.push(Active { trouble: n, begun: now, machines, planners, amount, every });
         }
         match trouble.what {
@@ -894,7 +895,7 @@
         }
     }
 
-    fn machine_up(&mut self, now: Time, n: usize) {
+    fn machine_up(&mut self, now: Timestamp, n: usize) {
         let (rack, at) = self.spots[n];
         self.lives += 1;
         let (life, seed) = (self.lives, self.day.seed);
@@ -908,7 +909,7 @@
         self.strike(now);
     }
 
-    fn machine_down(&mut self, now: Time, n: usize) {
+    fn machine_down(&mut self, now: Timestamp, n: usize) {
         let (rack, at) = self.spots[n];
         if let Body::Rack(rack) = &mut self.nodes[rack]
             && !rack.machines[at].down
@@ -923,7 +924,7 @@
     }
 
     /// Works out anew what is the matter with everything.
-    fn strike(&mut self, now: Time) {
+    fn strike(&mut self, now: Timestamp) {
         let mut plights = vec![Plight::default(); self.spots.len()];
         let mut load = Load::default();
         let mut list = ListPlight::default();
@@ -1045,7 +1046,8 @@
         let mut weather = Weather::default();
         for active in &self.active {
             let trouble = &self.troubles[active.trouble];
-            let Some(side) = struck(&trouble.target).filter(|_| trouble.struck() == Struck::Links) else {
+            let Some(side) = struck(&trouble.target).filter(|_| trouble.struck() == Struck::Connections)
+            else {
                 continue;
             };
             match trouble.what {
@@ -1082,7 +1084,7 @@
     }
 
     /// Ends the pipes that a trouble strikes; in the middle of a frame where `torn` is set.
-    fn end_pipes(&mut self, now: Time, trouble: &Trouble, torn: bool) {
+    fn end_pipes(&mut self, now: Timestamp, trouble: &Trouble, torn: bool) {
         let Target::Link { planner, far } = &trouble.target else { return };
         let struck = |pipe: &&u32| {
             let pipe = &self.pipes[*pipe];
@@ -1098,13 +1100,13 @@
         }
     }
 
-    fn end_half_open(&mut self, now: Time, n: usize) {
+    fn end_half_open(&mut self, now: Timestamp, n: usize) {
         let trouble = self.troubles[n].clone();
         self.end_pipes(now, &trouble, false);
     }
 
     /// Both ends are told that the connection broke; of what is on its way nothing arrives, or half a frame.
-    fn break_pipe(&mut self, now: Time, id: u32, torn: bool) {
+    fn break_pipe(&mut self, now: Timestamp, id: u32, torn: bool) {
         let Some(mut pipe) = self.pipes.remove(&id) else { return };
         self.recorder.record(now, Record::Ended { link: id, how: if torn { "reset" } else { "cut" } });
         for side in 0..2 {
@@ -1118,7 +1120,7 @@
         }
     }
 
-    fn hand_bytes(&mut self, now: Time, at: At, link: Link, bytes: &[u8]) {
+    fn hand_bytes(&mut self, now: Timestamp, at: At, link: Link, bytes: &[u8]) {
         match at {
             At::Node(node) => {
                 self.nodes[node].party().received(now, link, bytes);
@@ -1128,7 +1130,7 @@
         }
     }
 
-    fn hand_end(&mut self, now: Time, at: At, link: Link, end: End) {
+    fn hand_end(&mut self, now: Timestamp, at: At, link: Link, end: End) {
         match at {
             At::Node(node) => {
                 self.nodes[node].party().ended(now, link, end);
@@ -1141,7 +1143,7 @@
         }
     }
 
-    fn delay(&mut self, id: u32) -> Span {
+    fn delay(&mut self, id: u32) -> Duration {
         let pipe = &self.pipes[&id];
         let range = if pipe.cross { self.day.cross_delay } else { self.day.delay };
         let extra = pipe.weather.extra;
@@ -1151,7 +1153,7 @@
     #[expect(clippy::too_many_arguments, reason = "two ends with their names, and what lies between")]
     fn new_pipe(
         &mut self,
-        now: Time,
+        now: Timestamp,
         opener: (At, Link),
         opener_name: String,
         opened_name: String,
@@ -1184,7 +1186,7 @@
         self.put(now, id, 0, now + delay, Parcel::Open);
     }
 
-    fn put(&mut self, now: Time, id: u32, side: usize, due: Time, parcel: Parcel) {
+    fn put(&mut self, now: Timestamp, id: u32, side: usize, due: Timestamp, parcel: Parcel) {
         if let Some(pipe) = self.pipes.get_mut(&id) {
             pipe.ways[side].put(due, parcel);
             self.schedule(now, id, side);
@@ -1192,7 +1194,7 @@
     }
 
     /// Notes when the next parcel from this side is to be handed on, unless the weather holds it.
-    fn schedule(&mut self, now: Time, id: u32, side: usize) {
+    fn schedule(&mut self, now: Timestamp, id: u32, side: usize) {
         let Some(pipe) = self.pipes.get(&id) else { return };
         if let Some(due) = pipe.ways[side].due()
             && !pipe.weather.stalled
@@ -1202,7 +1204,7 @@
     }
 
     /// Takes what a party wrote into the way from its side.
-    fn enter(&mut self, now: Time, id: u32, side: usize, bytes: &[u8]) {
+    fn enter(&mut self, now: Timestamp, id: u32, side: usize, bytes: &[u8]) {
         let delay = self.delay(id);
         let Some(pipe) = self.pipes.get_mut(&id) else { return };
         let recorder = &mut self.recorder;
@@ -1214,7 +1216,7 @@
     }
 
     /// The party of this side is done with the connection.
-    fn leave(&mut self, now: Time, id: u32, side: usize, end: End) {
+    fn leave(&mut self, now: Timestamp, id: u32, side: usize, end: End) {
         let delay = self.delay(id);
         let Some(pipe) = self.pipes.get_mut(&id) else { return };
         if let Some(end) = pipe.ends[side].take() {
@@ -1236,7 +1238,7 @@
     }
 
     /// Takes in what waits at this end, as far as the way has room.
-    fn pump_side(&mut self, now: Time, id: u32, side: usize) {
+    fn pump_side(&mut self, now: Timestamp, id: u32, side: usize) {
         let Some(pipe) = self.pipes.get(&id) else { return };
         let Some((at, link)) = pipe.ends[side] else { return };
         let blocked = pipe.ways[side].is_full() || (pipe.weather.slow_reader && side == pipe.planner_side);
@@ -1254,7 +1256,7 @@
         }
     }
 
-    fn deliver(&mut self, now: Time) {
+    fn deliver(&mut self, now: Timestamp) {
         while let Some((due, id, side)) = self.due.first().copied()
             && due <= now
         {
@@ -1275,7 +1277,7 @@
         }
     }
 
-    fn hand(&mut self, now: Time, id: u32, side: usize, parcel: Parcel) {
+    fn hand(&mut self, now: Timestamp, id: u32, side: usize, parcel: Parcel) {
         let pipe = &self.pipes[&id];
         let far = pipe.ends[1 - side];
         match parcel {
@@ -1304,7 +1306,7 @@
         }
     }
 
-    fn hand_open(&mut self, now: Time, id: u32) {
+    fn hand_open(&mut self, now: Timestamp, id: u32) {
         let pipe = &self.pipes[&id];
         match pipe.to.clone() {
             To::Outside(address) => {
@@ -1318,7 +1320,7 @@
             }
             To::Node(node, door) => {
                 let listens = match &self.nodes[node] {
-                    Body::Rack(rack) => rack.listens(Door(door)),
+                    Body::Rack(rack) => rack.listens(ListenerId(door)),
                     _ => true,
                 };
                 if !listens || pipe.weather.cut {
@@ -1326,7 +1328,7 @@
                 }
                 let party = self.nodes[node].party();
                 let link = party.links().fresh();
-                party.opened(now, link, Door(door));
+                party.opened(now, link, ListenerId(door));
                 self.touched.insert(node);
                 self.pipes.get_mut(&id).expect("is there").ends[1] = Some((At::Node(node), link));
                 self.by_end.insert((At::Node(node), link), (id, 1));
@@ -1336,14 +1338,14 @@
         }
     }
 
-    fn refuse(&mut self, now: Time, id: u32) {
+    fn refuse(&mut self, now: Timestamp, id: u32) {
         let delay = self.delay(id);
         self.recorder.record(now, Record::Ended { link: id, how: "refused" });
         self.put(now, id, 1, now + delay, Parcel::End(End::Refused));
     }
 
     /// Carries out what the nodes that were touched ask for.
-    fn settle(&mut self, now: Time) {
+    fn settle(&mut self, now: Timestamp) {
         while let Some(node) = self.touched.pop_first() {
             self.nodes[node].party().turn(now);
             self.gather(now, node);
@@ -1362,7 +1364,7 @@
         }
     }
 
-    fn gather(&mut self, now: Time, node: usize) {
+    fn gather(&mut self, now: Timestamp, node: usize) {
         loop {
             let links = self.nodes[node].party().links();
             if let Some(link) = links.next_dirty() {
@@ -1412,7 +1414,7 @@
     }
 
     /// The list service looks at all machines.
-    fn look(&mut self, now: Time) {
+    fn look(&mut self, now: Timestamp) {
         if self.next_look > now {
             return;
         }
@@ -1443,8 +1445,8 @@
     }
 }
 
-impl<W: Write> Party for Stage<W> {
-    fn opened(&mut self, now: Time, link: Link, door: Door) {
+impl<W: Write> StateMachine for Stage<W> {
+    fn opened(&mut self, now: Timestamp, link: Link, door: ListenerId) {
         let now = now.max(self.now);
         let (planner, n) = ((door.0 / DOORS) as usize, door.0 % DOORS);
         if (BOOKS_DOORS..LIST_DOOR).contains(&n) {
@@ -1462,7 +1464,7 @@
         self.new_pipe(now, (At::Outside, link), format!("planner-{}", planner + 1), name, to, planner, None);
     }
 
-    fn up(&mut self, now: Time, link: Link) {
+    fn up(&mut self, now: Timestamp, link: Link) {
         let now = now.max(self.now);
         if let Some((id, side)) = self.by_end.get(&(At::Outside, link)).copied() {
             let delay = self.delay(id);
@@ -1470,7 +1472,7 @@
         }
     }
 
-    fn received(&mut self, now: Time, link: Link, bytes: &[u8]) {
+    fn received(&mut self, now: Timestamp, link: Link, bytes: &[u8]) {
         let now = now.max(self.now);
         if let Some((id, side)) = self.by_end.get(&(At::Outside, link)).copied() {
             self.enter(now, id, side, bytes);
@@ -1478,7 +1480,7 @@
         }
     }
 
-    fn ended(&mut self, now: Time, link: Link, end: End) {
+    fn ended(&mut self, now: Timestamp, link: Link, end: End) {
         let now = now.max(self.now);
         self.outside.forget(link);
         if let Some((id, side)) = self.by_end.get(&(At::Outside, link)).copied() {
@@ -1486,7 +1488,7 @@
         }
     }
 
-    fn turn(&mut self, now: Time) {
+    fn turn(&mut self, now: Timestamp) {
         let now = now.max(self.now);
         self.now = now;
         if !std::mem::replace(&mut self.begun, true) {
@@ -1507,9 +1509,9 @@
         }
     }
 
-    fn wake(&self) -> Option<Time> {
+    fn wake(&self) -> Option<Timestamp> {
         if !self.begun {
-            return Some(Time::default());
+            return Some(Timestamp::default());
         }
         let node = self.wake_order.first().map(|(at, _)| *at);
         let due = self.due.first().map(|(due, ..)| *due);
@@ -1517,11 +1519,11 @@
         [node, due, act, Some(self.next_look)].into_iter().flatten().min()
     }
 
-    fn links(&mut self) -> &mut Links {
+    fn links(&mut self) -> &mut Connections {
         &mut self.outside
     }
 
-    fn listens(&self, door: Door) -> bool {
+    fn listens(&self, door: ListenerId) -> bool {
         let (planner, n) = ((door.0 / DOORS) as usize, door.0 % DOORS);
         if (BOOKS_DOORS..LIST_DOOR).contains(&n) {
             return !self.weather_between(planner, (n - BOOKS_DOORS) as usize).cut;
@@ -1534,7 +1536,7 @@
         let weather = self.weather(planner, to, Some(n as usize));
         let up = match self.spots.get(n as usize) {
             Some((rack, at)) if n != LIST_DOOR => match &self.nodes[*rack] {
-                Body::Rack(rack) => rack.listens(Door(*at as u32)),
+                Body::Rack(rack) => rack.listens(ListenerId(*at as u32)),
                 _ => false,
             },
             _ => n == LIST_DOOR,
--- a/crates/day/src/tap.rs
+++ b/crates/day/src/tap.rs
@@ -3,7 +3,7 @@
 //! Bytes go on frame by frame, so that the record knows each frame's two instants. A part of a frame goes on
 //! as it comes, and is recorded with its last byte; what is not a frame goes on without a record.
 
-use mulleinhub_interface::{Span, Time};
+use mulleinhub_interface::{Duration, Timestamp};
 use mulleinhub_protocol::Frames;
 use mulleinhub_seam::{End, Link};
 use std::collections::VecDeque;
@@ -34,7 +34,7 @@
     /// Nothing is handed on, ever.
     pub half_open: bool,
     pub cut: bool,
-    pub extra: Span,
+    pub extra: Duration,
     /// Nothing is read from the planner's side.
     pub slow_reader: bool,
     /// What comes from this side is swallowed, and nobody is told.
@@ -43,9 +43,9 @@
 
 #[derive(Debug, Default)]
 pub struct Way {
-    queue: VecDeque<(Time, Parcel)>,
+    queue: VecDeque<(Timestamp, Parcel)>,
     bytes: usize,
-    last_due: Time,
+    last_due: Timestamp,
     frames: Frames,
     /// Bytes of the frame that is not whole yet that went on already.
     passed: usize,
@@ -56,7 +56,13 @@
 
 impl Way {
     /// Takes bytes in; `entered` is told each whole frame with its number.
-    pub fn take(&mut self, now: Time, delay: Span, bytes: &[u8], mut entered: impl FnMut(u32, &[u8])) {
+    pub fn take(
+        &mut self,
+        now: Timestamp,
+        delay: Duration,
+        bytes: &[u8],
+        mut entered: impl FnMut(u32, &[u8]),
+    ) {
         if self.raw {
             return self.put(now + delay, Parcel::Bytes { bytes: bytes.to_vec(), number: None });
         }
@@ -88,11 +94,11 @@
     }
 
     /// The sender is gone.
-    pub fn end(&mut self, now: Time, delay: Span, end: End) {
+    pub fn end(&mut self, now: Timestamp, delay: Duration, end: End) {
         self.put(now + delay, Parcel::End(end));
     }
 
-    pub fn put(&mut self, due: Time, parcel: Parcel) {
+    pub fn put(&mut self, due: Timestamp, parcel: Parcel) {
         // Streams keep their order whatever the delay does.
         self.last_due = self.last_due.max(due);
         if let Parcel::Bytes { bytes, .. } = &parcel {
@@ -101,7 +107,7 @@
         self.queue.push_back((self.last_due, parcel));
     }
 
-    pub fn due(&self) -> Option<Time> {
+    pub fn due(&self) -> Option<Timestamp> {
         self.queue.front().map(|(due, _)| *due)
     }
 
--- a/crates/day/src/trouble.rs
+++ b/crates/day/src/trouble.rs
@@ -1,6 +1,6 @@
 //! Troubles: how a script states them, how they are said in words, and random ones.
 
-use mulleinhub_interface::Span;
+use mulleinhub_interface::Duration;
 use mulleinhub_settings::{Args, Directive, Faults, Range, Share, Value, suggest};
 use mulleinhub_standins::Dice;
 use mulleinhub_terms::show_span;
@@ -47,7 +47,7 @@
     },
     Neighbour {
         part: Range<f64>,
-        every: Range<Span>,
+        every: Range<Duration>,
     },
     Unanswered {
         case: String,
@@ -60,11 +60,11 @@
         by: Range<f64>,
     },
     Restart {
-        down: Range<Span>,
+        down: Range<Duration>,
     },
     Gone,
     Drain {
-        then_gone: Option<Range<Span>>,
+        then_gone: Option<Range<Duration>>,
     },
     Grow {
         part: Range<f64>,
@@ -76,17 +76,17 @@
         part: Range<f64>,
     },
     Kill {
-        down: Range<Span>,
+        down: Range<Duration>,
         store: Store,
     },
     Stop,
     Stalls {
-        stop: Range<Span>,
-        every: Range<Span>,
+        stop: Range<Duration>,
+        every: Range<Duration>,
     },
     Roll {
-        down: Range<Span>,
-        every: Range<Span>,
+        down: Range<Duration>,
+        every: Range<Duration>,
     },
     Reconnect {
         part: Range<f64>,
@@ -96,19 +96,19 @@
     },
     ListSilent,
     ListLate {
-        by: Range<Span>,
+        by: Range<Duration>,
     },
     Cut,
     Reset,
     HalfOpen,
     StallLink,
     Delay {
-        by: Range<Span>,
+        by: Range<Duration>,
     },
     SlowReader,
     Storm {
         part: Range<f64>,
-        within: Range<Span>,
+        within: Range<Duration>,
     },
     SilentBurst {
         part: Range<f64>,
@@ -122,7 +122,7 @@
     },
     Clock {
         ahead: bool,
-        by: Range<Span>,
+        by: Range<Duration>,
     },
     DiskFull,
     OneWay,
@@ -140,8 +140,8 @@
 /// One trouble of a day, with what is left to chance.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Trouble {
-    pub at: Range<Span>,
-    pub length: Range<Span>,
+    pub at: Range<Duration>,
+    pub length: Range<Duration>,
     pub what: What,
     pub target: Target,
     /// Of the target, this part is struck, one at the least.
@@ -172,26 +172,26 @@
     ("ask-again", Struck::Nothing),
     ("list-silent", Struck::Nothing),
     ("list-late", Struck::Nothing),
-    ("cut", Struck::Links),
-    ("reset", Struck::Links),
-    ("half-open", Struck::Links),
-    ("stall-link", Struck::Links),
-    ("delay", Struck::Links),
-    ("slow-reader", Struck::Links),
+    ("cut", Struck::Connections),
+    ("reset", Struck::Connections),
+    ("half-open", Struck::Connections),
+    ("stall-link", Struck::Connections),
+    ("delay", Struck::Connections),
+    ("slow-reader", Struck::Connections),
     ("storm", Struck::Nothing),
     ("silent-burst", Struck::Nothing),
     ("slow-senders", Struck::Nothing),
     ("order", Struck::Planners),
     ("clock", Struck::Planners),
     ("disk-full", Struck::Planners),
-    ("one-way", Struck::Links),
+    ("one-way", Struck::Connections),
 ];
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Struck {
     Machines,
     Planners,
-    Links,
+    Connections,
     Nothing,
 }
 
@@ -199,8 +199,8 @@
     Range { low, high }
 }
 
-fn spans(low_ms: u64, high_ms: u64) -> Range<Span> {
-    Range { low: Span::from_nanos(low_ms * 1_000_000), high: Span::from_nanos(high_ms * 1_000_000) }
+fn spans(low_ms: u64, high_ms: u64) -> Range<Duration> {
+    Range { low: Duration::from_nanos(low_ms * 1_000_000), high: Duration::from_nanos(high_ms * 1_000_000) }
 }
 
 /// An option's word and its range of parts, spans or factors.
@@ -218,8 +218,8 @@
     /// Reads `at WHEN [for SPAN] KIND [TARGET] [options]`.
     pub fn read(directive: &Directive, faults: &mut Faults) -> Option<Self> {
         let mut args = Args::of(directive);
-        let at = args.next::<Range<Span>>(faults)?;
-        let length = if args.takes("for") { args.next::<Range<Span>>(faults)? } else { spans(0, 0) };
+        let at = args.next::<Range<Duration>>(faults)?;
+        let length = if args.takes("for") { args.next::<Range<Duration>>(faults)? } else { spans(0, 0) };
         let Some(kind) = args.word() else {
             faults.add(&directive.place, "the kind of trouble is missing, as hang or restart");
             return None;
@@ -320,7 +320,12 @@
     }
 
     /// One that keeps planners' books apart, or strikes what they rest on.
-    pub fn random_between(dice: &mut Dice, length: Span, planners: usize, teams: &[(String, u64)]) -> Self {
+    pub fn random_between(
+        dice: &mut Dice,
+        length: Duration,
+        planners: usize,
+        teams: &[(String, u64)],
+    ) -> Self {
         let lasts = dice.span(length * 0.05, length * 0.3);
         let begin = dice.span(length * 0.08, length - lasts * 1.5);
         let at = Range { low: begin, high: begin };
@@ -365,7 +370,7 @@
     /// Those of silent connections are drawn where the day has some.
     pub fn random(
         dice: &mut Dice,
-        length: Span,
+        length: Duration,
         cases: &[String],
         planners: usize,
         racks: u32,
@@ -428,8 +433,10 @@
         };
         let lasts = match what {
             // A process that stands still for long is one that was killed.
-            What::Stop | What::StallLink => dice.span(Span::from_nanos(300_000_000), Span::from_secs(3)),
-            What::HalfOpen => lasts.min(Span::from_secs(8)),
+            What::Stop | What::StallLink => {
+                dice.span(Duration::from_nanos(300_000_000), Duration::from_secs(3))
+            }
+            What::HalfOpen => lasts.min(Duration::from_secs(8)),
             _ => lasts,
         };
         Self { at, length: Range { low: lasts, high: lasts }, what, target, share, chance: 1.0 }
@@ -437,7 +444,7 @@
 
     /// What it does, in a sentence.
     pub fn words(&self) -> String {
-        let span = |range: &Range<Span>| match range.low == range.high {
+        let span = |range: &Range<Duration>| match range.low == range.high {
             true => show_span(range.low),
             false => format!("{} to {}", show_span(range.low), show_span(range.high)),
         };
@@ -530,7 +537,7 @@
             What::SlowReader => format!("nothing is read from the planner's side of {who}"),
         };
         let at = span(&self.at);
-        let lasts = if self.length.high > Span::ZERO {
+        let lasts = if self.length.high > Duration::ZERO {
             format!(" for {}", span(&self.length))
         } else {
             String::new()
@@ -596,15 +603,15 @@
     if struck == Struck::Nothing {
         return Some(Target::All);
     }
-    if struck == Struck::Links && args.takes("halves") {
+    if struck == Struck::Connections && args.takes("halves") {
         return Some(Target::Link { planner: None, far: Far::OtherHalf });
     }
-    if struck == Struck::Links && args.takes("planners") {
+    if struck == Struck::Connections && args.takes("planners") {
         return Some(Target::Link { planner: None, far: Far::Planners });
     }
     if args.takes("all") {
         return Some(match struck {
-            Struck::Links => Target::Link { planner: None, far: Far::Machines },
+            Struck::Connections => Target::Link { planner: None, far: Far::Machines },
             _ => Target::All,
         });
     }
@@ -622,7 +629,7 @@
         Struck::Machines if args.takes("kind") => args.next(faults).map(Target::Kind),
         Struck::Planners if args.takes("planner") => args.next(faults).map(Target::Planner),
         Struck::Planners if args.takes("hall") => args.next(faults).map(Target::Hall),
-        Struck::Links if args.takes("planner") => {
+        Struck::Connections if args.takes("planner") => {
             let planner = Some(args.next(faults)?);
             let far = if args.takes("machine") {
                 Far::Machine(args.next(faults)?)
@@ -648,7 +655,7 @@
         }) =>
         {
             Some(match struck {
-                Struck::Links => Target::Link { planner: None, far: Far::Machines },
+                Struck::Connections => Target::Link { planner: None, far: Far::Machines },
                 _ => Target::All,
             })
         }
--- a/crates/engine/examples/idle.rs
+++ b/crates/engine/examples/idle.rs
@@ -9,10 +9,10 @@
 use mulleinhub_engine::{Engine, Settings};
 use mulleinhub_interface::*;
 use mulleinhub_protocol::{self as protocol, Conversation, Message, Shape};
-use mulleinhub_seam::{Ask, Door, End, Link, Party};
+use mulleinhub_seam::{Ask, End, Link, ListenerId, StateMachine};
 use stats_alloc::{INSTRUMENTED_SYSTEM, Region, StatsAlloc};
 use std::alloc::System;
-use std::time::{Duration, Instant};
+use std::time::{Duration as StdDuration, Instant};
 
 #[global_allocator]
 static ALLOCATOR: &StatsAlloc<System> = &INSTRUMENTED_SYSTEM;
@@ -22,8 +22,8 @@
         name: "planner-1".to_owned(),
         seed: 7,
         use_cases: vec![UseCase {
-            soft_limit: Span::from_secs(1),
-            client_timeout: Span::from_secs(3600),
+            soft_limit: Duration::from_secs(1),
+            client_timeout: Duration::from_secs(3600),
             effect: Effect::Replayable,
             earnings: 1.0,
             priority: 0,
@@ -32,8 +32,8 @@
             full_up_to: 1.0,
             fade: 1.0,
         }],
-        kinds: vec![Room::new(16.0, 32.0)],
-        taking: Taking {
+        kinds: vec![Resources::new(16.0, 32.0)],
+        taking: AcceptanceRules {
             cores: 1.0,
             memory: 1.0,
             yes_when_running: false,
@@ -41,21 +41,21 @@
             tells_pressure: true,
             recalls: true,
         },
-        cold: ColdRule {
-            warm_after: Span::from_secs(12),
-            fall: Span::from_secs(1),
+        cold: SlowStart {
+            warm_after: Duration::from_secs(12),
+            fall: Duration::from_secs(1),
             young_limit: 9.0,
             schedulers: 1,
             number: 0,
         },
-        listing: Listing { asked: false, ask_within: Span::from_secs(10) },
-        home: Home { zone: ZoneId(0), cross_zone_price: 0.0, machine_price: 0.0 },
+        listing: Discovery { asked: false, ask_within: Duration::from_secs(10) },
+        home: LocalityCosts { zone: ZoneId(0), cross_zone_price: 0.0, machine_price: 0.0 },
         list_address: "list".to_owned(),
-        reconnect: Span::from_nanos(200_000_000),
-        lost_after: Span::from_secs(2),
-        silence: Span::from_secs(3600),
-        remember: Span::from_secs(3600),
-        start_wait: Span::from_nanos(1),
+        reconnect: Duration::from_nanos(200_000_000),
+        lost_after: Duration::from_secs(2),
+        silence: Duration::from_secs(3600),
+        remember: Duration::from_secs(3600),
+        start_wait: Duration::from_nanos(1),
         clients: mulleinhub_limits::Settings {
             most,
             most_of_a_tenant: most,
@@ -69,14 +69,14 @@
 
 struct Bench {
     engine: Engine,
-    now: Time,
+    now: Timestamp,
     bytes: Vec<u8>,
     /// Links that were written a `welcome` or a `ping` in the last turn.
     welcomed: usize,
     asked: Vec<Link>,
-    cpu: Duration,
+    cpu: StdDuration,
     turns: u64,
-    longest: Duration,
+    longest: StdDuration,
     ended: usize,
 }
 
@@ -122,17 +122,17 @@
     fn open(&mut self, all: usize) -> Vec<Link> {
         let mut links = Vec::with_capacity(all);
         while links.len() < all {
-            let room = self.engine.takes(Door(0)).min(all - links.len());
+            let room = self.engine.takes(ListenerId(0)).min(all - links.len());
             for n in links.len()..links.len() + room {
                 let link = self.engine.links().fresh();
                 let began = Instant::now();
-                self.engine.opened(self.now, link, Door(0));
+                self.engine.opened(self.now, link, ListenerId(0));
                 self.cpu += began.elapsed();
                 let clock = self.now.nanos();
                 self.tell(link, &hello(&format!("tool-{}/{n}", n % 100), clock));
                 links.push(link);
             }
-            self.now = self.now + Span::from_nanos(1_000_000);
+            self.now = self.now + Duration::from_nanos(1_000_000);
             self.turn();
         }
         while self.welcomed < all {
@@ -143,7 +143,7 @@
     }
 
     /// A steady client asks; how long until its task is taken, with turns of so many at most.
-    fn ask(&mut self, client: Link, task: u64, turns: u32) -> Duration {
+    fn ask(&mut self, client: Link, task: u64, turns: u32) -> StdDuration {
         let shape = Shape { key: task, use_case: 0, service: 1, cores: 1.0, memory: 1.0, again: false };
         let before = self.engine.counts().taken;
         let began = Instant::now();
@@ -166,16 +166,16 @@
 fn main() {
     let all: usize = std::env::args().nth(1).and_then(|n| n.parse().ok()).unwrap_or(1_000_000);
     let engine = Engine::new(settings(all + 1), 1, None);
-    let now = Time::from_nanos(1_000_000_000);
+    let now = Timestamp::from_nanos(1_000_000_000);
     let mut bench = Bench {
         engine,
         now,
         bytes: Vec::new(),
         welcomed: 0,
         asked: Vec::new(),
-        cpu: Duration::ZERO,
+        cpu: StdDuration::ZERO,
         turns: 0,
-        longest: Duration::ZERO,
+        longest: StdDuration::ZERO,
         ended: 0,
     };
     bench.engine.turn(now);
@@ -203,8 +203,8 @@
     println!("places of deadlines a connection: {:.2}", bench.engine.clients_open().1 as f64 / all as f64);
 
     let silent_for = 60;
-    (bench.cpu, bench.turns, bench.longest) = (Duration::ZERO, 0, Duration::ZERO);
-    let end = bench.now + Span::from_secs(silent_for);
+    (bench.cpu, bench.turns, bench.longest) = (StdDuration::ZERO, 0, StdDuration::ZERO);
+    let end = bench.now + Duration::from_secs(silent_for);
     let mut answered = 0;
     while bench.now < end {
         let next = bench.engine.wake().unwrap_or(end).min(end);
@@ -229,7 +229,7 @@
 
     let mut times = Histogram::<u64>::new(3).expect("fixed bounds");
     for task in 0..10_000 {
-        bench.now = bench.now + Span::from_nanos(1_000_000);
+        bench.now = bench.now + Duration::from_nanos(1_000_000);
         let took = bench.ask(steady, task, 1);
         times.record(took.as_nanos() as u64).expect("grows with what it records");
     }
@@ -241,7 +241,7 @@
         us(0.999)
     );
 
-    (bench.turns, bench.longest) = (0, Duration::ZERO);
+    (bench.turns, bench.longest) = (0, StdDuration::ZERO);
     let began = Instant::now();
     for (n, link) in links.iter().enumerate() {
         bench.tell(*link, &Message::Learn { task: 1_000_000 + n as u64 });
@@ -263,7 +263,7 @@
     );
 
     let began = Instant::now();
-    (bench.turns, bench.longest) = (0, Duration::ZERO);
+    (bench.turns, bench.longest) = (0, StdDuration::ZERO);
     for link in &links {
         bench.engine.ended(bench.now, *link, End::Closed);
     }
--- a/crates/engine/examples/ordinary_path.rs
+++ b/crates/engine/examples/ordinary_path.rs
@@ -7,7 +7,7 @@
 use mulleinhub_engine::{Engine, Settings};
 use mulleinhub_interface::*;
 use mulleinhub_protocol::{self as protocol, Conversation, Ending, Message, Mode, Reason, Shape};
-use mulleinhub_seam::{Ask, Door, Link, Party};
+use mulleinhub_seam::{Ask, Link, ListenerId, StateMachine};
 use stats_alloc::{INSTRUMENTED_SYSTEM, Region, StatsAlloc};
 use std::alloc::System;
 use std::collections::VecDeque;
@@ -24,8 +24,8 @@
         name: "planner-1".to_owned(),
         seed: 7,
         use_cases: vec![UseCase {
-            soft_limit: Span::from_secs(1),
-            client_timeout: Span::from_secs(8),
+            soft_limit: Duration::from_secs(1),
+            client_timeout: Duration::from_secs(8),
             effect: Effect::Replayable,
             earnings: 1.0,
             priority: 0,
@@ -34,8 +34,8 @@
             full_up_to: 1.0,
             fade: 1.0,
         }],
-        kinds: vec![Room::new(10_000.0, 10_000.0)],
-        taking: Taking {
+        kinds: vec![Resources::new(10_000.0, 10_000.0)],
+        taking: AcceptanceRules {
             cores: 1.0,
             memory: 1.0,
             yes_when_running: false,
@@ -43,21 +43,21 @@
             tells_pressure: true,
             recalls: true,
         },
-        cold: ColdRule {
-            warm_after: Span::from_secs(12),
-            fall: Span::from_secs(1),
+        cold: SlowStart {
+            warm_after: Duration::from_secs(12),
+            fall: Duration::from_secs(1),
             young_limit: 9.0,
             schedulers: 1,
             number: 0,
         },
-        listing: Listing { asked: false, ask_within: Span::from_secs(10) },
-        home: Home { zone: ZoneId(0), cross_zone_price: 0.0, machine_price: 0.0 },
+        listing: Discovery { asked: false, ask_within: Duration::from_secs(10) },
+        home: LocalityCosts { zone: ZoneId(0), cross_zone_price: 0.0, machine_price: 0.0 },
         list_address: "list".to_owned(),
-        reconnect: Span::from_nanos(200_000_000),
-        lost_after: Span::from_secs(2),
-        silence: Span::from_secs(3600),
-        remember: Span::from_nanos(500_000_000),
-        start_wait: Span::from_nanos(1),
+        reconnect: Duration::from_nanos(200_000_000),
+        lost_after: Duration::from_secs(2),
+        silence: Duration::from_secs(3600),
+        remember: Duration::from_nanos(500_000_000),
+        start_wait: Duration::from_nanos(1),
         clients: mulleinhub_limits::Settings::default(),
         most_in_hand: 1 << 20,
         most_unwritten: 1 << 24,
@@ -66,7 +66,7 @@
 
 struct Bench {
     engine: Engine,
-    now: Time,
+    now: Timestamp,
     machines: Vec<Link>,
     client: Link,
     bytes: Vec<u8>,
@@ -101,11 +101,11 @@
 
     fn up(many: usize) -> Self {
         let mut engine = Engine::new(settings(), 1, None);
-        let now = Time::from_nanos(1_000_000_000);
+        let now = Timestamp::from_nanos(1_000_000_000);
         engine.turn(now);
         let Some(Ask::Open(list, _)) = engine.links().next_ask() else { panic!("the list is asked for") };
         let client = engine.links().fresh();
-        engine.opened(now, client, Door(0));
+        engine.opened(now, client, ListenerId(0));
         let (bytes, offers, machines) = (Vec::new(), VecDeque::new(), Vec::new());
         let mut bench = Self { engine, now, machines, client, bytes, offers };
         bench.engine.up(now, list);
@@ -147,7 +147,7 @@
 
     /// A task is asked for and accepted; the oldest beyond so many in hand ends.
     fn task(&mut self, id: u64, held: &mut VecDeque<(usize, u64)>, in_hand: usize) {
-        self.now = self.now + Span::from_nanos(500_000);
+        self.now = self.now + Duration::from_nanos(500_000);
         let shape = Shape { key: id, use_case: 0, service: id / 4, cores: 1.0, memory: 1.0, again: false };
         let clock = self.now.nanos();
         self.tell(self.client, &Message::Ask { task: id, shape, patience: 8_000_000_000, clock });
--- a/crates/engine/src/desk.rs
+++ b/crates/engine/src/desk.rs
@@ -4,12 +4,14 @@
 use crate::settings::Settings;
 use hdrhistogram::Histogram;
 use mulleinhub::{Pcg, mix};
-use mulleinhub_interface::{Effect, Ending, MachineId, Order, Quota, Reach as Group, TaskId, Ticket, Writer};
-use mulleinhub_interface::{Span, Time};
+use mulleinhub_interface::{
+    Dispatch, Effect, Ending, MachineId, Order, Quota, Reach as Group, TaskId, Ticket,
+};
+use mulleinhub_interface::{Duration, Timestamp};
 use mulleinhub_limits::{Act, Admission, Limits, Why};
-use mulleinhub_pacing::{HEARTBEAT, STANDSTILL, Standstills, again};
+use mulleinhub_pacing::{HEARTBEAT, PAUSE_THRESHOLD, PauseDetector, again};
 use mulleinhub_protocol::{self as protocol, Conversation, Frames, ListReader, Message, Mode, Shape, Spare};
-use mulleinhub_seam::{End, Link, Links, Timers, Unwritten};
+use mulleinhub_seam::{Connections, End, Link, Timers, Unsent};
 use std::cell::RefCell;
 use std::collections::{BTreeMap, VecDeque};
 use std::sync::Arc;
@@ -66,7 +68,7 @@
     pub end: Option<End>,
     pub queued: bool,
     /// When the first of what waits to be heard was read, and after how many turns.
-    pub since: (Time, u64),
+    pub since: (Timestamp, u64),
     /// Tasks asked for on this connection that have had no final answer.
     pub in_hand: u32,
 }
@@ -80,8 +82,8 @@
     pub link: Option<Link>,
     pub mark: u64,
     /// When the module decided on it, and when the wait for an answer ends.
-    pub decided: Time,
-    pub due: Time,
+    pub decided: Timestamp,
+    pub due: Timestamp,
     pub placed: bool,
     pub runs: bool,
     /// Moved or withdrawn: its end is no news for the owner's timer.
@@ -95,11 +97,11 @@
     pub shape: Shape,
     pub owner: String,
     pub owner_link: Option<Link>,
-    pub came: Time,
+    pub came: Timestamp,
     pub sends: u32,
     pub open: Option<Open>,
     /// When the first send was decided on that may have run, if any.
-    pub may_have_run: Option<Time>,
+    pub may_have_run: Option<Timestamp>,
     pub withdrawn: bool,
     /// Handed over by its owner; the machine has not yet said that it holds it.
     pub claiming: bool,
@@ -174,8 +176,8 @@
 pub struct Desk {
     pub settings: Settings,
     pub life: u64,
-    pub now: Time,
-    pub links: Links,
+    pub now: Timestamp,
+    pub links: Connections,
     pub peers: BTreeMap<Link, Box<Peer>>,
     arrivals: VecDeque<Link>,
     /// Connections of which more came than is heard in a turn: they stand in line from the next one on.
@@ -197,7 +199,7 @@
     pub late: BTreeMap<(TaskId, u32), Late>,
     pub answered: BTreeMap<TaskId, (Answer, String)>,
     /// When to forget answers and closed sends, oldest first.
-    pub to_forget: VecDeque<(Time, TaskId, Option<u32>)>,
+    pub to_forget: VecDeque<(Timestamp, TaskId, Option<u32>)>,
     /// Ends that this side made, to be told at the next chance.
     pub closings: VecDeque<(TaskId, u32, Ending)>,
     pub timers: Timers<Due>,
@@ -212,7 +214,7 @@
     pub admission: Admission,
     /// Who counts what tenants may use; nobody where the settings keep no books.
     pub quota: Option<Box<dyn Quota>>,
-    stood: Standstills,
+    stood: PauseDetector,
     pub hears_clients: bool,
     pub winding_down: bool,
     pub counts: Counts,
@@ -235,8 +237,8 @@
         Self {
             settings,
             life,
-            now: Time::default(),
-            links: Links::default(),
+            now: Timestamp::default(),
+            links: Connections::default(),
             peers: BTreeMap::new(),
             arrivals: VecDeque::new(),
             rest: Vec::new(),
@@ -263,7 +265,7 @@
             limits,
             admission,
             quota: None,
-            stood: Standstills::default(),
+            stood: PauseDetector::default(),
             hears_clients: false,
             winding_down: false,
             counts: Counts::default(),
@@ -310,11 +312,11 @@
     /// beyond the quickest one of this connection. It was met when planners stood still or links stalled: an
     /// ask that had lain for seconds was given its whole patience anew, and answered after its client
     /// timeout.
-    pub fn lain(&mut self, link: Link, clock: u64) -> Span {
+    pub fn lain(&mut self, link: Link, clock: u64) -> Duration {
         let ahead = (self.now.nanos() as i64).saturating_sub(i64::try_from(clock).unwrap_or(i64::MAX));
-        let Some(peer) = self.peers.get_mut(&link) else { return Span::ZERO };
+        let Some(peer) = self.peers.get_mut(&link) else { return Duration::ZERO };
         let lay = self.stood.lay(self.now, peer.since);
-        let stood = if lay > STANDSTILL { lay.nanos() as i64 } else { 0 };
+        let stood = if lay > PAUSE_THRESHOLD { lay.nanos() as i64 } else { 0 };
         // A frame read after a standstill may have lain for all of it: until one is read promptly, the worst
         // holds.
         let sure = stood == 0;
@@ -326,14 +328,14 @@
         (peer.ahead, peer.ahead_is_sure) = (Some(least), peer.ahead_is_sure || sure);
         // What is read after a standstill may have lain for all of it, whatever earlier frames say: theirs
         // may have lain on a stalled link. Too little patience is harmless, too much is late.
-        Span::from_nanos(u64::try_from(ahead.saturating_sub(least)).unwrap_or(0)).max(if sure {
-            Span::ZERO
+        Duration::from_nanos(u64::try_from(ahead.saturating_sub(least)).unwrap_or(0)).max(if sure {
+            Duration::ZERO
         } else {
             lay
         })
     }
 
-    pub fn client_came(&mut self, now: Time, link: Link) {
+    pub fn client_came(&mut self, now: Timestamp, link: Link) {
         self.now = self.now.max(now);
         self.add_peer(link, Who::Stranger);
         match self.limits.opened(self.now, link.0) {
@@ -384,7 +386,7 @@
         }
     }
 
-    pub fn is_up(&mut self, now: Time, link: Link) {
+    pub fn is_up(&mut self, now: Timestamp, link: Link) {
         self.now = now;
         let conversation = match self.peers.get(&link).map(|peer| &peer.who) {
             Some(Who::Machine(_)) => Conversation::PlannerMachine,
@@ -402,7 +404,7 @@
         }
     }
 
-    pub fn came_in(&mut self, now: Time, link: Link, bytes: &[u8]) {
+    pub fn came_in(&mut self, now: Timestamp, link: Link, bytes: &[u8]) {
         let Some(peer) = self.peers.get_mut(&link) else { return };
         peer.frames.take_with(bytes, &mut self.spare);
         if !peer.queued {
@@ -463,7 +465,7 @@
     }
 
     /// What a pinch of descriptors costs: idle connections, with a reason.
-    pub fn pinched(&mut self, now: Time) {
+    pub fn pinched(&mut self, now: Timestamp) {
         self.now = self.now.max(now);
         for conn in self.limits.pinched(self.now) {
             self.let_go(Link(conn), Why::MadeRoom.words());
@@ -497,7 +499,7 @@
         self.timers.due_of(self.now, mark)
     }
 
-    pub fn wake(&self) -> Option<Time> {
+    pub fn wake(&self) -> Option<Timestamp> {
         if !self.closings.is_empty()
             || (self.hears_clients && (self.limits.any_in_line() || !self.rest.is_empty()))
         {
@@ -509,14 +511,14 @@
         [self.timers.next(), self.limits.wake(), heartbeat].into_iter().flatten().min()
     }
 
-    fn note_standstill(&mut self, now: Time) {
+    fn note_standstill(&mut self, now: Timestamp) {
         if self.stood.begin(now) {
             self.limits.woke(now);
         }
     }
 
     /// A turn begins: so many frames of those that woke are heard in it.
-    pub fn begin_turn(&mut self, now: Time) {
+    pub fn begin_turn(&mut self, now: Timestamp) {
         self.now = now;
         self.note_standstill(now);
         self.limits.begin_turn(self.machines.len());
@@ -527,7 +529,7 @@
     }
 
     /// Much lies unread: what came is heard, nothing is due yet. False where nothing came that is heard now.
-    pub fn begin_early(&mut self, now: Time) -> bool {
+    pub fn begin_early(&mut self, now: Timestamp) -> bool {
         self.now = now;
         self.note_standstill(now);
         self.stood.is_early(now);
@@ -713,10 +715,10 @@
     }
 
     /// The offers of an ended connection that were not wholly written.
-    pub fn unwritten_offers(&mut self, link: Link) -> Vec<(TaskId, u32, Unwritten)> {
+    pub fn unwritten_offers(&mut self, link: Link) -> Vec<(TaskId, u32, Unsent)> {
         let unwritten = self.links.abort(link);
         let named =
-            |(mark, how): (u64, Unwritten)| self.marks.get(&mark).map(|(task, send)| (*task, *send, how));
+            |(mark, how): (u64, Unsent)| self.marks.get(&mark).map(|(task, send)| (*task, *send, how));
         unwritten.into_iter().filter_map(named).collect()
     }
 
@@ -752,7 +754,7 @@
     }
 
     /// The final answer of a task that came then is given.
-    pub fn owes_less(&mut self, link: Option<Link>, came: Time, service: u64) {
+    pub fn owes_less(&mut self, link: Option<Link>, came: Timestamp, service: u64) {
         self.admission.done(self.now, service);
         self.hand(link, false);
         self.times.take_to_answer.saturating_record((self.now - came).nanos() / 1000);
@@ -870,8 +872,8 @@
 /// borrows the desk for a moment only.
 pub struct Pen<'a>(pub &'a RefCell<Desk>);
 
-impl Writer for Pen<'_> {
-    fn send(&mut self, task: TaskId, machine: MachineId, time_out: Span) {
+impl Dispatch for Pen<'_> {
+    fn send(&mut self, task: TaskId, machine: MachineId, time_out: Duration) {
         let desk = &mut *self.0.borrow_mut();
         let now = desk.now;
         let job = desk.jobs.get_mut(&task).expect("the module sends tasks in hand");
@@ -934,7 +936,7 @@
         desk.closings.push_back((task, send, Ending::Recalled));
     }
 
-    fn nack(&mut self, task: TaskId, stay_away: Span) {
+    fn nack(&mut self, task: TaskId, stay_away: Duration) {
         let desk = &mut *self.0.borrow_mut();
         let job = &desk.jobs[&task];
         assert!(job.open.is_none(), "task {}: nacked with a send out", task.0);
@@ -964,7 +966,7 @@
         }
     }
 
-    fn wake_at(&mut self, token: u64, at: Time) {
+    fn wake_at(&mut self, token: u64, at: Timestamp) {
         self.0.borrow_mut().timers.set(at, Due::Token(token));
     }
 
--- a/crates/engine/src/lib.rs
+++ b/crates/engine/src/lib.rs
@@ -17,15 +17,15 @@
 pub use settings::Settings;
 
 use desk::{Desk, Due, Pen};
-use mulleinhub::Brain;
-use mulleinhub_interface::{Mind, Quota, Span, Time};
+use mulleinhub::PlacementPolicy;
+use mulleinhub_interface::{Duration, Policy, Quota, Timestamp};
 use mulleinhub_limits::Why;
-use mulleinhub_seam::{Door, End, Link, Links, Party};
+use mulleinhub_seam::{Connections, End, Link, ListenerId, StateMachine};
 use std::cell::RefCell;
 
 /// One planner.
 pub struct Engine {
-    mind: Box<dyn Mind>,
+    mind: Box<dyn Policy>,
     desk: RefCell<Desk>,
     begun: bool,
     saved: Option<Vec<u8>>,
@@ -34,7 +34,7 @@
 impl Engine {
     /// `life` is another number at each start; `saved` is what the last life kept, if it kept anything.
     pub fn new(settings: Settings, life: u64, saved: Option<Vec<u8>>) -> Self {
-        let brain = Brain::new(
+        let brain = PlacementPolicy::new(
             desk::own_seed(&settings, life),
             settings.use_cases.clone(),
             settings.kinds.clone(),
@@ -47,7 +47,7 @@
     }
 
     /// With another mind than the module: baselines, for comparison only.
-    pub fn with_mind(mind: Box<dyn Mind>, settings: Settings, life: u64, saved: Option<Vec<u8>>) -> Self {
+    pub fn with_mind(mind: Box<dyn Policy>, settings: Settings, life: u64, saved: Option<Vec<u8>>) -> Self {
         Self { mind, desk: RefCell::new(Desk::new(settings, life)), begun: false, saved }
     }
 
@@ -126,7 +126,7 @@
 
     /// What the last turn cost, from whoever has a clock: where turns take long, fewer connections are
     /// allowed.
-    pub fn turn_took(&mut self, now: Time, took: Span) {
+    pub fn turn_took(&mut self, now: Timestamp, took: Duration) {
         self.desk.get_mut().limits.turn_took(now, took);
     }
 
@@ -152,24 +152,24 @@
     }
 }
 
-impl Party for Engine {
-    fn opened(&mut self, now: Time, link: Link, _: Door) {
+impl StateMachine for Engine {
+    fn opened(&mut self, now: Timestamp, link: Link, _: ListenerId) {
         self.desk.get_mut().client_came(now, link);
     }
 
-    fn up(&mut self, now: Time, link: Link) {
+    fn up(&mut self, now: Timestamp, link: Link) {
         self.desk.get_mut().is_up(now, link);
     }
 
-    fn received(&mut self, now: Time, link: Link, bytes: &[u8]) {
+    fn received(&mut self, now: Timestamp, link: Link, bytes: &[u8]) {
         self.desk.get_mut().came_in(now, link, bytes);
     }
 
-    fn ended(&mut self, _: Time, link: Link, end: End) {
+    fn ended(&mut self, _: Timestamp, link: Link, end: End) {
         self.desk.get_mut().has_ended(link, end);
     }
 
-    fn turn_early(&mut self, now: Time) {
+    fn turn_early(&mut self, now: Timestamp) {
         let Self { mind, desk, begun, .. } = self;
         if !*begun || !desk.get_mut().begin_early(now) {
             return;
@@ -186,7 +186,7 @@
         self.desk.borrow().is_prompt(link)
     }
 
-    fn turn(&mut self, now: Time) {
+    fn turn(&mut self, now: Timestamp) {
         let Self { mind, desk, begun, saved } = self;
         desk.get_mut().begin_turn(now);
         let first = !std::mem::replace(begun, true);
@@ -219,19 +219,19 @@
         self.desk.get_mut().end_turn();
     }
 
-    fn wake(&self) -> Option<Time> {
-        if self.begun { self.desk.borrow().wake() } else { Some(Time::default()) }
+    fn wake(&self) -> Option<Timestamp> {
+        if self.begun { self.desk.borrow().wake() } else { Some(Timestamp::default()) }
     }
 
-    fn links(&mut self) -> &mut Links {
+    fn links(&mut self) -> &mut Connections {
         &mut self.desk.get_mut().links
     }
 
-    fn takes(&self, _: Door) -> usize {
+    fn takes(&self, _: ListenerId) -> usize {
         self.desk.borrow().limits.takes()
     }
 
-    fn pinched(&mut self, now: Time) {
+    fn pinched(&mut self, now: Timestamp) {
         self.desk.get_mut().pinched(now);
     }
 
--- a/crates/engine/src/machines.rs
+++ b/crates/engine/src/machines.rs
@@ -1,8 +1,8 @@
 //! What is known of each machine's connection, and when it is tried again, ended, or given up.
 
 use mulleinhub_interface::{CellId, KindId, MachineId, ZoneId};
-use mulleinhub_interface::{Span, Time};
-use mulleinhub_pacing::Gate;
+use mulleinhub_interface::{Duration, Timestamp};
+use mulleinhub_pacing::SlowStartGate;
 use mulleinhub_protocol::{Entry, Mode};
 use mulleinhub_seam::Link;
 
@@ -24,36 +24,36 @@
     pub life: Option<u64>,
     /// The life that the list tells, and when that life began by this planner's clock.
     pub listed_life: u64,
-    pub since: Option<Time>,
+    pub since: Option<Timestamp>,
     pub kind: KindId,
     pub cell: CellId,
     pub zone: ZoneId,
     pub mode: Mode,
     pub left: Option<(f64, f64)>,
     pub failures: u32,
-    pub retry_at: Time,
+    pub retry_at: Timestamp,
     /// Since when it could not be reached.
-    pub down_since: Option<Time>,
-    pub heard_at: Time,
-    pub pinged_at: Option<Time>,
+    pub down_since: Option<Timestamp>,
+    pub heard_at: Timestamp,
+    pub pinged_at: Option<Timestamp>,
     /// Sends that wait for the connection, as task and number.
     pub waiting: Vec<(u64, u32)>,
     /// What it told so far in its telling of what it holds.
     pub told: Vec<(u64, u32)>,
     /// It has told once, in this life of ours, what it holds.
     pub met: bool,
-    pub gate: Gate,
+    pub gate: SlowStartGate,
 }
 
 impl Spot {
-    pub fn new(entry: &Entry<'_>, now: Time) -> Self {
+    pub fn new(entry: &Entry<'_>, now: Timestamp) -> Self {
         Self {
             id: MachineId(entry.machine),
             address: entry.address.to_owned(),
             reach: Reach::Down,
             life: None,
             listed_life: entry.life,
-            since: entry.up_for.map(|up| now - Span::from_nanos(up)),
+            since: entry.up_for.map(|up| now - Duration::from_nanos(up)),
             kind: KindId(entry.kind as usize),
             cell: CellId(entry.cell),
             zone: ZoneId(entry.zone),
@@ -67,18 +67,18 @@
             waiting: Vec::new(),
             told: Vec::new(),
             met: false,
-            gate: Gate::default(),
+            gate: SlowStartGate::default(),
         }
     }
 
     /// Takes over what the list tells. A start keeps the instant first heard of it, so that it is one start.
-    pub fn update(&mut self, entry: &Entry<'_>, now: Time) {
+    pub fn update(&mut self, entry: &Entry<'_>, now: Timestamp) {
         if self.address != entry.address {
             entry.address.clone_into(&mut self.address);
         }
         if self.listed_life != entry.life {
             self.listed_life = entry.life;
-            self.since = entry.up_for.map(|up| now - Span::from_nanos(up));
+            self.since = entry.up_for.map(|up| now - Duration::from_nanos(up));
             self.retry_at = now;
         }
         self.kind = KindId(entry.kind as usize);
@@ -98,7 +98,7 @@
     }
 
     /// A try failed or the connection ended. The next try waits for so long.
-    pub fn failed(&mut self, now: Time, wait: Span, refused: bool) {
+    pub fn failed(&mut self, now: Timestamp, wait: Duration, refused: bool) {
         self.reach = Reach::Down;
         self.gate.ended(now);
         self.told.clear();
@@ -114,7 +114,7 @@
     }
 
     /// Whether its tasks are to be taken for lost.
-    pub fn is_lost(&self, now: Time, lost_after: Span) -> bool {
+    pub fn is_lost(&self, now: Timestamp, lost_after: Duration) -> bool {
         self.ready().is_none() && self.down_since.is_some_and(|since| now - since >= lost_after)
     }
 }
--- a/crates/engine/src/properties.rs
+++ b/crates/engine/src/properties.rs
@@ -7,10 +7,11 @@
 
 use crate::{Engine, Settings};
 use mulleinhub_interface::{
-    ColdRule, Effect, Home, Listing, Reach, Room, Span, Taking, TaskId, Time, UseCase, ZoneId,
+    AcceptanceRules, Discovery, Duration, Effect, LocalityCosts, Reach, Resources, SlowStart, TaskId,
+    Timestamp, UseCase, ZoneId,
 };
 use mulleinhub_protocol::{self as protocol, Conversation, Ending, Frames, Message, Mode, Reason, Shape};
-use mulleinhub_seam::{Ask, Door, End, Link, Party};
+use mulleinhub_seam::{Ask, End, Link, ListenerId, StateMachine};
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
 use std::collections::{BTreeMap, VecDeque};
@@ -242,10 +243,10 @@
 }
 
 fn settings() -> Settings {
-    let window = Span::from_secs(5);
+    let window = Duration::from_secs(5);
     let case = |effect, priority, spread| UseCase {
-        soft_limit: Span::from_secs(1),
-        client_timeout: Span::from_secs(8),
+        soft_limit: Duration::from_secs(1),
+        client_timeout: Duration::from_secs(8),
         effect,
         earnings: 1.0,
         priority,
@@ -263,8 +264,8 @@
             case(Effect::SingleUse, 1, Some((Reach::Machine, 1))),
             case(Effect::Replayable, 1, Some((Reach::Cell, 2))),
         ],
-        kinds: vec![Room::new(16.0, 32.0)],
-        taking: Taking {
+        kinds: vec![Resources::new(16.0, 32.0)],
+        taking: AcceptanceRules {
             cores: 2.0,
             memory: 1.5,
             yes_when_running: false,
@@ -272,21 +273,21 @@
             tells_pressure: true,
             recalls: true,
         },
-        cold: ColdRule {
-            warm_after: Span::from_secs(12),
-            fall: Span::from_secs(1),
+        cold: SlowStart {
+            warm_after: Duration::from_secs(12),
+            fall: Duration::from_secs(1),
             young_limit: YOUNG_LIMIT as f64,
             schedulers: 1,
             number: 0,
         },
-        listing: Listing { asked: false, ask_within: Span::from_secs(10) },
-        home: Home { zone: ZoneId(0), cross_zone_price: 0.0, machine_price: 0.0 },
+        listing: Discovery { asked: false, ask_within: Duration::from_secs(10) },
+        home: LocalityCosts { zone: ZoneId(0), cross_zone_price: 0.0, machine_price: 0.0 },
         list_address: "list".to_owned(),
-        reconnect: Span::from_nanos(200 * MS),
-        lost_after: Span::from_secs(2),
-        silence: Span::from_secs(2),
-        remember: Span::from_secs(60),
-        start_wait: Span::from_secs(1),
+        reconnect: Duration::from_nanos(200 * MS),
+        lost_after: Duration::from_secs(2),
+        silence: Duration::from_secs(2),
+        remember: Duration::from_secs(60),
+        start_wait: Duration::from_secs(1),
         clients: mulleinhub_limits::Settings::default(),
         most_in_hand: 100,
         most_unwritten: 64 * 1024,
@@ -342,8 +343,8 @@
         world
     }
 
-    fn time(&self) -> Time {
-        Time::from_nanos(self.now)
+    fn time(&self) -> Timestamp {
+        Timestamp::from_nanos(self.now)
     }
 
     fn tell(&mut self, link: Link, message: &Message<'_>) -> Vec<u8> {
@@ -784,7 +785,7 @@
         let link = self.engine.links().fresh();
         self.owner = Some(link);
         let now = self.time();
-        self.engine.opened(now, link, Door(0));
+        self.engine.opened(now, link, ListenerId(0));
         self.tell(
             link,
             &Message::hello(Conversation::ClientPlanner, protocol::HAS_TASKS, "owner", 1, self.now),
@@ -1027,7 +1028,7 @@
         let end = self.now + ms * MS;
         self.turn();
         while self.now < end {
-            let wake = self.engine.wake().map_or(end, Time::nanos);
+            let wake = self.engine.wake().map_or(end, Timestamp::nanos);
             let waits: Vec<(u64, &'static str)> = self
                 .tasks
                 .iter()
--- a/crates/engine/src/receive/client.rs
+++ b/crates/engine/src/receive/client.rs
@@ -5,7 +5,7 @@
 use super::task::{check_use_case, new_job, order};
 use crate::desk::{Answer, Desk, Due, Job, Open};
 use crate::machines::Spot;
-use mulleinhub_interface::{Ears, Ending, MachineId, Order, Span, TaskId, Ticket, Time};
+use mulleinhub_interface::{Duration, Ending, MachineId, Order, PolicyEvents, TaskId, Ticket, Timestamp};
 use mulleinhub_protocol::{Bad, Message, Shape};
 use mulleinhub_seam::Link;
 use std::cell::RefCell;
@@ -13,7 +13,7 @@
 /// Handles one message of a client that has greeted.
 pub(super) fn receive_from_client(
     shared: &RefCell<Desk>,
-    round: &mut dyn Ears,
+    round: &mut dyn PolicyEvents,
     link: Link,
     name: &str,
     message: &Message<'_>,
@@ -22,7 +22,7 @@
         Message::Ask { task, shape, patience, clock } => {
             let order = {
                 let desk = &mut *shared.borrow_mut();
-                let left = Span::from_nanos(*patience) - desk.lain(link, *clock);
+                let left = Duration::from_nanos(*patience) - desk.lain(link, *clock);
                 take(desk, link, name, *task, shape, left)?
             };
             if let Some(order) = order {
@@ -81,7 +81,7 @@
         runs: false,
         stopping: false,
     };
-    let order = order(id, shape, Time::from_nanos(u64::MAX));
+    let order = order(id, shape, Timestamp::from_nanos(u64::MAX));
     let job = Job {
         claiming: true,
         answered: true,
@@ -132,7 +132,7 @@
     name: &str,
     task: u64,
     shape: &Shape,
-    patience: Span,
+    patience: Duration,
 ) -> Result<Option<Order>, Bad> {
     check_use_case(desk, shape)?;
     let id = TaskId(task);
@@ -141,7 +141,7 @@
     }
     let longest = desk.settings.use_cases[shape.use_case as usize].client_timeout;
     let patience = patience.min(longest);
-    if desk.winding_down || patience == Span::ZERO {
+    if desk.winding_down || patience == Duration::ZERO {
         desk.write(link, &Message::Nacked { task, stay_away: 0 });
         return Ok(None);
     }
@@ -170,7 +170,7 @@
 ///
 /// # Errors
 /// For how long its owner is to stay away.
-fn admit(desk: &mut Desk, name: &str, shape: &Shape, order: &Order) -> Result<Option<Ticket>, Span> {
+fn admit(desk: &mut Desk, name: &str, shape: &Shape, order: &Order) -> Result<Option<Ticket>, Duration> {
     let ticket = match &mut desk.quota {
         Some(quota) => quota.ask(desk.now, name, order.key, order.ask, desk.chance.part())?,
         None => None,
@@ -185,7 +185,7 @@
 }
 
 /// Ends a task that its owner wants no more: its open send is taken back, recalled or stopped.
-fn withdraw(shared: &RefCell<Desk>, round: &mut dyn Ears, name: &str, id: TaskId) -> Received {
+fn withdraw(shared: &RefCell<Desk>, round: &mut dyn PolicyEvents, name: &str, id: TaskId) -> Received {
     let mut borrowed = shared.borrow_mut();
     let desk = &mut *borrowed;
     // Copies of earlier sends that prove to run from now on are nobody's. Met: such a copy was disowned, ran
--- a/crates/engine/src/receive/disconnect.rs
+++ b/crates/engine/src/receive/disconnect.rs
@@ -3,13 +3,13 @@
 use super::machine_list::list_disconnected;
 use super::outcome::close;
 use crate::desk::{Desk, Due, Open, Who};
-use mulleinhub_interface::{Ears, Ending, Loss, MachineId, Span, TaskId};
+use mulleinhub_interface::{Duration, Ending, FailureCause, MachineId, PolicyEvents, TaskId};
 use mulleinhub_pacing::again;
-use mulleinhub_seam::{End, Link, Unwritten};
+use mulleinhub_seam::{End, Link, Unsent};
 use std::cell::RefCell;
 
 /// A connection has ended, and all that came on it before was received.
-pub(super) fn disconnected(shared: &RefCell<Desk>, round: &mut dyn Ears, link: Link, end: End) {
+pub(super) fn disconnected(shared: &RefCell<Desk>, round: &mut dyn PolicyEvents, link: Link, end: End) {
     let mut borrowed = shared.borrow_mut();
     let desk = &mut *borrowed;
     if desk.peers.get(&link).is_some_and(|peer| matches!(peer.who, Who::Stranger | Who::Client(_))) {
@@ -42,7 +42,7 @@
     id: MachineId,
     link: Link,
     end: End,
-    unwritten: Vec<(TaskId, u32, Unwritten)>,
+    unwritten: Vec<(TaskId, u32, Unsent)>,
 ) -> Vec<(TaskId, u32, Ending)> {
     let (now, reconnect, lost_after) = (desk.now, desk.settings.reconnect, desk.settings.lost_after);
     let drawn = desk.chance.part();
@@ -54,19 +54,20 @@
     let wait = match failed {
         true => again::after_failures(reconnect, spot.failures, drawn),
         // At once: the answer may prove what became of open sends.
-        false if !unanswered.is_empty() => Span::ZERO,
+        false if !unanswered.is_empty() => Duration::ZERO,
         false => again::after_end(reconnect, drawn),
     };
     spot.failed(now, wait, failed);
     let (retry_at, waiting) = (spot.retry_at, std::mem::take(&mut spot.waiting));
     desk.timers.set(retry_at, Due::Reconnect(id));
     desk.timers.set(now + lost_after, Due::Lost(id));
-    let never_left = unwritten.into_iter().filter(|(.., how)| *how == Unwritten::Whole);
+    let never_left = unwritten.into_iter().filter(|(.., how)| *how == Unsent::Whole);
     let mut resolved: Vec<_> = never_left.map(|(task, send, _)| (task, send, Ending::NoConnection)).collect();
     resolved.extend(waiting.into_iter().map(|(task, send)| (TaskId(task), send, Ending::NoConnection)));
     if failed {
         // It can't be asked what it took: each open send may run.
-        let may_run = |(task, open): (TaskId, Open)| (task, open.number, Ending::Broken(Loss::Untold));
+        let may_run =
+            |(task, open): (TaskId, Open)| (task, open.number, Ending::Broken(FailureCause::Untold));
         resolved.extend(unanswered.into_iter().map(may_run));
     }
     resolved
--- a/crates/engine/src/receive/dispatch.rs
+++ b/crates/engine/src/receive/dispatch.rs
@@ -6,7 +6,7 @@
 use super::machine::receive_from_machine;
 use super::machine_list::{list_failed, receive_from_list};
 use crate::desk::{Desk, ListFault, Peer, Who};
-use mulleinhub_interface::Ears;
+use mulleinhub_interface::PolicyEvents;
 use mulleinhub_protocol::{Bad, Conversation, Message, Side};
 use mulleinhub_seam::Link;
 use std::cell::RefCell;
@@ -23,7 +23,7 @@
 /// Handles one message.
 pub(super) fn dispatch(
     shared: &RefCell<Desk>,
-    round: &mut dyn Ears,
+    round: &mut dyn PolicyEvents,
     link: Link,
     message: &Message<'_>,
 ) -> Received {
--- a/crates/engine/src/receive/greeting.rs
+++ b/crates/engine/src/receive/greeting.rs
@@ -3,7 +3,7 @@
 use super::Received;
 use super::machine_list::{list_disconnected, list_failed};
 use crate::desk::{Desk, ListFault, Who};
-use mulleinhub_interface::Ears;
+use mulleinhub_interface::PolicyEvents;
 use mulleinhub_protocol::{self as protocol, Bad, Message};
 use mulleinhub_seam::{End, Link};
 use std::cell::RefCell;
@@ -47,7 +47,7 @@
 }
 
 /// Tells a peer how it breaks the protocol, and ends its connection alone.
-pub(super) fn refuse(shared: &RefCell<Desk>, round: &mut dyn Ears, link: Link, bad: &Bad) {
+pub(super) fn refuse(shared: &RefCell<Desk>, round: &mut dyn PolicyEvents, link: Link, bad: &Bad) {
     let mut borrowed = shared.borrow_mut();
     let desk = &mut *borrowed;
     desk.counts.bad_frames += 1;
--- a/crates/engine/src/receive/inbound.rs
+++ b/crates/engine/src/receive/inbound.rs
@@ -5,13 +5,13 @@
 use super::greeting::refuse;
 use crate::desk::{Desk, Who};
 use crate::machines::Spot;
-use mulleinhub_interface::Ears;
+use mulleinhub_interface::PolicyEvents;
 use mulleinhub_protocol::{self as protocol, Frames};
 use mulleinhub_seam::{End, Link};
 use std::cell::RefCell;
 
 /// Receives from every connection on which bytes arrived, in the order of arrival.
-pub fn receive_pending(shared: &RefCell<Desk>, round: &mut dyn Ears) {
+pub fn receive_pending(shared: &RefCell<Desk>, round: &mut dyn PolicyEvents) {
     loop {
         let next = shared.borrow_mut().next_arrival();
         let Some(link) = next else {
@@ -44,7 +44,7 @@
     is_used_up: bool,
 }
 
-fn receive_from(shared: &RefCell<Desk>, round: &mut dyn Ears, link: Link) {
+fn receive_from(shared: &RefCell<Desk>, round: &mut dyn PolicyEvents, link: Link) {
     // The frames are taken out for the while, so that messages can borrow them and the desk stays free.
     let taken = shared.borrow_mut().peers.get_mut(&link).map(|peer| std::mem::take(&mut peer.frames));
     let Some(mut frames) = taken else { return };
@@ -58,7 +58,7 @@
 /// Receives the frames that are whole, as far as the bound allows; nothing where the connection is over.
 fn receive_batch(
     shared: &RefCell<Desk>,
-    round: &mut dyn Ears,
+    round: &mut dyn PolicyEvents,
     link: Link,
     frames: &mut Frames,
 ) -> Option<Batch> {
--- a/crates/engine/src/receive/inventory.rs
+++ b/crates/engine/src/receive/inventory.rs
@@ -4,7 +4,7 @@
 use super::outcome::{accepted, accepted_late, close, module_ending, started};
 use super::task::{check_use_case, new_job, order};
 use crate::desk::{Desk, Job, Open};
-use mulleinhub_interface::{Ears, Ending, Loss, MachineId, TaskId, Time};
+use mulleinhub_interface::{Ending, FailureCause, MachineId, PolicyEvents, TaskId, Timestamp};
 use mulleinhub_protocol::{self as protocol, Message, Reason};
 use mulleinhub_seam::Link;
 use std::cell::RefCell;
@@ -12,7 +12,7 @@
 /// One task of the inventory: ours, of a former life of ours, or over for us.
 pub(super) fn receive_held(
     shared: &RefCell<Desk>,
-    round: &mut dyn Ears,
+    round: &mut dyn PolicyEvents,
     link: Link,
     machine: MachineId,
     held: &protocol::Held<'_>,
@@ -58,13 +58,13 @@
 /// Takes over a task that a former life of ours placed.
 fn adopt(
     shared: &RefCell<Desk>,
-    round: &mut dyn Ears,
+    round: &mut dyn PolicyEvents,
     link: Link,
     machine: MachineId,
     held: &protocol::Held<'_>,
 ) {
     let id = TaskId(held.task);
-    let order = order(id, &held.shape, Time::from_nanos(u64::MAX));
+    let order = order(id, &held.shape, Timestamp::from_nanos(u64::MAX));
     {
         let desk = &mut *shared.borrow_mut();
         if check_use_case(desk, &held.shape).is_err() {
@@ -102,7 +102,7 @@
 /// The inventory is complete: what it lacks is known never to have been accepted, and offers may go.
 pub(super) fn inventory_complete(
     shared: &RefCell<Desk>,
-    round: &mut dyn Ears,
+    round: &mut dyn PolicyEvents,
     link: Link,
     machine: MachineId,
 ) {
@@ -135,7 +135,7 @@
         // A new life is dealt with by the closings that its welcome left.
         let is_over = desk.is_closing(id, open.number);
         if !here && !is_over && open.link.is_some_and(|offered| offered != link) {
-            let ending = if open.placed { Ending::Broken(Loss::Untold) } else { Ending::NotSent };
+            let ending = if open.placed { Ending::Broken(FailureCause::Untold) } else { Ending::NotSent };
             resolved.push((id, open.number, ending));
         }
     }
--- a/crates/engine/src/receive/machine.rs
+++ b/crates/engine/src/receive/machine.rs
@@ -4,7 +4,7 @@
 use super::inventory::{inventory_complete, receive_held};
 use super::outcome::{accepted, close, module_ending, started};
 use crate::desk::Desk;
-use mulleinhub_interface::{Ears, Ending, Loss, MachineId, Report, Room, TaskId};
+use mulleinhub_interface::{Ending, FailureCause, MachineId, PolicyEvents, Report, Resources, TaskId};
 use mulleinhub_protocol::{self as protocol, Bad, Message, Reason};
 use mulleinhub_seam::Link;
 use std::cell::RefCell;
@@ -12,7 +12,7 @@
 /// Handles one message of a machine.
 pub(super) fn receive_from_machine(
     shared: &RefCell<Desk>,
-    round: &mut dyn Ears,
+    round: &mut dyn PolicyEvents,
     link: Link,
     machine: MachineId,
     message: &Message<'_>,
@@ -50,7 +50,8 @@
             closed(shared, round, link, machine, TaskId(*task), *send, (*ending, *reason));
         }
         Message::Report { cores_unused, memory_unused, .. } => {
-            let unused = cores_unused.zip(*memory_unused).map(|(cores, memory)| Room::new(cores, memory));
+            let unused =
+                cores_unused.zip(*memory_unused).map(|(cores, memory)| Resources::new(cores, memory));
             round.probed(machine, Report { unused });
         }
         _ => return Err(Bad("not a message of a machine".into())),
@@ -61,7 +62,7 @@
 /// A machine answered our greeting. In another life than the last it holds nothing that the former was sent.
 fn welcomed(
     shared: &RefCell<Desk>,
-    round: &mut dyn Ears,
+    round: &mut dyn PolicyEvents,
     link: Link,
     machine: MachineId,
     life: u64,
@@ -84,7 +85,8 @@
     // Whatever the former life was sent or held went with it. An answer of it can't come any more: its
     // connection is over, and this one began after it.
     let sent = desk.jobs_on(machine).into_iter().filter(|(_, open)| open.link.is_some());
-    let lost: Vec<_> = sent.map(|(id, open)| (id, open.number, Ending::Broken(Loss::Untold))).collect();
+    let lost: Vec<_> =
+        sent.map(|(id, open)| (id, open.number, Ending::Broken(FailureCause::Untold))).collect();
     desk.closings.extend(lost);
     desk.closings.extend(waiting.into_iter().map(|(id, send)| (TaskId(id), send, Ending::NotSent)));
     drop(borrowed);
@@ -100,7 +102,7 @@
 /// A machine told the end of a send, which is acknowledged whether or not it is ours.
 fn closed(
     shared: &RefCell<Desk>,
-    round: &mut dyn Ears,
+    round: &mut dyn PolicyEvents,
     link: Link,
     machine: MachineId,
     id: TaskId,
--- a/crates/engine/src/receive/machine_list.rs
+++ b/crates/engine/src/receive/machine_list.rs
@@ -3,7 +3,7 @@
 use super::Received;
 use crate::desk::{Desk, Due, ListFault};
 use crate::machines::{Reach, Spot};
-use mulleinhub_interface::{Ears, Ending, Entry, ListKind, MachineId, Mode, Room};
+use mulleinhub_interface::{Ending, Entry, ListKind, MachineId, Mode, PolicyEvents, Resources};
 use mulleinhub_pacing::again;
 use mulleinhub_protocol::{self as protocol, Bad, Message};
 use mulleinhub_seam::Link;
@@ -11,7 +11,7 @@
 use std::collections::BTreeSet;
 
 /// The first turn: applies the list kept from the last life, and asks for a newer one.
-pub fn start(shared: &RefCell<Desk>, round: &mut dyn Ears, saved: Option<Vec<u8>>) {
+pub fn start(shared: &RefCell<Desk>, round: &mut dyn PolicyEvents, saved: Option<Vec<u8>>) {
     match saved.as_deref().map(protocol::decode_list) {
         Some(Ok(kept)) => apply(shared, round, ListKind::Saved, kept.version, &kept.entries()),
         Some(Err(bad)) => tracing::error!(%bad, "the kept list can't be read; going on without it"),
@@ -33,7 +33,7 @@
 }
 
 /// The connection to the list service is over: it is asked again after a while.
-pub(super) fn list_disconnected(shared: &RefCell<Desk>, round: &mut dyn Ears) {
+pub(super) fn list_disconnected(shared: &RefCell<Desk>, round: &mut dyn PolicyEvents) {
     let mut borrowed = shared.borrow_mut();
     let desk = &mut *borrowed;
     desk.list_link = None;
@@ -51,7 +51,7 @@
 /// Handles one message of the list service.
 pub(super) fn receive_from_list(
     shared: &RefCell<Desk>,
-    round: &mut dyn Ears,
+    round: &mut dyn PolicyEvents,
     message: &Message<'_>,
 ) -> Received {
     match message {
@@ -80,7 +80,7 @@
 /// Takes a list over and tells the module of it.
 fn apply(
     shared: &RefCell<Desk>,
-    round: &mut dyn Ears,
+    round: &mut dyn PolicyEvents,
     kind: ListKind,
     version: u64,
     entries: &[protocol::Entry<'_>],
@@ -191,6 +191,6 @@
             protocol::Mode::Left => Mode::Left,
         },
         since: spot.since,
-        left: spot.left.map(|(cores, memory)| Room::new(cores, memory)),
+        left: spot.left.map(|(cores, memory)| Resources::new(cores, memory)),
     }
 }
--- a/crates/engine/src/receive/outcome.rs
+++ b/crates/engine/src/receive/outcome.rs
@@ -1,7 +1,9 @@
 //! The outcome of a send: accepted, started, closed.
 
 use crate::desk::{Answer, Desk, Late};
-use mulleinhub_interface::{Ears, Effect, Ending, Loss, MachineId, Nack, Report, TaskId};
+use mulleinhub_interface::{
+    Effect, Ending, FailureCause, MachineId, PolicyEvents, Rejection, Report, TaskId,
+};
 use mulleinhub_protocol::{self as protocol, Message, Reason};
 use mulleinhub_seam::Link;
 use std::cell::RefCell;
@@ -13,26 +15,26 @@
         protocol::Ending::Done | protocol::Ending::Stopped => Ending::Ok,
         protocol::Ending::Errored => Ending::Errored,
         protocol::Ending::Nacked => Ending::Nacked(match reason {
-            Reason::Untold => Nack::Untold,
-            Reason::NoCores => Nack::NoCores,
-            Reason::NoMemory => Nack::NoMemory,
-            Reason::LineFull => Nack::QueueFull,
-            Reason::NotHere => Nack::NotHere,
-            Reason::HandedBack => Nack::HandedBack,
+            Reason::Untold => Rejection::Untold,
+            Reason::NoCores => Rejection::NoCores,
+            Reason::NoMemory => Rejection::NoMemory,
+            Reason::LineFull => Rejection::QueueFull,
+            Reason::NotHere => Rejection::NotHere,
+            Reason::HandedBack => Rejection::HandedBack,
         }),
         // The machine's own word that it dropped the offer before it accepted: proof.
         protocol::Ending::Recalled => Ending::NotSent,
-        protocol::Ending::Lost => Ending::Broken(Loss::Untold),
-        protocol::Ending::Evicted => Ending::Broken(Loss::Evicted),
-        protocol::Ending::PushedOut => Ending::Broken(Loss::PushedOut),
-        protocol::Ending::SentAway | protocol::Ending::Moved => Ending::Broken(Loss::SentAway),
+        protocol::Ending::Lost => Ending::Broken(FailureCause::Untold),
+        protocol::Ending::Evicted => Ending::Broken(FailureCause::Evicted),
+        protocol::Ending::PushedOut => Ending::Broken(FailureCause::PushedOut),
+        protocol::Ending::SentAway | protocol::Ending::Moved => Ending::Broken(FailureCause::SentAway),
     }
 }
 
 /// A machine accepted a send: its task is placed, unless the send is over for us.
 pub(super) fn accepted(
     shared: &RefCell<Desk>,
-    round: &mut dyn Ears,
+    round: &mut dyn PolicyEvents,
     link: Link,
     machine: MachineId,
     id: TaskId,
@@ -92,7 +94,7 @@
 /// A machine started a placed task.
 pub(super) fn started(
     shared: &RefCell<Desk>,
-    round: &mut dyn Ears,
+    round: &mut dyn PolicyEvents,
     machine: MachineId,
     id: TaskId,
     send: u32,
@@ -135,7 +137,7 @@
 /// The end of a send: told to the module, and to the owner where the task was placed.
 pub(super) fn close(
     shared: &RefCell<Desk>,
-    round: &mut dyn Ears,
+    round: &mut dyn PolicyEvents,
     id: TaskId,
     send: u32,
     ending: Ending,
@@ -177,7 +179,7 @@
 }
 
 /// Ends that this side made: in the round before, or while receiving.
-pub fn close_pending(shared: &RefCell<Desk>, round: &mut dyn Ears) {
+pub fn close_pending(shared: &RefCell<Desk>, round: &mut dyn PolicyEvents) {
     loop {
         let next = shared.borrow_mut().closings.pop_front();
         let Some((id, send, ending)) = next else { return };
--- a/crates/engine/src/receive/task.rs
+++ b/crates/engine/src/receive/task.rs
@@ -2,25 +2,25 @@
 
 use super::Received;
 use crate::desk::{Desk, Job};
-use mulleinhub_interface::{Order, Room, ServiceId, TaskId, TaskKey, Time, UseCaseId};
+use mulleinhub_interface::{Order, Resources, ServiceId, TaskId, TaskKey, Timestamp, UseCaseId};
 use mulleinhub_protocol::{Bad, Shape};
 use mulleinhub_seam::Link;
 
 /// The order of a task of this shape.
-pub(super) fn order(id: TaskId, shape: &Shape, deadline: Time) -> Order {
+pub(super) fn order(id: TaskId, shape: &Shape, deadline: Timestamp) -> Order {
     Order {
         id,
         key: TaskKey(shape.key),
         use_case: UseCaseId(shape.use_case as usize),
         service: ServiceId(shape.service),
-        ask: Room::new(shape.cores, shape.memory),
+        ask: Resources::new(shape.cores, shape.memory),
         deadline,
         again: shape.again,
     }
 }
 
 /// A job without a send, of a task that arrived then.
-pub(super) fn new_job(order: Order, shape: Shape, owner: &str, link: Link, came: Time) -> Job {
+pub(super) fn new_job(order: Order, shape: Shape, owner: &str, link: Link, came: Timestamp) -> Job {
     Job {
         order,
         shape,
--- a/crates/engine/src/receive/timers.rs
+++ b/crates/engine/src/receive/timers.rs
@@ -4,14 +4,14 @@
 use super::outcome::close;
 use crate::desk::{Desk, Due};
 use crate::machines::Reach;
-use mulleinhub_interface::{Ears, Ending, Loss, MachineId, TaskId};
+use mulleinhub_interface::{Ending, FailureCause, MachineId, PolicyEvents, TaskId};
 use mulleinhub_pacing::again;
 use mulleinhub_protocol::Message;
 use mulleinhub_seam::Link;
 use std::cell::RefCell;
 
 /// A timer has expired, other than the module's own and those of sends.
-pub fn on_timer(shared: &RefCell<Desk>, round: &mut dyn Ears, due: Due) {
+pub fn on_timer(shared: &RefCell<Desk>, round: &mut dyn PolicyEvents, due: Due) {
     match due {
         Due::Reconnect(id) => reconnect(&mut shared.borrow_mut(), id),
         Due::Lost(id) => machine_lost(shared, round, id),
@@ -36,7 +36,7 @@
 }
 
 /// What was placed on a machine that was out of reach for too long is lost.
-fn machine_lost(shared: &RefCell<Desk>, round: &mut dyn Ears, id: MachineId) {
+fn machine_lost(shared: &RefCell<Desk>, round: &mut dyn PolicyEvents, id: MachineId) {
     let lost: Vec<_> = {
         let desk = shared.borrow();
         let (now, lost_after) = (desk.now, desk.settings.lost_after);
@@ -46,7 +46,7 @@
         desk.jobs_on(id).into_iter().filter(|(_, open)| open.placed).collect()
     };
     for (task, open) in lost {
-        close(shared, round, task, open.number, Ending::Broken(Loss::Untold), None);
+        close(shared, round, task, open.number, Ending::Broken(FailureCause::Untold), None);
     }
 }
 
@@ -71,7 +71,7 @@
 }
 
 /// A machine did not say in time whether it holds a task that was handed over.
-fn claim_timed_out(shared: &RefCell<Desk>, round: &mut dyn Ears, id: TaskId) {
+fn claim_timed_out(shared: &RefCell<Desk>, round: &mut dyn PolicyEvents, id: TaskId) {
     let claim = shared.borrow().jobs.get(&id).filter(|job| job.claiming).and_then(|job| job.open);
     if let Some(open) = claim {
         close(shared, round, id, open.number, Ending::TimedOut, None);
@@ -79,7 +79,7 @@
 }
 
 /// Nobody answered in time. An offer still unwritten is taken back, which proves that it never ran.
-pub fn on_time_out(shared: &RefCell<Desk>, round: &mut dyn Ears, id: TaskId, send: u32) {
+pub fn on_time_out(shared: &RefCell<Desk>, round: &mut dyn PolicyEvents, id: TaskId, send: u32) {
     let ending = {
         let desk = &mut *shared.borrow_mut();
         let Some(open) = desk.jobs.get(&id).filter(|job| !job.claiming).and_then(|job| job.open) else {
--- a/crates/engine/tests/host/mod.rs
+++ b/crates/engine/tests/host/mod.rs
@@ -3,7 +3,7 @@
 use mulleinhub_engine::{Engine, Settings};
 use mulleinhub_interface::*;
 use mulleinhub_protocol::{self as protocol, Conversation, Frames, Message, Mode, Shape};
-use mulleinhub_seam::{Ask, Door, End, Link, Party};
+use mulleinhub_seam::{Ask, End, Link, ListenerId, StateMachine};
 use std::collections::BTreeMap;
 
 pub const REPLAYABLE: u32 = 0;
@@ -12,8 +12,8 @@
 
 pub fn settings() -> Settings {
     let case = |effect| UseCase {
-        soft_limit: Span::from_secs(1),
-        client_timeout: Span::from_secs(8),
+        soft_limit: Duration::from_secs(1),
+        client_timeout: Duration::from_secs(8),
         effect,
         earnings: 1.0,
         priority: 1,
@@ -22,7 +22,7 @@
         full_up_to: 1.0,
         fade: 1.0,
     };
-    let window = Span::from_secs(5);
+    let window = Duration::from_secs(5);
     Settings {
         name: "planner-1".to_owned(),
         seed: 7,
@@ -31,8 +31,8 @@
             case(Effect::Referenced { group: Reach::Cell, window }),
             case(Effect::SingleUse),
         ],
-        kinds: vec![Room::new(16.0, 32.0)],
-        taking: Taking {
+        kinds: vec![Resources::new(16.0, 32.0)],
+        taking: AcceptanceRules {
             cores: 2.0,
             memory: 1.5,
             yes_when_running: false,
@@ -40,21 +40,21 @@
             tells_pressure: true,
             recalls: true,
         },
-        cold: ColdRule {
-            warm_after: Span::from_secs(12),
-            fall: Span::from_secs(1),
+        cold: SlowStart {
+            warm_after: Duration::from_secs(12),
+            fall: Duration::from_secs(1),
             young_limit: 9.0,
             schedulers: 1,
             number: 0,
         },
-        listing: Listing { asked: false, ask_within: Span::from_secs(10) },
-        home: Home { zone: ZoneId(0), cross_zone_price: 0.0, machine_price: 0.0 },
+        listing: Discovery { asked: false, ask_within: Duration::from_secs(10) },
+        home: LocalityCosts { zone: ZoneId(0), cross_zone_price: 0.0, machine_price: 0.0 },
         list_address: "list".to_owned(),
-        reconnect: Span::from_nanos(200_000_000),
-        lost_after: Span::from_secs(2),
-        silence: Span::from_secs(2),
-        remember: Span::from_secs(60),
-        start_wait: Span::from_secs(1),
+        reconnect: Duration::from_nanos(200_000_000),
+        lost_after: Duration::from_secs(2),
+        silence: Duration::from_secs(2),
+        remember: Duration::from_secs(60),
+        start_wait: Duration::from_secs(1),
         clients: mulleinhub_limits::Settings::default(),
         most_in_hand: 100,
         most_unwritten: 64 * 1024,
@@ -66,7 +66,7 @@
 
 pub struct Host {
     pub engine: Engine,
-    pub now: Time,
+    pub now: Timestamp,
     /// Who is behind each link, by the planner's address for it or the client's name.
     pub links: BTreeMap<Link, String>,
     frames: BTreeMap<Link, Frames>,
@@ -75,14 +75,14 @@
     pub opening: Vec<(Link, String)>,
     pub ended: Vec<Link>,
     /// When the planner asked somebody for a sign of life.
-    pub pings: Vec<Time>,
+    pub pings: Vec<Timestamp>,
 }
 
 impl Host {
     pub fn new(settings: Settings, life: u64, saved: Option<Vec<u8>>) -> Self {
         Self {
             engine: Engine::new(settings, life, saved),
-            now: Time::from_nanos(1_000_000_000),
+            now: Timestamp::from_nanos(1_000_000_000),
             links: BTreeMap::new(),
             frames: BTreeMap::new(),
             unread: Vec::new(),
@@ -163,18 +163,18 @@
     }
 
     pub fn after(&mut self, ms: u64) -> Vec<Said> {
-        self.now = self.now + Span::from_nanos(ms * 1_000_000);
+        self.now = self.now + Duration::from_nanos(ms * 1_000_000);
         self.turn()
     }
 
     /// Time passes as in a process that goes on.
     pub fn lives(&mut self, ms: u64) {
-        self.goes_on(self.now + Span::from_nanos(ms * 1_000_000), |_, _| ());
+        self.goes_on(self.now + Duration::from_nanos(ms * 1_000_000), |_, _| ());
         self.turn();
     }
 
     /// A turn whenever the planner wants one until then; `each` sees what it did in a turn.
-    pub fn goes_on(&mut self, until: Time, mut each: impl FnMut(&mut Self, Vec<Said>)) {
+    pub fn goes_on(&mut self, until: Timestamp, mut each: impl FnMut(&mut Self, Vec<Said>)) {
         while let Some(at) = self.engine.wake().filter(|at| *at <= until) {
             self.now = self.now.max(at);
             let said = self.turn();
@@ -258,7 +258,7 @@
     pub fn opens(&mut self, name: &str) -> Link {
         let link = self.engine.links().fresh();
         self.links.insert(link, name.to_owned());
-        self.engine.opened(self.now, link, Door(0));
+        self.engine.opened(self.now, link, ListenerId(0));
         link
     }
 
@@ -280,7 +280,7 @@
     }
 }
 
-pub fn hello(name: &str, now: Time) -> Message<'_> {
+pub fn hello(name: &str, now: Timestamp) -> Message<'_> {
     Message::hello(Conversation::ClientPlanner, 0, name, 1, now.nanos())
 }
 
@@ -288,7 +288,7 @@
     Shape { key: task, use_case, service: task, cores: 1.0, memory: 1.0, again: false }
 }
 
-pub fn ask(task: u64, use_case: u32, now: Time) -> Message<'static> {
+pub fn ask(task: u64, use_case: u32, now: Timestamp) -> Message<'static> {
     Message::Ask { task, shape: shape(task, use_case), patience: 8_000_000_000, clock: now.nanos() }
 }
 
--- a/crates/engine/tests/list/mod.rs
+++ b/crates/engine/tests/list/mod.rs
@@ -1,9 +1,9 @@
 //! Lists of machines at the size of a large fleet, and lists that can't be read, as short stories.
 
 use crate::host::*;
-use mulleinhub_interface::Span;
+use mulleinhub_interface::Duration;
 use mulleinhub_protocol::{self as protocol, Entry, ListKind, Message, Mode, WholeList};
-use mulleinhub_seam::{End, Link, Party};
+use mulleinhub_seam::{End, Link, StateMachine};
 
 const FLEET: u64 = 10_000;
 
@@ -236,7 +236,7 @@
     assert!(says(&refused, "list", "bye the list changed 9 times before it was told whole"), "{refused:?}");
     assert!(host.ended.contains(&link));
     assert_eq!(host.engine.counts().machines, 0);
-    host.now = host.now + Span::from_secs(1);
+    host.now = host.now + Duration::from_secs(1);
     assert!(host.engine.not_ready().is_some());
 }
 
--- a/crates/engine/tests/pieces/mod.rs
+++ b/crates/engine/tests/pieces/mod.rs
@@ -2,9 +2,9 @@
 
 use crate::host::*;
 use crate::limited;
-use mulleinhub_interface::Span;
+use mulleinhub_interface::Duration;
 use mulleinhub_protocol::{self as protocol, Message};
-use mulleinhub_seam::{Link, Party};
+use mulleinhub_seam::{Link, StateMachine};
 
 fn bytes_of(messages: &[Message<'_>]) -> Vec<u8> {
     let mut bytes = Vec::new();
@@ -26,7 +26,7 @@
 
 #[test]
 fn messages_in_a_row_whose_pieces_never_end_where_they_do_are_no_slow_message() {
-    let mut host = limited(|clients| clients.frame_within = Span::from_secs(2));
+    let mut host = limited(|clients| clients.frame_within = Duration::from_secs(2));
     let client = host.client("pieces");
     let one = bytes_of(&[Message::Learn { task: u64::MAX }]);
     let all = one.repeat(40);
@@ -44,13 +44,13 @@
 
 #[test]
 fn more_messages_than_a_turn_hears_before_a_part_of_one_are_no_slow_message() {
-    let mut host = limited(|clients| clients.frame_within = Span::from_secs(2));
+    let mut host = limited(|clients| clients.frame_within = Duration::from_secs(2));
     let client = host.client("many");
     let one = bytes_of(&[Message::Learn { task: u64::MAX }]);
     let piece = [&one[one.len() / 2..], &one.repeat(100), &one[..one.len() / 2]].concat();
     receive(&mut host, client, &one[..one.len() / 2]);
     for _ in 0..20 {
-        host.now = host.now + Span::from_nanos(200_000_000);
+        host.now = host.now + Duration::from_nanos(200_000_000);
         receive(&mut host, client, &piece);
     }
     assert!(!host.ended.contains(&client));
--- a/crates/engine/tests/quota/mod.rs
+++ b/crates/engine/tests/quota/mod.rs
@@ -1,7 +1,7 @@
 //! What whoever counts tenants' use is asked and told, as short stories.
 
 use crate::host::*;
-use mulleinhub_interface::{Quota, Room, Span, TaskKey, Ticket, Time};
+use mulleinhub_interface::{Duration, Quota, Resources, TaskKey, Ticket, Timestamp};
 use mulleinhub_protocol::{Ending, Held, Message, Reason};
 use mulleinhub_seam::{End, Link};
 use std::sync::{Arc, Mutex};
@@ -20,40 +20,47 @@
 }
 
 impl Quota for Notes {
-    fn ask(&mut self, _: Time, owner: &str, key: TaskKey, _: Room, _: f64) -> Result<Option<Ticket>, Span> {
+    fn ask(
+        &mut self,
+        _: Timestamp,
+        owner: &str,
+        key: TaskKey,
+        _: Resources,
+        _: f64,
+    ) -> Result<Option<Ticket>, Duration> {
         self.note(format!("ask {}", key.0));
         match key.0 {
-            100.. => Err(Span::from_nanos(7)),
+            100.. => Err(Duration::from_nanos(7)),
             _ => Ok((owner != "free").then(|| ticket(key))),
         }
     }
 
-    fn never_ran(&mut self, _: Time, ticket: Ticket) {
+    fn never_ran(&mut self, _: Timestamp, ticket: Ticket) {
         self.note(format!("never ran {}", ticket.key.0));
     }
 
-    fn may_run(&mut self, _: Time, ticket: Ticket) {
+    fn may_run(&mut self, _: Timestamp, ticket: Ticket) {
         self.note(format!("may run {}", ticket.key.0));
     }
 
-    fn runs(&mut self, _: Time, ticket: Ticket) {
+    fn runs(&mut self, _: Timestamp, ticket: Ticket) {
         self.note(format!("runs {}", ticket.key.0));
     }
 
-    fn adopted(&mut self, _: Time, _: &str, key: TaskKey, _: Room) -> Option<Ticket> {
+    fn adopted(&mut self, _: Timestamp, _: &str, key: TaskKey, _: Resources) -> Option<Ticket> {
         self.note(format!("adopted {}", key.0));
         Some(ticket(key))
     }
 
-    fn over(&mut self, _: Time, ticket: Ticket, comes_again: bool) {
+    fn over(&mut self, _: Timestamp, ticket: Ticket, comes_again: bool) {
         self.note(format!("over {}{}", ticket.key.0, if comes_again { ", comes again" } else { "" }));
     }
 
-    fn all_told(&mut self, _: Time) {
+    fn all_told(&mut self, _: Timestamp) {
         self.note("all told".into());
     }
 
-    fn status(&self, _: Time) -> Vec<String> {
+    fn status(&self, _: Timestamp) -> Vec<String> {
         vec!["books are kept".into()]
     }
 }
--- a/crates/engine/tests/same_moment/mod.rs
+++ b/crates/engine/tests/same_moment/mod.rs
@@ -2,7 +2,7 @@
 //! over planners of the same settings that learnt of the same thing at the same instant.
 
 use crate::host::*;
-use mulleinhub_interface::{Span, Time};
+use mulleinhub_interface::{Duration, Timestamp};
 use mulleinhub_protocol::{Ending, Message, Reason};
 use mulleinhub_seam::End;
 use std::collections::BTreeMap;
@@ -21,7 +21,7 @@
 }
 
 /// The most instants that fall into one ten milliseconds, and how far the last is from the first.
-fn crowding(instants: &[Time]) -> (usize, Span) {
+fn crowding(instants: &[Timestamp]) -> (usize, Duration) {
     let mut counts: BTreeMap<u64, usize> = BTreeMap::new();
     instants.iter().for_each(|at| *counts.entry(at.nanos() / (10 * MS)).or_default() += 1);
     let (first, last) = (instants.iter().min().expect("some"), instants.iter().max().expect("some"));
@@ -30,13 +30,13 @@
 
 /// Everybody loses this peer, which refuses connections for a while: when each planner tries again, by the
 /// number of the try, until it is let in.
-fn tries(to: &str, asked: bool, refuses_for: Span) -> Vec<Vec<Time>> {
-    let mut tries: Vec<Vec<Time>> = Vec::new();
+fn tries(to: &str, asked: bool, refuses_for: Duration) -> Vec<Vec<Timestamp>> {
+    let mut tries: Vec<Vec<Timestamp>> = Vec::new();
     for mut host in planners(asked) {
         let lost_at = host.now;
         let mut seen = host.opening.len();
         host.ends(host.link(to), End::Broken);
-        let until = lost_at + refuses_for + Span::from_secs(10);
+        let until = lost_at + refuses_for + Duration::from_secs(10);
         let (mut number, mut is_in) = (0, false);
         let mut look = |host: &mut Host, _| {
             while let Some((link, _)) = host.opening.get(seen).cloned().filter(|(_, address)| address == to) {
@@ -65,7 +65,7 @@
 
 #[test]
 fn planners_that_lost_a_machine_together_do_not_come_back_together() {
-    let tries = tries("m1", false, Span::from_secs(3));
+    let tries = tries("m1", false, Duration::from_secs(3));
     for (n, tries) in tries.iter().enumerate() {
         let (most, over) = crowding(tries);
         println!("machine, try {n}: {most} of {} in 10 ms, over {} ms", tries.len(), over.nanos() / MS);
@@ -73,14 +73,17 @@
     }
     assert!(tries[0].len() == PLANNERS, "each tries");
     let back = tries.iter().flatten().max().expect("some");
-    let lost = Time::from_nanos(1_000 * MS);
-    assert!(*back <= lost + Span::from_nanos(4_600 * MS), "within eight times the first wait of its return");
+    let lost = Timestamp::from_nanos(1_000 * MS);
+    assert!(
+        *back <= lost + Duration::from_nanos(4_600 * MS),
+        "within eight times the first wait of its return"
+    );
 }
 
 #[test]
 fn planners_that_lost_the_list_together_do_not_come_back_together() {
     for asked in [false, true] {
-        let tries = tries("list", asked, Span::from_secs(3));
+        let tries = tries("list", asked, Duration::from_secs(3));
         for (n, tries) in tries.iter().enumerate() {
             let (most, over) = crowding(tries);
             println!(
@@ -91,9 +94,9 @@
             assert!(most <= AT_ONCE, "asked {asked}, try {n}: {most} of {} at once", tries.len());
         }
         let back = tries.iter().flatten().max().expect("some");
-        let lost = Time::from_nanos(1_000 * MS);
+        let lost = Timestamp::from_nanos(1_000 * MS);
         assert!(
-            *back <= lost + Span::from_nanos(5_500 * MS),
+            *back <= lost + Duration::from_nanos(5_500 * MS),
             "a quarter of the silence that the rules allow"
         );
     }
@@ -103,7 +106,7 @@
 fn planners_that_started_together_do_not_ask_for_signs_of_life_together() {
     let mut pings = Vec::new();
     for mut host in planners(false) {
-        let until = host.now + Span::from_secs(20);
+        let until = host.now + Duration::from_secs(20);
         let mut answered = 0;
         host.goes_on(until, |host, _| {
             if host.pings.len() > answered {
@@ -116,7 +119,7 @@
         pings.push(host.pings);
     }
     for n in 0..9 {
-        let nth: Vec<Time> = pings.iter().map(|pings| pings[n]).collect();
+        let nth: Vec<Timestamp> = pings.iter().map(|pings| pings[n]).collect();
         let (most, over) = crowding(&nth);
         println!("ping {n}: {most} of {} in 10 ms, over {} ms", nth.len(), over.nanos() / MS);
         assert!(most <= AT_ONCE, "ping {n}: {most} of {} at once", nth.len());
@@ -132,7 +135,7 @@
         host.machine(1, Message::Closed { task: 1, send: 0, ending: Ending::Nacked, reason: Reason::Untold });
         let said = host.ask(client, 2, REPLAYABLE);
         assert!(offered(&said, 2).is_none(), "the machine rests");
-        let until = host.now + Span::from_secs(7);
+        let until = host.now + Duration::from_secs(7);
         host.goes_on(until, |host, said| {
             if offered(&said, 2).is_some() {
                 offers.push(host.now);
--- a/crates/engine/tests/stories.rs
+++ b/crates/engine/tests/stories.rs
@@ -7,9 +7,9 @@
 mod same_moment;
 
 use host::*;
-use mulleinhub_interface::Span;
+use mulleinhub_interface::Duration;
 use mulleinhub_protocol::{Ending, Held, Message, Mode, Reason};
-use mulleinhub_seam::{End, Party};
+use mulleinhub_seam::{End, StateMachine};
 
 /// A planner with machines, and a task of this use case offered to one of them.
 fn with_offer(use_case: u32) -> (Host, mulleinhub_seam::Link, u64) {
@@ -298,7 +298,7 @@
 #[test]
 fn an_answer_that_lay_in_a_buffer_while_the_planner_stood_still_counts_before_its_time_out() {
     let (mut host, _, machine) = with_offer(SINGLE_USE);
-    host.now = host.now + Span::from_secs(7);
+    host.now = host.now + Duration::from_secs(7);
     let said = host.machine(machine, Message::Accepted { task: 1, send: 0 });
     assert!(says(&said, "owner", &format!("placed 1 on {machine}")), "{said:?}");
     assert!(!said.iter().any(|(_, words)| words.starts_with("recall")), "{said:?}");
@@ -462,7 +462,7 @@
     assert!(says(&said, "owner", &format!("taken {}", u64::MAX)), "{said:?}");
     let none = Message::Ask { task: 0, shape: shape(0, 0), patience: 0, clock: 0 };
     assert!(says(&host.tell(client, &[none]), "owner", "nacked 0"));
-    host.now = mulleinhub_interface::Time::from_nanos(u64::MAX);
+    host.now = mulleinhub_interface::Timestamp::from_nanos(u64::MAX);
     host.turn();
 }
 
@@ -544,7 +544,7 @@
     host.ends(host.link("m1"), End::Broken);
     let said = host.ask(client, 1, SINGLE_USE);
     assert!(offered(&said, 1).is_none(), "it waits for the connection: {said:?}");
-    host.now = host.now + Span::from_secs(7);
+    host.now = host.now + Duration::from_secs(7);
     let link = host.link("m1");
     host.engine.up(host.now, link);
     let welcome = Message::Welcome { version: 1, features: 0, name: "m1", life: 101, silence: None };
@@ -560,7 +560,7 @@
     let client = host.client("owner");
     host.unread.push(host.link("m1"));
     host.ask(client, 1, SINGLE_USE);
-    host.now = host.now + Span::from_secs(7);
+    host.now = host.now + Duration::from_secs(7);
     host.list(&[(1, Mode::Leaving)]);
     host.lives(1_000);
     let said = host.tell(client, &[Message::Learn { task: 1 }]);
@@ -574,7 +574,7 @@
     let late = host.opens("late");
     host.early();
     host.only_tell(late, &[hello("late", host.now), ask(1, REPLAYABLE, host.now)]);
-    host.now = host.now + Span::from_secs(9);
+    host.now = host.now + Duration::from_secs(9);
     let said = host.turn();
     assert!(says(&said, "late", "nacked 1"), "its client timeout passed while it lay here: {said:?}");
     assert!(offered(&said, 1).is_none());
@@ -584,9 +584,9 @@
 fn a_first_client_that_came_in_a_standstill_has_less_patience_left() {
     let mut host = Host::with_machines(1);
     host.lives(300);
-    let asked_at = host.now + Span::from_nanos(100_000_000);
+    let asked_at = host.now + Duration::from_nanos(100_000_000);
     // The process is stopped while the first client comes and asks, and goes on a second later.
-    host.now = asked_at + Span::from_secs(1);
+    host.now = asked_at + Duration::from_secs(1);
     let first = host.opens("first");
     let (shape, clock) = (shape(1, REPLAYABLE), asked_at.nanos());
     let ask = Message::Ask { task: 1, shape, patience: 800_000_000, clock };
@@ -615,8 +615,8 @@
 fn asks_that_wait_in_line_for_a_later_turn_after_a_standstill_have_less_patience_left() {
     let mut host = limited(|clients| clients.woken_a_turn = 2);
     host.lives(300);
-    let asked_at = host.now + Span::from_nanos(100_000_000);
-    host.now = asked_at + Span::from_secs(9);
+    let asked_at = host.now + Duration::from_nanos(100_000_000);
+    host.now = asked_at + Duration::from_secs(9);
     for n in 1..=4 {
         let name = format!("late{n}");
         let link = host.opens(&name);
@@ -728,7 +728,7 @@
 fn silent_strangers_and_silent_clients_are_ended_and_a_sign_of_life_keeps_a_client() {
     let mut host = limited(|_| ());
     let stranger = host.engine.links().fresh();
-    host.engine.opened(host.now, stranger, mulleinhub_seam::Door(0));
+    host.engine.opened(host.now, stranger, mulleinhub_seam::ListenerId(0));
     let client = host.client("quiet");
     host.lives(5_200);
     assert!(host.ended.contains(&stranger) && !host.ended.contains(&client));
@@ -768,7 +768,7 @@
 fn a_standstill_with_a_hundred_thousand_keep_alives_due_ends_no_live_client() {
     const ALL: usize = 100_000;
     let mut host = limited(|clients| {
-        (clients.sign_within, clients.most_strangers) = (Span::from_secs(1), ALL);
+        (clients.sign_within, clients.most_strangers) = (Duration::from_secs(1), ALL);
     });
     let all: Vec<_> = (0..ALL).map(|n| host.opens(&format!("quiet{n}"))).collect();
     for (n, link) in all.iter().enumerate() {
@@ -781,7 +781,7 @@
     host.lives(45_700);
     // A standstill of two seconds, longer than the time for a sign. Half the answers lie in buffers, the
     // other half comes within a second: the questions to them had lain here.
-    host.now = host.now + Span::from_secs(2);
+    host.now = host.now + Duration::from_secs(2);
     let (before, after) = all.split_at(ALL / 2);
     before.iter().for_each(|link| host.only_tell(*link, &[Message::Pong { nonce: 0 }]));
     (0..10).for_each(|_| drop(host.turn()));
@@ -877,7 +877,7 @@
 
 #[test]
 fn an_early_turn_answers_what_was_read_and_takes_nobody_for_silent() {
-    let mut host = limited(|clients| clients.greet_within = Span::from_secs(1));
+    let mut host = limited(|clients| clients.greet_within = Duration::from_secs(1));
     let steady = host.client("steady");
     for _ in 0..7 {
         host.lives(1_000);
@@ -886,7 +886,7 @@
     let (_, stranger) = (host.ask(steady, 1, REPLAYABLE), host.opens("stranger"));
     host.turn();
     // The process stands still; then so much lies unread that the steady one is answered between.
-    host.now = host.now + Span::from_secs(2);
+    host.now = host.now + Duration::from_secs(2);
     host.only_tell(steady, &[ask(2, REPLAYABLE, host.now)]);
     host.engine.turn_early(host.now);
     assert!(host.engine.counts().taken == 2 && !host.ended.contains(&stranger));
--- a/crates/interface/src/lib.rs
+++ b/crates/interface/src/lib.rs
@@ -10,7 +10,7 @@
 
 pub use pcg::{Pcg, mix};
 pub use quota::{Quota, Ticket};
-pub use units::{Span, Time};
+pub use units::{Duration, Timestamp};
 
 use std::ops::{Add, AddAssign, Sub, SubAssign};
 
@@ -34,12 +34,12 @@
 
 /// Cores and memory: a size, an ask, a use or what is left.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Room {
+pub struct Resources {
     pub cores: f64,
     pub memory: f64,
 }
 
-impl Room {
+impl Resources {
     pub const NONE: Self = Self { cores: 0.0, memory: 0.0 };
 
     pub const fn new(cores: f64, memory: f64) -> Self {
@@ -63,27 +63,27 @@
     }
 }
 
-impl Add for Room {
+impl Add for Resources {
     type Output = Self;
     fn add(self, other: Self) -> Self {
         Self::new(self.cores + other.cores, self.memory + other.memory)
     }
 }
 
-impl Sub for Room {
+impl Sub for Resources {
     type Output = Self;
     fn sub(self, other: Self) -> Self {
         Self::new(self.cores - other.cores, self.memory - other.memory)
     }
 }
 
-impl AddAssign for Room {
+impl AddAssign for Resources {
     fn add_assign(&mut self, other: Self) {
         *self = *self + other;
     }
 }
 
-impl SubAssign for Room {
+impl SubAssign for Resources {
     fn sub_assign(&mut self, other: Self) {
         *self = *self - other;
     }
@@ -104,15 +104,15 @@
     /// Repeats are dropped by the machines of one `group`, for `window` after the send that may have run.
     Referenced {
         group: Reach,
-        window: Span,
+        window: Duration,
     },
     SingleUse,
 }
 
 #[derive(Clone, Debug)]
 pub struct UseCase {
-    pub soft_limit: Span,
-    pub client_timeout: Span,
+    pub soft_limit: Duration,
+    pub client_timeout: Duration,
     pub effect: Effect,
     /// For a second of full service of a task of mean size.
     pub earnings: f64,
@@ -127,7 +127,7 @@
 
 /// How far machines take tasks, as multiples of their size, and what their yes means.
 #[derive(Clone, Copy, Debug)]
-pub struct Taking {
+pub struct AcceptanceRules {
     pub cores: f64,
     pub memory: f64,
     pub yes_when_running: bool,
@@ -138,18 +138,18 @@
     pub recalls: bool,
 }
 
-impl Taking {
+impl AcceptanceRules {
     /// What a machine of this size takes on beyond it.
-    pub fn beyond(&self, size: Room) -> Room {
+    pub fn beyond(&self, size: Resources) -> Resources {
         size.times(self.cores - 1.0, self.memory - 1.0)
     }
 }
 
 /// The fourth rule's figures, and among how many schedulers its budget is shared.
 #[derive(Clone, Copy, Debug)]
-pub struct ColdRule {
-    pub warm_after: Span,
-    pub fall: Span,
+pub struct SlowStart {
+    pub warm_after: Duration,
+    pub fall: Duration,
     pub young_limit: f64,
     pub schedulers: u32,
     /// Which of them this one is, from 0.
@@ -158,14 +158,14 @@
 
 /// Whether the list must be asked for, and the silence after which its news counts as told.
 #[derive(Clone, Copy, Debug)]
-pub struct Listing {
+pub struct Discovery {
     pub asked: bool,
-    pub ask_within: Span,
+    pub ask_within: Duration,
 }
 
 /// Where this scheduler stands, the price of tasks that run in another zone, and that of machines in use.
 #[derive(Clone, Copy, Debug)]
-pub struct Home {
+pub struct LocalityCosts {
     pub zone: ZoneId,
     pub cross_zone_price: f64,
     pub machine_price: f64,
@@ -178,8 +178,8 @@
     pub key: TaskKey,
     pub use_case: UseCaseId,
     pub service: ServiceId,
-    pub ask: Room,
-    pub deadline: Time,
+    pub ask: Resources,
+    pub deadline: Timestamp,
     /// It came before and was refused, failed, moved or lost.
     pub again: bool,
 }
@@ -199,9 +199,9 @@
     pub zone: ZoneId,
     pub mode: Mode,
     /// Its last start; nothing where that is long ago.
-    pub since: Option<Time>,
+    pub since: Option<Timestamp>,
     /// What nobody has asked for, where lists tell it.
-    pub left: Option<Room>,
+    pub left: Option<Resources>,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -217,16 +217,16 @@
 pub enum Ending {
     Ok,
     Errored,
-    Nacked(Nack),
+    Nacked(Rejection),
     TimedOut,
     NoConnection,
-    Broken(Loss),
+    Broken(FailureCause),
     Recalled,
     NotSent,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Nack {
+pub enum Rejection {
     Untold,
     /// Accepted, and given back before it ran.
     HandedBack,
@@ -237,7 +237,7 @@
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Loss {
+pub enum FailureCause {
     Untold,
     Evicted,
     PushedOut,
@@ -247,29 +247,29 @@
 /// What a machine tells of itself; a part that it does not tell is absent.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Report {
-    pub unused: Option<Room>,
+    pub unused: Option<Resources>,
 }
 
 /// Takes the answers, in the order in which they are given.
-pub trait Writer {
-    fn send(&mut self, task: TaskId, machine: MachineId, time_out: Span);
+pub trait Dispatch {
+    fn send(&mut self, task: TaskId, machine: MachineId, time_out: Duration);
     fn recall(&mut self, task: TaskId, send: u32);
-    fn nack(&mut self, task: TaskId, stay_away: Span);
+    fn nack(&mut self, task: TaskId, stay_away: Duration);
     fn error(&mut self, task: TaskId);
     /// Stops a placed task, so that its owner asks again.
     fn move_off(&mut self, task: TaskId);
-    fn wake_at(&mut self, token: u64, at: Time);
+    fn wake_at(&mut self, token: u64, at: Timestamp);
     fn watch_list(&mut self);
 }
 
-impl<W: Writer + ?Sized> Writer for &mut W {
-    fn send(&mut self, task: TaskId, machine: MachineId, time_out: Span) {
+impl<W: Dispatch + ?Sized> Dispatch for &mut W {
+    fn send(&mut self, task: TaskId, machine: MachineId, time_out: Duration) {
         (**self).send(task, machine, time_out);
     }
     fn recall(&mut self, task: TaskId, send: u32) {
         (**self).recall(task, send);
     }
-    fn nack(&mut self, task: TaskId, stay_away: Span) {
+    fn nack(&mut self, task: TaskId, stay_away: Duration) {
         (**self).nack(task, stay_away);
     }
     fn error(&mut self, task: TaskId) {
@@ -278,7 +278,7 @@
     fn move_off(&mut self, task: TaskId) {
         (**self).move_off(task);
     }
-    fn wake_at(&mut self, token: u64, at: Time) {
+    fn wake_at(&mut self, token: u64, at: Timestamp) {
         (**self).wake_at(token, at);
     }
     fn watch_list(&mut self) {
@@ -287,7 +287,7 @@
 }
 
 /// Hears what came in during one round.
-pub trait Ears {
+pub trait PolicyEvents {
     fn start(&mut self);
     fn new_task(&mut self, order: Order);
     /// A task that runs already has become this scheduler's charge.
@@ -306,13 +306,13 @@
     fn closed(&mut self, task: TaskId, ending: Ending, over: bool, report: Report);
     fn abandoned(&mut self, task: TaskId);
     /// This scheduler is to end: no final answer may come later than then.
-    fn ends_by(&mut self, at: Time);
+    fn ends_by(&mut self, at: Timestamp);
     fn woken(&mut self, token: u64);
     fn list_failed(&mut self);
     fn list(&mut self, kind: ListKind, entries: &[Entry]);
 }
 
 /// Decides: hears all that came in during a round, and writes its answers by the end of it.
-pub trait Mind {
-    fn round(&mut self, now: Time, out: &mut dyn Writer, tell: &mut dyn FnMut(&mut dyn Ears));
+pub trait Policy {
+    fn round(&mut self, now: Timestamp, out: &mut dyn Dispatch, tell: &mut dyn FnMut(&mut dyn PolicyEvents));
 }
--- a/crates/interface/src/quota.rs
+++ b/crates/interface/src/quota.rs
@@ -1,6 +1,6 @@
 //! Who counts what a tenant may use, as the planner sees it.
 
-use crate::{Room, Span, TaskKey, Time};
+use crate::{Duration, Resources, TaskKey, Timestamp};
 
 /// A place that was given to a task, kept with it until it is over. Figures are micro-units.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -22,30 +22,30 @@
     /// For how long the owner is to stay away.
     fn ask(
         &mut self,
-        now: Time,
+        now: Timestamp,
         owner: &str,
         key: TaskKey,
-        ask: Room,
+        ask: Resources,
         drawn: f64,
-    ) -> Result<Option<Ticket>, Span>;
+    ) -> Result<Option<Ticket>, Duration>;
 
     /// It had its final answer, and never ran.
-    fn never_ran(&mut self, now: Time, ticket: Ticket);
+    fn never_ran(&mut self, now: Timestamp, ticket: Ticket);
 
     /// It had its final answer, and may run all the same.
-    fn may_run(&mut self, now: Time, ticket: Ticket);
+    fn may_run(&mut self, now: Timestamp, ticket: Ticket);
 
-    fn runs(&mut self, now: Time, ticket: Ticket);
+    fn runs(&mut self, now: Timestamp, ticket: Ticket);
 
     /// It ran already when this planner took it over: from its own earlier life, or handed over by its owner.
-    fn adopted(&mut self, now: Time, owner: &str, key: TaskKey, ask: Room) -> Option<Ticket>;
+    fn adopted(&mut self, now: Timestamp, owner: &str, key: TaskKey, ask: Resources) -> Option<Ticket>;
 
     /// It runs no longer; `comes_again` where it was lost, moved or evicted.
-    fn over(&mut self, now: Time, ticket: Ticket, comes_again: bool);
+    fn over(&mut self, now: Timestamp, ticket: Ticket, comes_again: bool);
 
     /// All machines have told what they hold of this planner's earlier life, or can't be asked.
-    fn all_told(&mut self, now: Time);
+    fn all_told(&mut self, now: Timestamp);
 
     /// How it is, in lines for a person.
-    fn status(&self, now: Time) -> Vec<String>;
+    fn status(&self, now: Timestamp) -> Vec<String>;
 }
--- a/crates/interface/src/units.rs
+++ b/crates/interface/src/units.rs
@@ -14,13 +14,13 @@
 /// let wrong = mulleinhub_interface::Time::from_nanos(1) + mulleinhub_interface::Time::from_nanos(1);
 /// ```
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
-pub struct Time(u64);
+pub struct Timestamp(u64);
 
 /// A span of time, in nanoseconds, never negative.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
-pub struct Span(u64);
+pub struct Duration(u64);
 
-impl Time {
+impl Timestamp {
     pub const fn from_nanos(nanos: u64) -> Self {
         Self(nanos)
     }
@@ -30,7 +30,7 @@
     }
 }
 
-impl Span {
+impl Duration {
     pub const ZERO: Self = Self(0);
 
     pub const fn from_nanos(nanos: u64) -> Self {
@@ -56,44 +56,44 @@
     }
 }
 
-impl Add<Span> for Time {
-    type Output = Time;
-    fn add(self, span: Span) -> Time {
-        Time(self.0.saturating_add(span.0))
+impl Add<Duration> for Timestamp {
+    type Output = Timestamp;
+    fn add(self, span: Duration) -> Timestamp {
+        Timestamp(self.0.saturating_add(span.0))
     }
 }
 
-impl Sub<Span> for Time {
-    type Output = Time;
-    fn sub(self, span: Span) -> Time {
-        Time(self.0.saturating_sub(span.0))
+impl Sub<Duration> for Timestamp {
+    type Output = Timestamp;
+    fn sub(self, span: Duration) -> Timestamp {
+        Timestamp(self.0.saturating_sub(span.0))
     }
 }
 
-impl Sub for Time {
-    type Output = Span;
-    fn sub(self, earlier: Time) -> Span {
-        Span(self.0.saturating_sub(earlier.0))
+impl Sub for Timestamp {
+    type Output = Duration;
+    fn sub(self, earlier: Timestamp) -> Duration {
+        Duration(self.0.saturating_sub(earlier.0))
     }
 }
 
-impl Add for Span {
-    type Output = Span;
-    fn add(self, other: Span) -> Span {
-        Span(self.0.saturating_add(other.0))
+impl Add for Duration {
+    type Output = Duration;
+    fn add(self, other: Duration) -> Duration {
+        Duration(self.0.saturating_add(other.0))
     }
 }
 
-impl Sub for Span {
-    type Output = Span;
-    fn sub(self, other: Span) -> Span {
-        Span(self.0.saturating_sub(other.0))
+impl Sub for Duration {
+    type Output = Duration;
+    fn sub(self, other: Duration) -> Duration {
+        Duration(self.0.saturating_sub(other.0))
     }
 }
 
-impl Mul<f64> for Span {
-    type Output = Span;
-    fn mul(self, factor: f64) -> Span {
-        Span((self.0 as f64 * factor) as u64)
+impl Mul<f64> for Duration {
+    type Output = Duration;
+    fn mul(self, factor: f64) -> Duration {
+        Duration((self.0 as f64 * factor) as u64)
     }
 }
--- a/crates/ledger/src/exchange/connections.rs
+++ b/crates/ledger/src/exchange/connections.rs
@@ -2,7 +2,7 @@
 
 use super::Exchange;
 use super::peer::Peer;
-use mulleinhub_interface::Span;
+use mulleinhub_interface::Duration;
 use mulleinhub_pacing::again;
 use mulleinhub_protocol::{self as protocol, Bad, Message, encode};
 use mulleinhub_quota::Phase;
@@ -12,9 +12,9 @@
 /// Connections that are being opened at a time.
 const MAX_OPENING: usize = 32;
 /// First wait before a connection is tried again.
-const RETRY: Span = Span::from_nanos(200_000_000);
+const RETRY: Duration = Duration::from_nanos(200_000_000);
 /// A member that broke the protocol is let in again after this.
-const BAN: Span = Span::from_secs(5);
+const BAN: Duration = Duration::from_secs(5);
 
 impl Exchange {
     /// Writes a message to a connection.
--- a/crates/ledger/src/exchange/cursor.rs
+++ b/crates/ledger/src/exchange/cursor.rs
@@ -5,21 +5,21 @@
 //! nor the connection, so that a peer can have one cursor for each set of logs.
 
 use super::MAX_ITEMS;
-use mulleinhub_interface::{Span, Time};
+use mulleinhub_interface::{Duration, Timestamp};
 use mulleinhub_protocol::Bad;
 use mulleinhub_replicated_log::{Digest, LogHead, LogId, LogStore};
 use std::borrow::Cow;
 use std::collections::{BTreeMap, BTreeSet};
 
 /// Least time between two pushes to one peer, so that many changes go together.
-const PUSH_GAP: Span = Span::from_nanos(20_000_000);
+const PUSH_GAP: Duration = Duration::from_nanos(20_000_000);
 /// A request for rows that is not answered for so long is given up, and the rows are asked for elsewhere.
-const REQUEST_TIMEOUT: Span = Span::from_secs(2);
+const REQUEST_TIMEOUT: Duration = Duration::from_secs(2);
 /// Longest row that is assembled from pieces, in bytes.
 const MAX_ASSEMBLED_ROW: usize = 16 << 20;
 /// The instant of the last push, where the next one must not wait for the gap. It differs from
-/// `Time::default()`, which stands for no push at all.
-const LONG_AGO: Span = Span::from_nanos(1);
+/// `Timestamp::default()`, which stands for no push at all.
+const LONG_AGO: Duration = Duration::from_nanos(1);
 
 /// Asks for the rows of a log that follow `after`.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -77,7 +77,7 @@
 #[derive(Debug)]
 struct PendingRequest {
     id: LogId,
-    since: Time,
+    since: Timestamp,
     /// The bytes so far of a row that is longer than a piece.
     partial: Vec<u8>,
 }
@@ -87,8 +87,8 @@
 pub(super) struct LogCursor {
     /// The peer was told our changes up to this stamp of the library.
     told: u64,
-    /// When it was last told heads; `Time::default()` for never.
-    told_at: Time,
+    /// When it was last told heads; `Timestamp::default()` for never.
+    told_at: Timestamp,
     /// The peer has these logs up to these numbers.
     knows: BTreeMap<LogId, u64>,
     /// Heads of the peer that are ahead of ours.
@@ -105,13 +105,13 @@
     // Pushing heads.
 
     /// Whether a push may go now: the peer has sent its digest, and the last push is long enough ago.
-    pub(super) fn may_push(&self, now: Time) -> bool {
+    pub(super) fn may_push(&self, now: Timestamp) -> bool {
         self.first && (self.is_untold() || now - self.told_at >= PUSH_GAP)
     }
 
     /// Whether nothing at all was pushed so far.
     pub(super) fn is_untold(&self) -> bool {
-        self.told_at == Time::default()
+        self.told_at == Timestamp::default()
     }
 
     /// Whether changes up to `stamp` include some that are to be pushed.
@@ -120,17 +120,17 @@
     }
 
     /// The earliest instant of the next push.
-    pub(super) fn next_push_at(&self) -> Time {
+    pub(super) fn next_push_at(&self) -> Timestamp {
         self.told_at + PUSH_GAP
     }
 
     /// The next push does not wait for the gap.
     pub(super) fn push_without_gap(&mut self) {
-        self.told_at = Time::default() + LONG_AGO;
+        self.told_at = Timestamp::default() + LONG_AGO;
     }
 
     /// A push went out.
-    pub(super) fn pushed(&mut self, now: Time) {
+    pub(super) fn pushed(&mut self, now: Timestamp) {
         self.told_at = now;
     }
 
@@ -211,7 +211,7 @@
     // Requesting rows.
 
     /// The log that the peer was asked for, while the answer can still be expected.
-    pub(super) fn pending_log(&self, now: Time) -> Option<&LogId> {
+    pub(super) fn pending_log(&self, now: Timestamp) -> Option<&LogId> {
         let pending = self.asked.as_ref().filter(|asked| now - asked.since < REQUEST_TIMEOUT);
         pending.map(|asked| &asked.id)
     }
@@ -220,7 +220,7 @@
     /// which is not asked for elsewhere.
     pub(super) fn next_request(
         &mut self,
-        now: Time,
+        now: Timestamp,
         library: &LogStore,
         pending_elsewhere: &BTreeSet<LogId>,
     ) -> Option<RowRequest> {
@@ -253,7 +253,7 @@
     /// Where a piece doesn't follow those that came before, or the row gets too long.
     pub(super) fn assemble<'b>(
         &mut self,
-        now: Time,
+        now: Timestamp,
         received: &ReceivedRows<'b>,
     ) -> Result<Assembled<'b>, Bad> {
         let Some(mut asked) = self.asked.take_if(|asked| asked.id == received.id) else {
--- a/crates/ledger/src/exchange/heartbeat.rs
+++ b/crates/ledger/src/exchange/heartbeat.rs
@@ -4,7 +4,7 @@
 //! heads of the logs.
 
 use super::Exchange;
-use mulleinhub_interface::{Span, Time};
+use mulleinhub_interface::{Duration, Timestamp};
 use mulleinhub_protocol as protocol;
 use mulleinhub_quota::Ledger;
 use mulleinhub_replicated_log::Name;
@@ -12,7 +12,7 @@
 use std::collections::BTreeMap;
 
 /// Least time between two heartbeats of a member.
-const MIN_INTERVAL: Span = Span::from_secs(1);
+const MIN_INTERVAL: Duration = Duration::from_secs(1);
 /// With more members than this, the interval grows with their number, as each heartbeat goes to all.
 const MEMBERS_AT_MIN_INTERVAL: usize = 100;
 
@@ -44,13 +44,13 @@
 /// What one peer knows of the members' heartbeats.
 #[derive(Debug, Default)]
 pub(super) struct HeartbeatCursor {
-    pushed_at: Time,
+    pushed_at: Timestamp,
     known: BTreeMap<Name, Heartbeat>,
 }
 
 impl HeartbeatCursor {
     /// Whether heartbeats are to be pushed again.
-    pub(super) fn is_due(&self, now: Time, interval: Span) -> bool {
+    pub(super) fn is_due(&self, now: Timestamp, interval: Duration) -> bool {
         now - self.pushed_at >= interval
     }
 
@@ -63,7 +63,7 @@
     /// Those heartbeats that the peer doesn't know. They count as pushed.
     pub(super) fn take_newer(
         &mut self,
-        now: Time,
+        now: Timestamp,
         heartbeats: impl Iterator<Item = MemberHeartbeat>,
     ) -> Vec<MemberHeartbeat> {
         self.pushed_at = now;
@@ -80,7 +80,7 @@
 }
 
 /// The time between two heartbeats of a member, given the number of members.
-pub(super) fn interval(members: usize) -> Span {
+pub(super) fn interval(members: usize) -> Duration {
     MIN_INTERVAL * (members as f64 / MEMBERS_AT_MIN_INTERVAL as f64).max(1.0)
 }
 
--- a/crates/ledger/src/exchange/mod.rs
+++ b/crates/ledger/src/exchange/mod.rs
@@ -28,11 +28,11 @@
 
 use self::peer::Peer;
 use crate::shared_pools::SharedPools;
-use mulleinhub_interface::{Pcg, Span, Time};
-use mulleinhub_pacing::STANDSTILL;
+use mulleinhub_interface::{Duration, Pcg, Timestamp};
+use mulleinhub_pacing::PAUSE_THRESHOLD;
 use mulleinhub_quota::{Ledger, Settings};
 use mulleinhub_replicated_log::{Change, Changes, KINDS, KeptLogs, Kind, Name, Order, Reached};
-use mulleinhub_seam::{Door, End, Link, Links, Party};
+use mulleinhub_seam::{Connections, End, Link, ListenerId, StateMachine};
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 
@@ -75,14 +75,14 @@
     /// Connections that didn't come up since the last one that did.
     failures: u32,
     /// It is not called before this instant.
-    not_before: Time,
+    not_before: Timestamp,
 }
 
 /// The exchange of one scheduler with all others: a party without I/O of its own.
 pub struct Exchange {
     keeper: Ledger,
     shelf: Arc<SharedPools>,
-    links: Links,
+    links: Connections,
     /// The other members and where they listen.
     addresses: BTreeMap<Name, String>,
     peers: BTreeMap<Link, Peer>,
@@ -93,23 +93,23 @@
     replicas: Vec<Name>,
     /// The members that could, and whether we write one, when they were chosen; and when to look again.
     usable: (Vec<Name>, bool),
-    choose_at: Time,
-    redraw_at: Time,
-    call_dead_at: Time,
+    choose_at: Timestamp,
+    redraw_at: Timestamp,
+    call_dead_at: Timestamp,
     /// For what is drawn beside the ledger's draws.
     chance: Pcg,
     retries: BTreeMap<Name, Retry>,
-    banned_until: BTreeMap<Name, Time>,
-    heartbeat_interval: Span,
+    banned_until: BTreeMap<Name, Timestamp>,
+    heartbeat_interval: Duration,
     /// Our own heartbeats in this life.
     heartbeats: u64,
-    next_heartbeat_at: Time,
-    status_at: Time,
+    next_heartbeat_at: Timestamp,
+    status_at: Timestamp,
     /// The time of day, in milliseconds of Unix time.
     utc: u64,
-    now: Time,
+    now: Timestamp,
     /// When the next turn was asked for.
-    promised: Option<Time>,
+    promised: Option<Timestamp>,
     /// Another turn is wanted at once.
     turn_again: bool,
     /// The first turn has been.
@@ -135,25 +135,25 @@
         Self {
             keeper: Ledger::new(settings, life, seed, kept.into(), heartbeat_interval),
             shelf,
-            links: Links::default(),
+            links: Connections::default(),
             addresses: others.map(|member| (member.name, member.address)).collect(),
             peers: BTreeMap::new(),
             arrived: BTreeSet::new(),
             neighbors: BTreeSet::new(),
             replicas: Vec::new(),
             usable: (Vec::new(), false),
-            choose_at: Time::default(),
-            redraw_at: Time::default(),
-            call_dead_at: Time::default(),
+            choose_at: Timestamp::default(),
+            redraw_at: Timestamp::default(),
+            call_dead_at: Timestamp::default(),
             chance: Pcg::new(seed),
             retries: BTreeMap::new(),
             banned_until: BTreeMap::new(),
             heartbeat_interval,
             heartbeats: 0,
-            next_heartbeat_at: Time::default(),
-            status_at: Time::default(),
+            next_heartbeat_at: Timestamp::default(),
+            status_at: Timestamp::default(),
             utc: 0,
-            now: Time::default(),
+            now: Timestamp::default(),
             promised: None,
             turn_again: false,
             begun: false,
@@ -227,8 +227,8 @@
     /// Where this turn comes much later than it was asked for, the process was paused: that is no silence of
     /// the others.
     fn excuse_pause(&mut self) {
-        let late = self.promised.map_or(Span::ZERO, |promised| self.now - promised);
-        if late > STANDSTILL {
+        let late = self.promised.map_or(Duration::ZERO, |promised| self.now - promised);
+        if late > PAUSE_THRESHOLD {
             self.keeper.stood(self.now, late);
             self.peers.values_mut().for_each(|peer| peer.excuse_pause(late));
         }
@@ -262,7 +262,7 @@
 
     /// The earliest instant at which something can be pushed. A peer that doesn't read is told more once it
     /// has read.
-    fn next_push_at(&self) -> Option<Time> {
+    fn next_push_at(&self) -> Option<Timestamp> {
         let next = |kind: Kind| {
             let stamp = self.keeper.logs(kind).stamp();
             let waits = |(link, peer): &(&Link, &Peer)| {
@@ -276,18 +276,18 @@
     }
 }
 
-impl Party for Exchange {
-    fn opened(&mut self, now: Time, link: Link, _: Door) {
+impl StateMachine for Exchange {
+    fn opened(&mut self, now: Timestamp, link: Link, _: ListenerId) {
         self.now = self.now.max(now);
         self.peers.insert(link, Peer::accepted(self.now));
     }
 
-    fn up(&mut self, now: Time, link: Link) {
+    fn up(&mut self, now: Timestamp, link: Link) {
         self.now = self.now.max(now);
         self.write_hello(link, now);
     }
 
-    fn received(&mut self, now: Time, link: Link, bytes: &[u8]) {
+    fn received(&mut self, now: Timestamp, link: Link, bytes: &[u8]) {
         self.now = self.now.max(now);
         self.figures.bytes_in += bytes.len() as u64;
         if let Some(peer) = self.peers.get_mut(&link) {
@@ -296,13 +296,13 @@
         }
     }
 
-    fn ended(&mut self, now: Time, link: Link, _: End) {
+    fn ended(&mut self, now: Timestamp, link: Link, _: End) {
         self.now = self.now.max(now);
         self.links.forget(link);
         self.failed(link);
     }
 
-    fn turn(&mut self, now: Time) {
+    fn turn(&mut self, now: Timestamp) {
         self.now = self.now.max(now);
         self.turn_again = false;
         self.excuse_pause();
@@ -318,7 +318,7 @@
         self.promised = self.wake();
     }
 
-    fn wake(&self) -> Option<Time> {
+    fn wake(&self) -> Option<Timestamp> {
         if self.turn_again || !self.begun {
             return Some(self.now);
         }
@@ -326,7 +326,7 @@
         due.into_iter().flatten().min()
     }
 
-    fn links(&mut self) -> &mut Links {
+    fn links(&mut self) -> &mut Connections {
         &mut self.links
     }
 }
--- a/crates/ledger/src/exchange/neighbors.rs
+++ b/crates/ledger/src/exchange/neighbors.rs
@@ -1,7 +1,7 @@
 //! Neighbors: the few members to whom connections are kept, drawn at random and redrawn now and then.
 
 use super::Exchange;
-use mulleinhub_interface::Span;
+use mulleinhub_interface::Duration;
 use mulleinhub_quota::Phase;
 use mulleinhub_replicated_log::{MemberState, Name};
 
@@ -11,9 +11,9 @@
 const MIN_DRAWN: usize = 1;
 /// One of them is drawn anew this often, so that two halves of the fleet that have met nobody of each other
 /// meet.
-const REDRAW_INTERVAL: Span = Span::from_secs(20);
+const REDRAW_INTERVAL: Duration = Duration::from_secs(20);
 /// One of the members that are taken for dead is called this often.
-const CALL_DEAD_INTERVAL: Span = Span::from_secs(5);
+const CALL_DEAD_INTERVAL: Duration = Duration::from_secs(5);
 /// Where this part of the members is silent, it is a cut.
 const SILENT_IN_A_CUT: f64 = 0.25;
 /// Part of these intervals that is drawn at random.
--- a/crates/ledger/src/exchange/peer.rs
+++ b/crates/ledger/src/exchange/peer.rs
@@ -3,22 +3,22 @@
 use super::cursor::LogCursor;
 use super::heartbeat::HeartbeatCursor;
 use super::orders::OrderCursor;
-use mulleinhub_interface::{Span, Time};
+use mulleinhub_interface::{Duration, Timestamp};
 use mulleinhub_protocol::Frames;
 use mulleinhub_replicated_log::{KINDS, Kind, Name};
 
 /// Longest wait for the greeting on a new connection.
-const GREETING_TIMEOUT: Span = Span::from_secs(3);
+const GREETING_TIMEOUT: Duration = Duration::from_secs(3);
 /// A connection of ours to somebody who is no neighbor ends once it was not used for so long.
-const IDLE_TIMEOUT: Span = Span::from_secs(10);
+const IDLE_TIMEOUT: Duration = Duration::from_secs(10);
 /// It stays for so long at the most until rows come that were asked for.
-const ANSWER_TIMEOUT: Span = Span::from_secs(5);
+const ANSWER_TIMEOUT: Duration = Duration::from_secs(5);
 /// A connection on which nothing came for so many heartbeat intervals is taken for dead.
 const DEAD_INTERVALS: f64 = 4.0;
 /// A connection on which something came within so many heartbeat intervals is lively.
 const LIVELY_INTERVALS: f64 = 1.5;
 /// A connection that is being opened is lively for so long.
-const OPENING_IS_LIVELY: Span = Span::from_nanos(500_000_000);
+const OPENING_IS_LIVELY: Duration = Duration::from_nanos(500_000_000);
 
 /// A connection to another scheduler.
 #[derive(Debug, Default)]
@@ -32,11 +32,11 @@
     /// Bytes that came and are not yet decoded.
     pub(super) frames: Frames,
     /// When the connection was opened.
-    pub(super) opened_at: Time,
+    pub(super) opened_at: Timestamp,
     /// When the last message came.
-    pub(super) received_at: Time,
+    pub(super) received_at: Timestamp,
     /// When the connection last served for more than signs of life.
-    pub(super) used_at: Time,
+    pub(super) used_at: Timestamp,
     /// Replication of the fleet log: the logs that all members copy.
     pub(super) fleet: LogCursor,
     /// It reads work logs, by its greeting.
@@ -55,12 +55,12 @@
 
 impl Peer {
     /// A connection that somebody opened to us.
-    pub(super) fn accepted(now: Time) -> Self {
+    pub(super) fn accepted(now: Timestamp) -> Self {
         Self { opened_at: now, received_at: now, used_at: now, ..Self::default() }
     }
 
     /// A connection that we open to a member.
-    pub(super) fn opening(now: Time, name: Name) -> Self {
+    pub(super) fn opening(now: Timestamp, name: Name) -> Self {
         Self { name: Some(name), opened_by_us: true, ..Self::accepted(now) }
     }
 
@@ -91,7 +91,7 @@
     }
 
     /// Nothing came for so long that the connection is taken for dead, or the greeting didn't come.
-    pub(super) fn is_dead(&self, now: Time, heartbeat_interval: Span) -> bool {
+    pub(super) fn is_dead(&self, now: Timestamp, heartbeat_interval: Duration) -> bool {
         match self.greeted {
             true => now - self.received_at > heartbeat_interval * DEAD_INTERVALS,
             false => now - self.opened_at > GREETING_TIMEOUT,
@@ -99,7 +99,7 @@
     }
 
     /// Something came lately, or the connection was opened a moment ago.
-    pub(super) fn is_lively(&self, now: Time, heartbeat_interval: Span) -> bool {
+    pub(super) fn is_lively(&self, now: Timestamp, heartbeat_interval: Duration) -> bool {
         match self.greeted {
             true => now - self.received_at <= heartbeat_interval * LIVELY_INTERVALS,
             false => now - self.opened_at <= OPENING_IS_LIVELY,
@@ -107,19 +107,19 @@
     }
 
     /// A connection of ours that is up and was not used for long, and on which no rows are to come.
-    pub(super) fn is_idle(&self, now: Time) -> bool {
+    pub(super) fn is_idle(&self, now: Timestamp) -> bool {
         let unused = now - self.used_at;
         let is_unused = self.opened_by_us && self.greeted && unused > IDLE_TIMEOUT;
         is_unused && (!self.awaits_rows(now) || unused > IDLE_TIMEOUT + ANSWER_TIMEOUT)
     }
 
     /// The peer was asked for rows, and the answer can still be expected.
-    fn awaits_rows(&self, now: Time) -> bool {
+    fn awaits_rows(&self, now: Timestamp) -> bool {
         KINDS.into_iter().any(|kind| self.cursor(kind).pending_log(now).is_some())
     }
 
     /// This process was paused: what was silent meanwhile may have spoken.
-    pub(super) fn excuse_pause(&mut self, pause: Span) {
+    pub(super) fn excuse_pause(&mut self, pause: Duration) {
         self.received_at = self.received_at + pause;
         self.opened_at = self.opened_at + pause;
     }
--- a/crates/ledger/src/exchange/receive.rs
+++ b/crates/ledger/src/exchange/receive.rs
@@ -4,7 +4,7 @@
 use super::cursor::{ReceivedRows, RowRequest};
 use super::replication::digest_of;
 use super::work_logs::kind_of;
-use mulleinhub_interface::Time;
+use mulleinhub_interface::Timestamp;
 use mulleinhub_protocol::{self as protocol, Bad, Conversation, Frames, Message, Side, decode};
 use mulleinhub_quota::Wanted;
 use mulleinhub_replicated_log::{LogId, Name, Parts};
@@ -171,7 +171,7 @@
     }
 
     /// Greets a peer to whom we opened the connection.
-    pub(super) fn write_hello(&mut self, link: Link, now: Time) {
+    pub(super) fn write_hello(&mut self, link: Link, now: Timestamp) {
         let (me, life) = (self.keeper.settings().me.clone(), self.keeper.life());
         let (conversation, features) = (Conversation::PlannerPlanner, self.features());
         self.write(link, &Message::hello(conversation, features, &me, life, now.nanos()));
--- a/crates/ledger/src/exchange/status.rs
+++ b/crates/ledger/src/exchange/status.rs
@@ -1,12 +1,12 @@
 //! Status lines for the operators.
 
 use super::Exchange;
-use mulleinhub_interface::Span;
+use mulleinhub_interface::Duration;
 use mulleinhub_quota::Look;
 use mulleinhub_replicated_log::{Kind, MemberState};
 
 /// Time between two updates of the status lines.
-const STATUS_INTERVAL: Span = Span::from_secs(1);
+const STATUS_INTERVAL: Duration = Duration::from_secs(1);
 
 impl Exchange {
     /// Hands out new status lines where it is time to.
@@ -44,7 +44,8 @@
             membership.members().filter(|name| membership.presence(now, name) == presence).count()
         };
         let newest = membership.members().filter_map(|name| membership.silent(now, name)).min();
-        let news = newest.map_or("none".to_owned(), |span| format!("{:.1} s", span.over(Span::from_secs(1))));
+        let news =
+            newest.map_or("none".to_owned(), |span| format!("{:.1} s", span.over(Duration::from_secs(1))));
         format!(
             "books {:?}, connections {}, members there {} slow {} gone {}, newest news {news}, rows here {}",
             keeper.phase(),
--- a/crates/ledger/src/exchange/work_logs.rs
+++ b/crates/ledger/src/exchange/work_logs.rs
@@ -8,16 +8,16 @@
 use super::cursor::NewHeads;
 use super::replication::head_message;
 use super::{Exchange, MAX_UNREAD};
-use mulleinhub_interface::Span;
+use mulleinhub_interface::Duration;
 use mulleinhub_protocol::{self as protocol, Bad, Message, SideLog};
 use mulleinhub_replicated_log::{Digest, Kind, LogHead, MemberState, Name};
 use mulleinhub_seam::Link;
 
 /// Least time between two looks at who can be a replica.
-const CHOICE_INTERVAL: Span = Span::from_nanos(200_000_000);
+const CHOICE_INTERVAL: Duration = Duration::from_nanos(200_000_000);
 /// A member to which no connection comes up is no replica, though others hear of it; it is tried again
 /// after this.
-const UNREACHABLE_FOR: Span = Span::from_secs(20);
+const UNREACHABLE_FOR: Duration = Duration::from_secs(20);
 const UNREACHABLE_AFTER: u32 = 2;
 /// A replica that lacks no more rows than this, which may be under way, holds our work log.
 const UNDER_WAY: u64 = 64;
--- a/crates/ledger/src/shared_pools.rs
+++ b/crates/ledger/src/shared_pools.rs
@@ -5,7 +5,7 @@
     Arc, Mutex, MutexGuard,
     atomic::{AtomicBool, Ordering},
 };
-use mulleinhub_interface::{Quota, Room, Span, TaskKey, Ticket, Time};
+use mulleinhub_interface::{Duration, Quota, Resources, TaskKey, Ticket, Timestamp};
 use mulleinhub_quota::{Away, Prices, ReservationPool, ReservationPools, Settings, Terms};
 use std::collections::BTreeMap;
 use std::sync::OnceLock;
@@ -18,7 +18,8 @@
 /// Teams are spread over so many locks.
 const SHARDS: usize = 16;
 /// Before the books are known, whoever asks is to come again soon.
-const FIRST: Away = Away { least: Span::from_nanos(500_000_000), most: Span::from_nanos(1_500_000_000) };
+const FIRST: Away =
+    Away { least: Duration::from_nanos(500_000_000), most: Duration::from_nanos(1_500_000_000) };
 
 type Wakes = Box<dyn Fn() + Send + Sync>;
 
@@ -132,12 +133,12 @@
 impl Quota for AdmissionHandle {
     fn ask(
         &mut self,
-        now: Time,
+        now: Timestamp,
         owner: &str,
         key: TaskKey,
-        ask: Room,
+        ask: Resources,
         drawn: f64,
-    ) -> Result<Option<Ticket>, Span> {
+    ) -> Result<Option<Ticket>, Duration> {
         let Some(team) = self.team(owner) else { return Ok(None) };
         let rate = self.prices.rate(ask);
         let answer = self.shelf.till(team as usize, |till| till.ask(now, team, key, rate, drawn));
@@ -147,33 +148,33 @@
         answer.map(Some)
     }
 
-    fn never_ran(&mut self, now: Time, ticket: Ticket) {
+    fn never_ran(&mut self, now: Timestamp, ticket: Ticket) {
         self.shelf.till(ticket.team as usize, |till| till.never_ran(now, ticket));
     }
 
-    fn may_run(&mut self, now: Time, ticket: Ticket) {
+    fn may_run(&mut self, now: Timestamp, ticket: Ticket) {
         self.shelf.till(ticket.team as usize, |till| till.may_run(now, ticket));
     }
 
-    fn runs(&mut self, now: Time, ticket: Ticket) {
+    fn runs(&mut self, now: Timestamp, ticket: Ticket) {
         self.shelf.till(ticket.team as usize, |till| till.runs(now, ticket));
     }
 
-    fn adopted(&mut self, now: Time, owner: &str, key: TaskKey, ask: Room) -> Option<Ticket> {
+    fn adopted(&mut self, now: Timestamp, owner: &str, key: TaskKey, ask: Resources) -> Option<Ticket> {
         let team = self.team(owner)?;
         let rate = self.prices.rate(ask);
         Some(self.shelf.till(team as usize, |till| till.adopt(now, team, key, rate)))
     }
 
-    fn over(&mut self, now: Time, ticket: Ticket, comes_again: bool) {
+    fn over(&mut self, now: Timestamp, ticket: Ticket, comes_again: bool) {
         self.shelf.till(ticket.team as usize, |till| till.over(now, ticket, comes_again));
     }
 
-    fn all_told(&mut self, _: Time) {
+    fn all_told(&mut self, _: Timestamp) {
         self.shelf.told.store(true, Ordering::Release);
     }
 
-    fn status(&self, _: Time) -> Vec<String> {
+    fn status(&self, _: Timestamp) -> Vec<String> {
         locked(&self.shelf.status).clone()
     }
 }
--- a/crates/ledger/src/threads.rs
+++ b/crates/ledger/src/threads.rs
@@ -9,8 +9,8 @@
 use crate::store::Store;
 use mulleinhub_quota::Settings;
 use mulleinhub_replicated_log::{Changes, Order, Reached};
-use mulleinhub_seam::Door;
-use mulleinhub_shell::{Clock, Shell, Waker};
+use mulleinhub_seam::ListenerId;
+use mulleinhub_shell::{Clock, EventLoop, Waker};
 use std::net::SocketAddr;
 use std::path::Path;
 use std::sync::atomic::{AtomicI64, Ordering};
@@ -83,9 +83,9 @@
     let shelf = SharedPools::new(&start.settings);
     let exchange = Exchange::new(start.settings, start.members, start.life, start.seed, kept, shelf.clone());
     let mut shell =
-        Shell::new(exchange).map_err(|error| format!("books: no poll: {error}"))?.with_clock(clock);
+        EventLoop::new(exchange).map_err(|error| format!("books: no poll: {error}"))?.with_clock(clock);
     let words = |error: std::io::Error| format!("books: listen {}: {error}", start.listen);
-    shell.listen(start.listen, Door(0)).map_err(words)?;
+    shell.listen(start.listen, ListenerId(0)).map_err(words)?;
     let waker = shell.waker().map_err(|error| format!("books: no waker: {error}"))?;
     let wakes = waker.clone();
     shelf.wakes_by(Box::new(move || wakes.wake()));
@@ -124,7 +124,7 @@
 }
 
 fn run(
-    shell: &mut Shell<Exchange>,
+    shell: &mut EventLoop<Exchange>,
     orders: &Mutex<Vec<Order>>,
     ahead: &AtomicI64,
     durable: &Mutex<Reached>,
--- a/crates/ledger/tests/books.rs
+++ b/crates/ledger/tests/books.rs
@@ -4,7 +4,7 @@
 
 mod net;
 
-use mulleinhub_interface::{Quota, Room, Span, TaskKey};
+use mulleinhub_interface::{Duration, Quota, Resources, TaskKey};
 use mulleinhub_protocol::{self as protocol, Message};
 use mulleinhub_quota::Phase;
 use mulleinhub_replicated_log::{Balance, Digest, Entry, LogId, MemberState, Subject, Word};
@@ -140,11 +140,11 @@
     let across = |(a, b): &(usize, usize)| a % 2 != b % 2;
     let pairs = (0..24).flat_map(|a| (a + 1..24).map(move |b| (a, b)));
     net.cut.extend(pairs.filter(across));
-    net.run(Span::from_secs(60));
+    net.run(Duration::from_secs(60));
     assert_eq!(presence(&mut net, 0, 1), MemberState::Dead);
     assert_eq!(net.fill(0, 0, 5).len(), 5);
     net.cut.clear();
-    net.run(Span::from_secs(30));
+    net.run(Duration::from_secs(30));
     for n in 0..24 {
         assert!(
             (0..24).filter(|of| *of != n).all(|of| presence(&mut net, n, of) != MemberState::Dead),
@@ -180,7 +180,7 @@
     net.fill(3, 1, 1);
     net.run(ms(300));
     let now = net.now;
-    let room = Room::new(2.0, 1.0);
+    let room = Resources::new(2.0, 1.0);
     let taken = net.node(3).teller.ask(now, "pay/tool", TaskKey(50), room, 0.5).expect("there is room");
     net.order(0, acme(), 1, Word::Held { finish_by: None });
     net.run(ms(400));
@@ -370,10 +370,10 @@
 fn signs_of_life_are_heard_through_others_while_the_way_is_cut() {
     let mut net = Net::new(4, cap_of(30));
     net.cut.insert((0, 1));
-    net.run(Span::from_secs(20));
+    net.run(Duration::from_secs(20));
     assert_eq!(presence(&mut net, 0, 1), MemberState::Alive);
     net.kill(1);
-    net.run(Span::from_secs(30));
+    net.run(Duration::from_secs(30));
     assert_eq!(presence(&mut net, 0, 1), MemberState::Dead);
 }
 
--- a/crates/ledger/tests/connections.rs
+++ b/crates/ledger/tests/connections.rs
@@ -4,7 +4,7 @@
 
 mod net;
 
-use mulleinhub_interface::{Quota, Span, Ticket};
+use mulleinhub_interface::{Duration, Quota, Ticket};
 use net::*;
 
 /// Neighbors that each member draws, as the exchange has it.
@@ -29,7 +29,7 @@
             let first = (second * 1_000 + n as u64) * 10;
             running.extend(net.add_many(n, first, 2).into_iter().map(|ticket| (n, ticket)));
         }
-        net.run(Span::from_secs(1));
+        net.run(Duration::from_secs(1));
         let now = net.now;
         for (n, ticket) in running.drain(..) {
             net.node(n).teller.over(now, ticket, false);
@@ -53,7 +53,7 @@
         assert!(all.iter().sum::<usize>() <= MOST_ON_AVERAGE * MANY, "{all:?}");
         assert!(all.iter().all(|many| (1..=MOST).contains(many)), "{all:?}");
     }
-    net.run(Span::from_secs(2));
+    net.run(Duration::from_secs(2));
     let known = net.all();
     assert!(known.iter().all(|all| *all == known[0]), "all know the same rows");
 }
--- a/crates/ledger/tests/interleavings.rs
+++ b/crates/ledger/tests/interleavings.rs
@@ -6,14 +6,14 @@
 
 use loom::sync::Arc;
 use loom::thread;
-use mulleinhub_interface::{Quota, Room, Span, TaskKey, Ticket, Time};
+use mulleinhub_interface::{Duration, Quota, Resources, TaskKey, Ticket, Timestamp};
 use mulleinhub_ledger::{AdmissionHandle, SharedPools};
 use mulleinhub_quota::{Away, Months, Prices, ReservationPools, Seen, Settings, Team, Terms};
 use mulleinhub_replicated_log::Parts;
 use std::collections::BTreeMap;
 
 const NEED: u64 = 100;
-const AWAY: Away = Away { least: Span::ZERO, most: Span::ZERO };
+const AWAY: Away = Away { least: Duration::ZERO, most: Duration::ZERO };
 const CAPPED: Terms = Terms { capped: true, bound: true, held: false, finished: false, near: false };
 
 fn settings() -> Settings {
@@ -30,8 +30,8 @@
         prices: Prices { core_second: 10, memory_second: 0 },
         months: Months::of_zone("UTC").expect("is a zone"),
         near: 1_000_000,
-        stretch: Span::from_secs(10),
-        catch_up: Span::ZERO,
+        stretch: Duration::from_secs(10),
+        catch_up: Duration::ZERO,
         replicas: None,
         sites: BTreeMap::new(),
     }
@@ -41,18 +41,18 @@
     let shelf = SharedPools::new(&settings());
     let teller = AdmissionHandle::new(shelf.clone(), &settings());
     for team in 0..2 {
-        (&mut &*shelf).with(team, &mut |till| till.refresh(Time::from_nanos(u64::MAX), AWAY, CAPPED));
+        (&mut &*shelf).with(team, &mut |till| till.refresh(Timestamp::from_nanos(u64::MAX), AWAY, CAPPED));
     }
     (shelf, teller)
 }
 
 fn ask(teller: &mut AdmissionHandle, key: u64) -> Option<Ticket> {
-    teller.ask(Time::default(), "pay", TaskKey(key), Room::new(1.0, 1.0), 0.0).ok().flatten()
+    teller.ask(Timestamp::default(), "pay", TaskKey(key), Resources::new(1.0, 1.0), 0.0).ok().flatten()
 }
 
 fn look(shelf: &SharedPools) -> Seen {
     let mut seen = Seen::default();
-    (&mut &*shelf).with(0, &mut |till| seen = till.look(Time::default()));
+    (&mut &*shelf).with(0, &mut |till| seen = till.look(Timestamp::default()));
     seen
 }
 
@@ -72,7 +72,7 @@
         };
         let one = ask(&mut teller, 1);
         let two = ask(&mut teller, 2);
-        one.into_iter().for_each(|ticket| teller.never_ran(Time::default(), ticket));
+        one.into_iter().for_each(|ticket| teller.never_ran(Timestamp::default(), ticket));
         let back = keeper.join().expect("it ends");
         let seen = look(&shelf);
         assert_eq!(seen.has.open + seen.reserved + back, 2 * NEED);
@@ -117,8 +117,8 @@
                 }
             })
         };
-        let room = Room::new(1.0, 1.0);
-        let ship = teller.ask(Time::default(), "ship", TaskKey(1), room, 0.0);
+        let room = Resources::new(1.0, 1.0);
+        let ship = teller.ask(Timestamp::default(), "ship", TaskKey(1), room, 0.0);
         let pay = ask(&mut teller, 2);
         keeper.join().expect("it ends");
         if ship.is_ok() {
--- a/crates/ledger/tests/net/mod.rs
+++ b/crates/ledger/tests/net/mod.rs
@@ -2,19 +2,19 @@
 
 #![allow(dead_code, reason = "each test file uses its part")]
 
-use mulleinhub_interface::{Quota, Room, Span, TaskKey, Ticket, Time};
+use mulleinhub_interface::{Duration, Quota, Resources, TaskKey, Ticket, Timestamp};
 use mulleinhub_ledger::{AdmissionHandle, Exchange, Member, SharedPools};
 use mulleinhub_protocol::{self as protocol, Conversation, Frames, Message};
 use mulleinhub_quota::{Months, Prices, Settings, Team};
 use mulleinhub_replicated_log::{
     Change, Changes, Digest, Kept, KeptLogs, Kind, LogId, Name, Order, Reached, Site, Subject, Word,
 };
-use mulleinhub_seam::{Ask, Door, End, Link, Party};
+use mulleinhub_seam::{Ask, End, Link, ListenerId, StateMachine};
 use std::cell::Cell;
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 
-pub const STEP: Span = Span::from_nanos(10_000_000);
+pub const STEP: Duration = Duration::from_nanos(10_000_000);
 /// An instant in the middle of a month, in milliseconds of Unix time.
 const MIDDLE: u64 = 1_792_022_400_000;
 
@@ -70,7 +70,7 @@
 }
 
 pub struct Net {
-    pub now: Time,
+    pub now: Timestamp,
     pub nodes: Vec<Option<Node>>,
     /// Pairs between whom nothing goes.
     pub cut: BTreeSet<(usize, usize)>,
@@ -94,8 +94,8 @@
     format!("s{n}").as_str().into()
 }
 
-pub fn ms(ms: u64) -> Span {
-    Span::from_nanos(ms * 1_000_000)
+pub fn ms(ms: u64) -> Duration {
+    Duration::from_nanos(ms * 1_000_000)
 }
 
 pub fn settings(n: usize, many: usize, cap: u64, map: Map) -> Settings {
@@ -112,8 +112,8 @@
         prices: Prices { core_second: 10, memory_second: 0 },
         months: Months::of_zone("UTC").expect("is a zone"),
         near: 900_000,
-        stretch: Span::from_secs(10),
-        catch_up: Span::from_secs(3),
+        stretch: Duration::from_secs(10),
+        catch_up: Duration::from_secs(3),
         replicas: REPLICAS.get(),
         sites: (0..many).map(|n| (name(n), map.site(n))).collect(),
     }
@@ -128,7 +128,7 @@
     /// The same, in zones and regions, and with some that know no work logs.
     pub fn over(many: usize, cap: u64, map: Map, older: &[usize]) -> Self {
         let mut net = Self {
-            now: Time::from_nanos(1_000_000_000),
+            now: Timestamp::from_nanos(1_000_000_000),
             nodes: (0..many).map(|_| None).collect(),
             cut: BTreeSet::new(),
             wires: BTreeMap::new(),
@@ -198,7 +198,7 @@
     }
 
     /// Time passes for all that are up.
-    pub fn run(&mut self, span: Span) {
+    pub fn run(&mut self, span: Duration) {
         let until = self.now + span;
         while self.now < until {
             self.now = self.now + STEP;
@@ -257,7 +257,7 @@
                     match self.nodes[other].as_mut().filter(|_| !apart) {
                         Some(node) => {
                             let theirs = node.exchange.links().fresh();
-                            node.exchange.opened(now, theirs, Door(0));
+                            node.exchange.opened(now, theirs, ListenerId(0));
                             self.wires.insert((n, link), (other, theirs));
                             self.wires.insert((other, theirs), (n, link));
                             self.node(n).exchange.up(now, link);
@@ -324,7 +324,7 @@
         if self.stranger_link.is_none() {
             let now = self.now;
             let link = self.node(n).exchange.links().fresh();
-            self.node(n).exchange.opened(now, link, Door(0));
+            self.node(n).exchange.opened(now, link, ListenerId(0));
             self.stranger_link = Some((n, link));
             let features = protocol::BOOKS;
             protocol::encode(&Message::hello(Conversation::PlannerPlanner, features, name, 1, 0), &mut bytes);
@@ -346,10 +346,10 @@
     }
 
     /// A worker of two cores, 20 micro-units a second, 200 reserved: asked for and running at once.
-    pub fn add(&mut self, n: usize, key: u64) -> Result<Ticket, Span> {
+    pub fn add(&mut self, n: usize, key: u64) -> Result<Ticket, Duration> {
         let now = self.now;
         let teller = &mut self.node(n).teller;
-        let ticket = teller.ask(now, "pay/tool", TaskKey(key), Room::new(2.0, 1.0), 0.5)?;
+        let ticket = teller.ask(now, "pay/tool", TaskKey(key), Resources::new(2.0, 1.0), 0.5)?;
         let ticket = ticket.expect("its tenant is of a team");
         teller.runs(now, ticket);
         Ok(ticket)
--- a/crates/ledger/tests/work_logs.rs
+++ b/crates/ledger/tests/work_logs.rs
@@ -4,7 +4,7 @@
 
 mod net;
 
-use mulleinhub_interface::{Quota, Room, Span, TaskKey, Ticket, Time};
+use mulleinhub_interface::{Duration, Quota, Resources, TaskKey, Ticket, Timestamp};
 use mulleinhub_protocol::{self as protocol, Message, SideLog};
 use mulleinhub_quota::Phase;
 use mulleinhub_replicated_log::{Digest, Entry, Kind, LogId, MemberState, Name, State, Subject, Word};
@@ -20,8 +20,8 @@
     workers * NEED * 10 / 9
 }
 
-fn room() -> Room {
-    Room::new(2.0, 1.0)
+fn room() -> Resources {
+    Resources::new(2.0, 1.0)
 }
 
 /// A fleet of so many in which each has a work log.
@@ -206,7 +206,7 @@
     net.run(ms(1_000));
     assert!((1..8).all(|n| net.add(n, 3).is_err()), "it has its place again");
     // Nor later, as long as nothing new is to be told.
-    net.run(Span::from_secs(30));
+    net.run(Duration::from_secs(30));
     assert_eq!(announced_by(&mut net, 0).len(), 1);
 }
 
@@ -241,7 +241,7 @@
     for n in &dead {
         come_again(&mut net, &alive, 100 * *n as u64..100 * *n as u64 + 10);
     }
-    assert!(net.now - begun <= Span::from_secs(5));
+    assert!(net.now - begun <= Duration::from_secs(5));
     net.run(ms(500));
     for n in &alive {
         assert!((100..110).all(|key| net.add(*n, key).is_err()), "{n}: each has one place");
@@ -256,7 +256,7 @@
     let before: Vec<Vec<usize>> = (0..10).map(|n| replicas_of(&mut net, n)).collect();
     let gone = before[0][0];
     net.kill(gone);
-    net.run(Span::from_secs(40));
+    net.run(Duration::from_secs(40));
     for n in (0..10).filter(|n| *n != gone) {
         let after = replicas_of(&mut net, n);
         let had = &before[n];
@@ -279,10 +279,10 @@
     net.run(ms(500));
     let before = replicas_of(&mut net, 0);
     let disk = net.kill(before[0]);
-    net.run(Span::from_secs(40));
+    net.run(Duration::from_secs(40));
     let meanwhile = replicas_of(&mut net, 0);
     net.start(before[0], disk);
-    net.run(Span::from_secs(5));
+    net.run(Duration::from_secs(5));
     assert_eq!(replicas_of(&mut net, 0), before);
     let stale = *meanwhile.iter().find(|n| !before.contains(n)).expect("another one stood in");
     assert_eq!(work_keys(&mut net, stale, 0), [0, 1, 2].into());
@@ -291,7 +291,7 @@
     net.run(ms(300));
     assert!(net.add(stale, 1).is_ok(), "it was lost");
     assert!(holders(&net, 0).contains(&stale));
-    net.run(Span::from_secs(720));
+    net.run(Duration::from_secs(720));
     let mut holders_now = before;
     holders_now.sort_unstable();
     assert_eq!(holders(&net, 0), holders_now, "it lets go of it");
@@ -350,7 +350,7 @@
     net.run(ms(3_000));
     let begun = net.now;
     let disk = net.kill(0);
-    net.run(Span::from_secs(20));
+    net.run(Duration::from_secs(20));
     net.start(0, disk);
     net.run(ms(100));
     adopts(&mut net, 0, &(0..10).collect::<Vec<u64>>());
@@ -367,10 +367,10 @@
     let ran = net.fill(0, 0, 2);
     net.run(ms(300));
     net.cut.extend((1..6).map(|n| (0, n)));
-    net.run(Span::from_secs(12));
+    net.run(Duration::from_secs(12));
     let again = net.add(3, 0).expect("its scheduler is silent, and a holder announced it");
     net.cut.clear();
-    net.run(Span::from_secs(8));
+    net.run(Duration::from_secs(8));
     // Crossed: now all know of both.
     for n in 0..6 {
         assert!(fleet_state(&mut net, n, 0).running.contains_key(&0), "at {n}");
@@ -405,7 +405,7 @@
     let mut net = Net::over(MANY, cap_of(WORKERS), MAP, &[]);
     let across = |a: usize, b: usize| MAP.region(a) != MAP.region(b);
     let mut added = 0u64;
-    let mut running: Vec<(usize, Time, Ticket)> = Vec::new();
+    let mut running: Vec<(usize, Timestamp, Ticket)> = Vec::new();
     let mut key = 0;
     let mut second = |net: &mut Net, busy: &[usize]| {
         for n in busy {
@@ -416,7 +416,7 @@
         }
         // Each runs for the ten seconds that it reserved.
         let now = net.now;
-        let (over, on) = running.drain(..).partition(|(_, since, _)| now - *since >= Span::from_secs(10));
+        let (over, on) = running.drain(..).partition(|(_, since, _)| now - *since >= Duration::from_secs(10));
         running = on;
         for (n, _, ticket) in over {
             ends(net, n, ticket, ticket.key.0 % 700 == 0);
