--- a/crates/limits/src/admission.rs
+++ b/crates/limits/src/admission.rs
@@ -4,7 +4,7 @@
 //! nacked with no word of when to come again, came again within seconds together with the ten thousand, and
 //! so on for as long as the burst lasted.
 
-use mulleinhub_interface::{Span, Time};
+use mulleinhub_interface::{Duration, Timestamp};
 use std::collections::BTreeMap;
 
 /// Below this part of the most, whoever asks is taken: there is nothing to share out.
@@ -13,13 +13,13 @@
 /// next. Half in its place was tried: a burst alone then drained at half the pace.
 const KEPT_ABOVE: f64 = 0.875;
 /// A nacked one is told to stay away for this at the least and at the most.
-const LEAST_AWAY: Span = Span::from_nanos(100_000_000);
-const MOST_AWAY: Span = Span::from_secs(10);
+const LEAST_AWAY: Duration = Duration::from_nanos(100_000_000);
+const MOST_AWAY: Duration = Duration::from_secs(10);
 /// How fast work drains is measured over spans of this, and smoothed by this weight of the newest.
-const MEASURE: Span = Span::from_nanos(250_000_000);
+const MEASURE: Duration = Duration::from_nanos(250_000_000);
 const NEWEST: f64 = 0.5;
 /// Before anything has drained, the most in hand is taken to drain within this.
-const FIRST_GUESS: Span = Span::from_secs(1);
+const FIRST_GUESS: Duration = Duration::from_secs(1);
 /// So many are called back for each place that comes free: one who comes too early is nacked again at little
 /// cost, and one who comes too late leaves a place empty.
 const CALLED: f64 = 2.0;
@@ -32,10 +32,10 @@
     services: BTreeMap<u64, usize>,
     /// Final answers in the present span of measuring, and answers a second before.
     drained: usize,
-    since: Time,
+    since: Timestamp,
     rate: Option<f64>,
     /// Room is promised up to this instant: each nack books the next place.
-    booked: Time,
+    booked: Timestamp,
 }
 
 impl Admission {
@@ -45,9 +45,9 @@
             in_hand: 0,
             services: BTreeMap::new(),
             drained: 0,
-            since: Time::default(),
+            since: Timestamp::default(),
             rate: None,
-            booked: Time::default(),
+            booked: Timestamp::default(),
         }
     }
 
@@ -64,7 +64,7 @@
     /// # Errors
     /// For how long it is to stay away. Those nacked one after the other are called back one after the other,
     /// at the pace at which room comes free, so that they do not come back in step.
-    pub fn ask(&mut self, now: Time, service: u64) -> Result<(), Span> {
+    pub fn ask(&mut self, now: Timestamp, service: u64) -> Result<(), Duration> {
         let of_service = self.services.get(&service).copied().unwrap_or(0);
         let under = |part: f64| (self.in_hand as f64) < self.most as f64 * part;
         let takes = under(FREE_PART)
@@ -81,7 +81,7 @@
         }
         let guess = self.most as f64 / (FIRST_GUESS.nanos() as f64 / 1e9);
         let rate = self.rate.unwrap_or(guess).max(1.0) * CALLED;
-        let gap = Span::from_nanos((1e9 / rate) as u64);
+        let gap = Duration::from_nanos((1e9 / rate) as u64);
         let latest = now + MOST_AWAY;
         self.booked = (self.booked.max(now + LEAST_AWAY) + gap).min(latest);
         Err(self.booked - now)
@@ -95,7 +95,7 @@
     }
 
     /// A task of this service has had its final answer.
-    pub fn done(&mut self, now: Time, service: u64) {
+    pub fn done(&mut self, now: Timestamp, service: u64) {
         self.in_hand = self.in_hand.checked_sub(1).expect("an answer for each that was taken");
         let count = self.services.get_mut(&service).expect("a service with a task in hand");
         *count -= 1;
--- a/crates/limits/src/lib.rs
+++ b/crates/limits/src/lib.rs
@@ -20,7 +20,7 @@
 pub use shares::{Doorway, MOST_CONNECTIONS, connections_to_machines, tasks_held, tasks_in_hand};
 pub use wheel::Wheel;
 
-use mulleinhub_interface::{Span, Time};
+use mulleinhub_interface::{Duration, Timestamp};
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 
@@ -37,19 +37,19 @@
     /// Taken in one turn.
     pub opens_a_turn: usize,
     /// A connection that has not greeted for so long is ended.
-    pub greet_within: Span,
+    pub greet_within: Duration,
     /// A frame that is not whole after so long is never going to be.
-    pub frame_within: Span,
+    pub frame_within: Duration,
     /// A connection silent for so long at the most is asked for a sign of life.
-    pub idle_after: Span,
+    pub idle_after: Duration,
     /// And ended without one after so long.
-    pub sign_within: Span,
+    pub sign_within: Duration,
     /// One that spoke within this is steady; what others say waits its turn where much comes at once.
-    pub steady_for: Span,
+    pub steady_for: Duration,
     /// Who has just come, or just spoken, may speak for so long before it makes room for others: what it sent
     /// with its coming is still on its way. Met: of a hundred that came at once and asked, some were ended
     /// unheard.
-    pub may_speak: Span,
+    pub may_speak: Duration,
     /// Connections that were silent before, heard in one turn; and of one tenant's steady ones.
     pub woken_a_turn: usize,
 }
@@ -62,12 +62,12 @@
             most_of_a_name: 1_000,
             most_strangers: 10_000,
             opens_a_turn: 256,
-            greet_within: Span::from_secs(5),
-            frame_within: Span::from_secs(10),
-            idle_after: Span::from_secs(60),
-            sign_within: Span::from_secs(10),
-            steady_for: Span::from_secs(5),
-            may_speak: Span::ZERO,
+            greet_within: Duration::from_secs(5),
+            frame_within: Duration::from_secs(10),
+            idle_after: Duration::from_secs(60),
+            sign_within: Duration::from_secs(10),
+            steady_for: Duration::from_secs(5),
+            may_speak: Duration::ZERO,
             woken_a_turn: 256,
         }
     }
@@ -151,21 +151,21 @@
 }
 
 /// No instant.
-const NEVER: Time = Time::from_nanos(u64::MAX);
+const NEVER: Timestamp = Timestamp::from_nanos(u64::MAX);
 
 #[derive(Debug)]
 struct Conn {
     name: Option<Arc<str>>,
-    opened: Time,
-    heard: Time,
+    opened: Timestamp,
+    heard: Timestamp,
     /// Before that it had been silent for longer than steady ones are.
-    steady_since: Time,
+    steady_since: Timestamp,
     /// A part of a frame has been here since then, or `NEVER`: an option of an instant takes twice the room,
     /// and there are many of these.
-    partial_since: Time,
-    asked_at: Time,
+    partial_since: Timestamp,
+    asked_at: Timestamp,
     /// Its place in the wheel stands for this instant; its true deadline may be later.
-    in_wheel: Time,
+    in_wheel: Timestamp,
     in_hand: u32,
     /// Something came of it that only a rightful client brings about.
     of_use: bool,
@@ -190,11 +190,11 @@
     names: BTreeMap<Arc<str>, u32>,
     tenants: BTreeMap<Arc<str>, Count>,
     /// Those without a task in hand: those never known to be of use first, then longest silent first.
-    idle: BTreeSet<(bool, Time, u64)>,
+    idle: BTreeSet<(bool, Timestamp, u64)>,
     /// Those that have not greeted, the first to come first: of whose greeting nothing is here.
-    strangers: BTreeSet<(Time, u64)>,
+    strangers: BTreeSet<(Timestamp, u64)>,
     /// And of whose greeting a part is here, or all of it unheard.
-    greeting: BTreeSet<(Time, u64)>,
+    greeting: BTreeSet<(Timestamp, u64)>,
     wheel: Wheel,
     pub pressure: Pressure,
     pace: Pace,
@@ -204,7 +204,7 @@
     turn: u64,
     taken: usize,
     /// When this process last went on after it had stood still.
-    woke: Time,
+    woke: Timestamp,
     /// Those that came back with tasks in hand, and all others that wait to be heard.
     returning: Lines,
     woken: Lines,
@@ -238,7 +238,7 @@
             machines: 0,
             turn: 0,
             taken: 0,
-            woke: Time::default(),
+            woke: Timestamp::default(),
             returning: Lines::default(),
             woken: Lines::default(),
             returning_left: 0,
@@ -296,12 +296,12 @@
 
     /// This process stood still until now. Who was asked for a sign of life has all the time for it once
     /// more: the question may have lain here unwritten.
-    pub fn woke(&mut self, now: Time) {
+    pub fn woke(&mut self, now: Timestamp) {
         self.woke = now;
     }
 
     /// A turn has taken so long.
-    pub fn turn_took(&mut self, now: Time, took: Span) {
+    pub fn turn_took(&mut self, now: Timestamp, took: Duration) {
         let open = self.len();
         self.pressure.turn_took(now, took, open);
         self.pace.turn_took(took);
@@ -314,7 +314,7 @@
 
     /// Until when nobody more is to be taken: all places of those that have not spoken are taken by such as
     /// have hardly come.
-    pub fn waits_until(&self) -> Option<Time> {
+    pub fn waits_until(&self) -> Option<Timestamp> {
         self.stranger_to_make_room().map(|(opened, _)| opened + self.settings.may_speak)
     }
 
@@ -322,7 +322,7 @@
     /// those within their greetings keep theirs, and don't count. Met: of as many new clients as there were
     /// places for, which sent their greetings in pieces, those beyond the most strangers were ended in the
     /// middle of them.
-    fn stranger_to_make_room(&self) -> Option<(Time, u64)> {
+    fn stranger_to_make_room(&self) -> Option<(Timestamp, u64)> {
         let most = self.settings.most_strangers;
         let silent = self.strangers.first().copied();
         if self.strangers.len() >= most {
@@ -349,7 +349,7 @@
     ///
     /// # Errors
     /// Why it can't be taken.
-    pub fn opened(&mut self, now: Time, conn: u64) -> Result<Option<u64>, Why> {
+    pub fn opened(&mut self, now: Timestamp, conn: u64) -> Result<Option<u64>, Why> {
         self.taken += 1;
         // Met: who opens and never greets took the places of those who had.
         let mut room = self.stranger_to_make_room();
@@ -371,7 +371,7 @@
         Ok(room)
     }
 
-    fn take(&mut self, now: Time, conn: u64) {
+    fn take(&mut self, now: Timestamp, conn: u64) {
         let deadline = now + self.settings.greet_within;
         let entry = Conn {
             name: None,
@@ -392,7 +392,7 @@
     }
 
     /// It was to make room and spoke before it was ended: it stays, and another one makes room.
-    pub fn stays(&mut self, now: Time, conn: u64) {
+    pub fn stays(&mut self, now: Timestamp, conn: u64) {
         if !self.conns.contains_key(&conn) {
             self.take(now, conn);
         }
@@ -434,7 +434,7 @@
     }
 
     /// Bytes came in.
-    pub fn heard(&mut self, now: Time, conn: u64) {
+    pub fn heard(&mut self, now: Timestamp, conn: u64) {
         let Some(entry) = self.conns.get_mut(&conn) else { return };
         if now - entry.heard > self.settings.steady_for {
             entry.steady_since = now;
@@ -448,7 +448,7 @@
 
     /// All that came was read; `partial` where a part of a frame is left. The rest of it must come in time,
     /// whatever comes of it a byte at a time. Where a whole frame was heard before it, `frame_heard` says so.
-    pub fn read(&mut self, now: Time, conn: u64, partial: bool) {
+    pub fn read(&mut self, now: Timestamp, conn: u64, partial: bool) {
         let Some(entry) = self.conns.get_mut(&conn) else { return };
         entry.partial_since = if partial { entry.partial_since.min(now) } else { NEVER };
         self.note_greeting(conn, partial);
@@ -526,13 +526,13 @@
     }
 
     /// Whether it is heard before those that were silent until now.
-    pub fn is_steady(&self, now: Time, conn: u64) -> bool {
+    pub fn is_steady(&self, now: Timestamp, conn: u64) -> bool {
         self.conns.get(&conn).is_some_and(|entry| now - entry.steady_since >= self.settings.steady_for)
     }
 
     /// Something came on a connection that is to be heard. True: now, with the steady ones. False: it stands
     /// in line, and `next_heard` names it. `returns` is for one that comes back with tasks in hand.
-    pub fn speaks(&mut self, now: Time, conn: u64, returns: bool) -> bool {
+    pub fn speaks(&mut self, now: Timestamp, conn: u64, returns: bool) -> bool {
         if self.is_steady(now, conn) {
             // Met: one tenant whose ten thousand connections all spoke every few seconds held up all others.
             let name = self.conns.get(&conn).and_then(|entry| entry.name.as_ref());
@@ -599,7 +599,7 @@
 
     /// Descriptors have run out: these are to be let go, none of them with a task in hand. Fewer connections
     /// are allowed from now on, until turns have been short for a while.
-    pub fn pinched(&mut self, now: Time) -> Vec<u64> {
+    pub fn pinched(&mut self, now: Timestamp) -> Vec<u64> {
         self.pressure.cut_to(now, self.len().saturating_sub(PINCH));
         let out: Vec<u64> = self.idle.iter().take(PINCH).map(|(.., conn)| *conn).collect();
         for conn in &out {
@@ -611,7 +611,7 @@
 
     /// The next connection to which something is to be done. Ask until there is none; each place of the wheel
     /// that is looked at costs one of `budget`, and what is left stays due.
-    pub fn due(&mut self, now: Time, budget: &mut usize) -> Option<(u64, Act)> {
+    pub fn due(&mut self, now: Timestamp, budget: &mut usize) -> Option<(u64, Act)> {
         loop {
             if *budget == 0 {
                 return None;
@@ -656,7 +656,7 @@
     }
 
     /// When `due` is to be asked again.
-    pub fn wake(&self) -> Option<Time> {
+    pub fn wake(&self) -> Option<Timestamp> {
         self.wheel.next()
     }
 
@@ -674,7 +674,7 @@
 impl Conn {
     /// Until when its greeting must begin. One that has begun has a frame's time. Met: one that began late
     /// was cut off in its middle.
-    fn greets_until(&self, settings: &Settings) -> Time {
+    fn greets_until(&self, settings: &Settings) -> Timestamp {
         match self.name {
             None if self.partial_since == NEVER => self.opened + settings.greet_within,
             _ => NEVER,
@@ -682,7 +682,7 @@
     }
 
     /// When something must have come, as things stand.
-    fn deadline(&self, conn: u64, settings: &Settings, woke: Time) -> Time {
+    fn deadline(&self, conn: u64, settings: &Settings, woke: Timestamp) -> Timestamp {
         let silence = match self.asked_at {
             asked if asked != NEVER => asked.max(woke) + settings.sign_within,
             _ => self.heard + settings.idle_after * (1.0 - DRAWN * draw(conn, self.heard)),
@@ -696,7 +696,7 @@
 
 /// From 0 to 1, another for each silence of each connection: drawn from both by SplitMix64's steps, so that
 /// nothing is kept for it.
-fn draw(conn: u64, heard: Time) -> f64 {
+fn draw(conn: u64, heard: Timestamp) -> f64 {
     let mut z = conn.wrapping_mul(0x9e37_79b9_7f4a_7c15) ^ heard.nanos();
     z = (z ^ (z >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
     z = (z ^ (z >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
--- a/crates/limits/src/pressure.rs
+++ b/crates/limits/src/pressure.rs
@@ -3,14 +3,14 @@
 //! The band between too long and long enough does nothing, and a change waits for the effect of the one
 //! before, so that the number does not swing.
 
-use mulleinhub_interface::{Span, Time};
+use mulleinhub_interface::{Duration, Timestamp};
 
 /// A turn over this costs the others their promptness.
-const TOO_LONG: Span = Span::from_nanos(50_000_000);
+const TOO_LONG: Duration = Duration::from_nanos(50_000_000);
 /// Turns under this leave room.
-const SHORT: Span = Span::from_nanos(10_000_000);
+const SHORT: Duration = Duration::from_nanos(10_000_000);
 /// Between two changes.
-const SETTLE: Span = Span::from_secs(2);
+const SETTLE: Duration = Duration::from_secs(2);
 /// Cut to this part; grown by this part of the most.
 const CUT: f64 = 0.8;
 const GROW: f64 = 0.02;
@@ -21,14 +21,14 @@
 pub struct Pressure {
     most: usize,
     allowed: usize,
-    changed_at: Time,
+    changed_at: Timestamp,
     /// The longest turn since the last change has settled.
-    longest: Span,
+    longest: Duration,
 }
 
 impl Pressure {
     pub fn new(most: usize) -> Self {
-        Self { most, allowed: most, changed_at: Time::default(), longest: Span::ZERO }
+        Self { most, allowed: most, changed_at: Timestamp::default(), longest: Duration::ZERO }
     }
 
     pub fn allowed(&self) -> usize {
@@ -36,7 +36,7 @@
     }
 
     /// A turn has taken so long, with so many connections open.
-    pub fn turn_took(&mut self, now: Time, took: Span, open: usize) {
+    pub fn turn_took(&mut self, now: Timestamp, took: Duration, open: usize) {
         let since = now - self.changed_at;
         if since < SETTLE {
             return;
@@ -52,13 +52,13 @@
         } else if self.longest < SHORT && self.allowed < self.most {
             self.allowed = (self.allowed + (self.most as f64 * GROW) as usize + 1).min(self.most);
         }
-        (self.changed_at, self.longest) = (now, Span::ZERO);
+        (self.changed_at, self.longest) = (now, Duration::ZERO);
     }
 
     /// Something other than turns ran short: no more than so many from now on.
-    pub fn cut_to(&mut self, now: Time, most: usize) {
+    pub fn cut_to(&mut self, now: Timestamp, most: usize) {
         self.allowed = self.allowed.min(most.max(1));
-        (self.changed_at, self.longest) = (now, Span::ZERO);
+        (self.changed_at, self.longest) = (now, Duration::ZERO);
     }
 }
 
@@ -82,7 +82,7 @@
         self.now
     }
 
-    pub fn turn_took(&mut self, took: Span) {
+    pub fn turn_took(&mut self, took: Duration) {
         let part = (self.most / PACE_PART).max(1);
         if took > TOO_LONG {
             self.now = (self.now / 2).max(part);
--- a/crates/limits/src/wheel.rs
+++ b/crates/limits/src/wheel.rs
@@ -5,7 +5,7 @@
 //! own record, and finds out when its place comes up. One entry stands for a connection, not one for each
 //! frame read.
 
-use mulleinhub_interface::{Span, Time};
+use mulleinhub_interface::{Duration, Timestamp};
 use std::collections::VecDeque;
 
 /// Deadlines are kept to a tick; nothing here needs to be more exact.
@@ -14,13 +14,13 @@
 
 #[derive(Debug)]
 pub struct Wheel {
-    slots: Vec<Vec<(Time, u64)>>,
+    slots: Vec<Vec<(Timestamp, u64)>>,
     /// The tick up to which slots were worked off.
     tick: u64,
     begun: bool,
     len: usize,
     /// Due, and not yet handed out.
-    due: VecDeque<(Time, u64)>,
+    due: VecDeque<(Timestamp, u64)>,
 }
 
 impl Default for Wheel {
@@ -37,7 +37,7 @@
 
 impl Wheel {
     /// An entry for this instant, or the next tick where it has passed.
-    pub fn put(&mut self, now: Time, at: Time, what: u64) {
+    pub fn put(&mut self, now: Timestamp, at: Timestamp, what: u64) {
         if !std::mem::replace(&mut self.begun, true) {
             self.tick = now.nanos() / TICK;
         }
@@ -47,7 +47,7 @@
     }
 
     /// An entry whose instant has come, in the order of ticks.
-    pub fn due(&mut self, now: Time) -> Option<(Time, u64)> {
+    pub fn due(&mut self, now: Timestamp) -> Option<(Timestamp, u64)> {
         let tick = now.nanos() / TICK;
         while self.due.is_empty() && self.begun && self.tick < tick {
             if self.len == 0 {
@@ -57,7 +57,7 @@
             // After a long standstill no slot needs to be looked at twice.
             self.tick = self.tick.max(tick.saturating_sub(SLOTS as u64)) + 1;
             let slot = &mut self.slots[self.tick as usize % SLOTS];
-            let horizon = Time::from_nanos(self.tick.saturating_mul(TICK));
+            let horizon = Timestamp::from_nanos(self.tick.saturating_mul(TICK));
             let due = &mut self.due;
             slot.retain(|entry| {
                 let is_due = entry.0 <= horizon.max(now);
@@ -76,16 +76,16 @@
     }
 
     /// When `due` may have something: the next tick, while there is anything.
-    pub fn next(&self) -> Option<Time> {
+    pub fn next(&self) -> Option<Timestamp> {
         if self.len == 0 {
             return None;
         }
         if !self.due.is_empty() {
-            return Some(Time::from_nanos(self.tick.saturating_mul(TICK)));
+            return Some(Timestamp::from_nanos(self.tick.saturating_mul(TICK)));
         }
         // The next slot that isn't empty; at most a turn of the wheel away.
         let ahead = (1..=SLOTS as u64).find(|n| !self.slots[(self.tick + n) as usize % SLOTS].is_empty())?;
-        Some(Time::default() + Span::from_nanos((self.tick + ahead).saturating_mul(TICK)))
+        Some(Timestamp::default() + Duration::from_nanos((self.tick + ahead).saturating_mul(TICK)))
     }
 
     pub fn len(&self) -> usize {
--- a/crates/limits/tests/admission.rs
+++ b/crates/limits/tests/admission.rs
@@ -1,20 +1,20 @@
 //! Stories and properties of admission.
 
-use mulleinhub_interface::{Span, Time};
+use mulleinhub_interface::{Duration, Timestamp};
 use mulleinhub_limits::Admission;
 use proptest::prelude::*;
 use std::collections::{BTreeMap, VecDeque};
 
-fn at(ms: u64) -> Time {
-    Time::from_nanos(ms * 1_000_000)
+fn at(ms: u64) -> Timestamp {
+    Timestamp::from_nanos(ms * 1_000_000)
 }
 
 #[test]
 fn ten_thousand_at_one_instant_leave_room_for_others_and_are_called_back_one_by_one() {
     let mut admission = Admission::new(1_000);
-    let aways: Vec<Span> = (0..10_000).filter_map(|_| admission.ask(at(0), 1).err()).collect();
+    let aways: Vec<Duration> = (0..10_000).filter_map(|_| admission.ask(at(0), 1).err()).collect();
     assert_eq!(aways.len(), 9_125, "alone it has seven eighths of the room");
-    assert!(aways.is_sorted() && aways[0] < Span::from_secs(1) && aways[9_124] > Span::from_secs(4));
+    assert!(aways.is_sorted() && aways[0] < Duration::from_secs(1) && aways[9_124] > Duration::from_secs(4));
     assert!((0..125).all(|_| admission.ask(at(300), 2).is_ok()), "another service finds room at once");
 }
 
@@ -40,7 +40,7 @@
                 true => admission.ask(at(ms), service),
                 // As it was: whoever comes first, and no word of when to come again but a second.
                 false if line.len() < most => Ok(()),
-                false => Err(Span::from_secs(1)),
+                false => Err(Duration::from_secs(1)),
             };
             match met {
                 Ok(()) => line.push_back(service),
@@ -96,7 +96,7 @@
                 match admission.ask(at(now), service) {
                     Ok(()) => *held.entry(service).or_default() += 1,
                     Err(away) => {
-                        prop_assert!(away >= Span::from_nanos(100_000_000) && away <= Span::from_secs(10));
+                        prop_assert!(away >= Duration::from_nanos(100_000_000) && away <= Duration::from_secs(10));
                         let mine = held.get(&service).copied().unwrap_or(0);
                         let services = held.values().filter(|n| **n > 0).count() + usize::from(mine == 0);
                         let share = (most / (services + 1)).max(1);
--- a/crates/limits/tests/limits.rs
+++ b/crates/limits/tests/limits.rs
@@ -1,12 +1,12 @@
 //! Stories and properties of the limits on connections.
 
-use mulleinhub_interface::{Span, Time};
+use mulleinhub_interface::{Duration, Timestamp};
 use mulleinhub_limits::{Act, Limits, Pressure, Settings, Wheel, Why};
 use proptest::prelude::*;
 use std::collections::BTreeMap;
 
-fn at(ms: u64) -> Time {
-    Time::from_nanos(ms * 1_000_000)
+fn at(ms: u64) -> Timestamp {
+    Timestamp::from_nanos(ms * 1_000_000)
 }
 
 fn limits(most: usize) -> Limits {
@@ -81,7 +81,7 @@
 fn strangers_make_room_only_once_they_had_the_time_to_speak_and_one_that_spoke_stays() {
     let mut limits = Limits::new(Settings {
         most_strangers: 2,
-        may_speak: Span::from_nanos(20_000_000),
+        may_speak: Duration::from_nanos(20_000_000),
         ..Settings::default()
     });
     for conn in [1, 2] {
@@ -100,7 +100,7 @@
     let mut limits = Limits::new(Settings {
         most: 6,
         most_strangers: 2,
-        may_speak: Span::from_nanos(20_000_000),
+        may_speak: Duration::from_nanos(20_000_000),
         ..Settings::default()
     });
     for conn in 1..=4 {
@@ -144,13 +144,13 @@
 #[test]
 fn pressure_cuts_what_is_open_and_gives_back_slowly_without_swinging() {
     let mut pressure = Pressure::new(1_000);
-    let slow = Span::from_nanos(80_000_000);
-    let short = Span::from_nanos(1_000_000);
+    let slow = Duration::from_nanos(80_000_000);
+    let short = Duration::from_nanos(1_000_000);
     pressure.turn_took(at(3_000), slow, 500);
     assert_eq!(pressure.allowed(), 400);
     pressure.turn_took(at(3_500), slow, 500);
     assert_eq!(pressure.allowed(), 400, "the cut has had no time to act");
-    pressure.turn_took(at(6_000), Span::from_nanos(30_000_000), 400);
+    pressure.turn_took(at(6_000), Duration::from_nanos(30_000_000), 400);
     assert_eq!(pressure.allowed(), 400, "neither too long nor short");
     let mut now = 10_000;
     let mut last = pressure.allowed();
@@ -275,14 +275,14 @@
         limits.opened(at(0), conn).expect("there is room");
     }
     assert_eq!(limits.takes(), 0);
-    let long = Span::from_nanos(60_000_000);
+    let long = Duration::from_nanos(60_000_000);
     for _ in 0..10 {
         limits.turn_took(at(0), long);
     }
     limits.begin_turn(0);
     assert_eq!(limits.takes(), 4, "never none");
     for _ in 0..20 {
-        limits.turn_took(at(0), Span::from_nanos(1_000_000));
+        limits.turn_took(at(0), Duration::from_nanos(1_000_000));
     }
     assert_eq!(limits.takes(), 64);
 }
--- a/crates/load/src/busy.rs
+++ b/crates/load/src/busy.rs
@@ -1,9 +1,9 @@
 //! The busy few: tasks asked for at fixed instants, whatever became of those before.
 
 use hdrhistogram::Histogram;
-use mulleinhub_interface::{Span, Time};
+use mulleinhub_interface::{Duration, Timestamp};
 use mulleinhub_protocol::{self as protocol, Conversation, Frames, Message, Shape};
-use mulleinhub_seam::{Door, End, Link, Links, Party, Timers};
+use mulleinhub_seam::{Connections, End, Link, ListenerId, StateMachine, Timers};
 use std::collections::BTreeMap;
 
 #[derive(Clone, Debug)]
@@ -15,7 +15,7 @@
     pub rate: f64,
     pub use_case: u32,
     pub ask: (f64, f64),
-    pub patience: Span,
+    pub patience: Duration,
 }
 
 /// What was seen since the last `reset`, in microseconds from the instant at which an ask was due. An ask
@@ -47,7 +47,7 @@
 #[derive(Clone, Copy, Debug)]
 struct Out {
     desk: usize,
-    due: Time,
+    due: Timestamp,
     taken: bool,
 }
 
@@ -56,21 +56,21 @@
     Open(usize),
 }
 
-const RECONNECT: Span = Span::from_nanos(20_000_000);
+const RECONNECT: Duration = Duration::from_nanos(20_000_000);
 
 pub struct Busy {
     settings: BusySettings,
     pub seen: Seen,
-    links: Links,
+    links: Connections,
     desks: Vec<Desk>,
     timers: Timers<Due>,
     out: BTreeMap<u64, Out>,
     /// The next ask is due then; none while it rests.
-    next: Option<Time>,
+    next: Option<Timestamp>,
     next_id: u64,
     asked: usize,
     /// Asks that were due while no connection of their turn was up.
-    waiting: Vec<(usize, Time)>,
+    waiting: Vec<(usize, Timestamp)>,
     begun: bool,
     scratch: Vec<u8>,
 }
@@ -82,7 +82,7 @@
         Self {
             settings,
             seen: Seen::default(),
-            links: Links::default(),
+            links: Connections::default(),
             desks,
             timers: Timers::default(),
             out: BTreeMap::new(),
@@ -100,7 +100,7 @@
     }
 
     /// Begins to ask, or rests.
-    pub fn asks(&mut self, now: Time, does: bool) {
+    pub fn asks(&mut self, now: Timestamp, does: bool) {
         self.next = does.then_some(now);
     }
 
@@ -121,7 +121,7 @@
         }
     }
 
-    fn ask(&mut self, now: Time, desk: usize, due: Time) {
+    fn ask(&mut self, now: Timestamp, desk: usize, due: Timestamp) {
         if !self.desks[desk].up {
             return self.waiting.push((desk, due));
         }
@@ -136,7 +136,7 @@
         self.write(desk, &Message::Ask { task: id, shape, patience, clock: now.nanos() });
     }
 
-    fn hear(&mut self, now: Time, desk: usize, message: &Message<'_>) {
+    fn hear(&mut self, now: Timestamp, desk: usize, message: &Message<'_>) {
         let since = |out: &Out| (now - out.due).nanos() / 1_000;
         match message {
             Message::Welcome { .. } => {
@@ -144,7 +144,7 @@
                 let (ready, rest) =
                     std::mem::take(&mut self.waiting).into_iter().partition(|(d, _)| *d == desk);
                 self.waiting = rest;
-                for (desk, due) in Vec::from_iter::<Vec<(usize, Time)>>(ready) {
+                for (desk, due) in Vec::from_iter::<Vec<(usize, Timestamp)>>(ready) {
                     self.ask(now, desk, due);
                 }
                 // What became of those that were out when the last connection ended?
@@ -180,12 +180,12 @@
     }
 }
 
-impl Party for Busy {
-    fn opened(&mut self, _: Time, link: Link, _: Door) {
+impl StateMachine for Busy {
+    fn opened(&mut self, _: Timestamp, link: Link, _: ListenerId) {
         self.links.abort(link);
     }
 
-    fn up(&mut self, now: Time, link: Link) {
+    fn up(&mut self, now: Timestamp, link: Link) {
         let Some(desk) = self.desks.iter().position(|desk| desk.link == Some(link)) else { return };
         let has_tasks = self.out.values().any(|out| out.desk == desk);
         let name = format!("busy/{desk}");
@@ -199,7 +199,7 @@
         self.write(desk, &hello);
     }
 
-    fn received(&mut self, now: Time, link: Link, bytes: &[u8]) {
+    fn received(&mut self, now: Timestamp, link: Link, bytes: &[u8]) {
         let Some(desk) = self.desks.iter().position(|desk| desk.link == Some(link)) else { return };
         self.desks[desk].frames.take(bytes);
         let mut frames = std::mem::take(&mut self.desks[desk].frames);
@@ -211,7 +211,7 @@
         self.desks[desk].frames = frames;
     }
 
-    fn ended(&mut self, now: Time, link: Link, _: End) {
+    fn ended(&mut self, now: Timestamp, link: Link, _: End) {
         self.links.forget(link);
         if let Some(desk) = self.desks.iter().position(|desk| desk.link == Some(link)) {
             let to = std::mem::take(&mut self.desks[desk].to);
@@ -220,7 +220,7 @@
         }
     }
 
-    fn turn(&mut self, now: Time) {
+    fn turn(&mut self, now: Timestamp) {
         if !std::mem::replace(&mut self.begun, true) {
             (0..self.desks.len()).for_each(|desk| self.timers.set(now, Due::Open(desk)));
         }
@@ -228,7 +228,7 @@
             let link = self.links.open(&self.desks[desk].to.clone());
             self.desks[desk].link = Some(link);
         }
-        let gap = Span::from_nanos((1e9 / self.settings.rate.max(1e-3)) as u64);
+        let gap = Duration::from_nanos((1e9 / self.settings.rate.max(1e-3)) as u64);
         while let Some(due) = self.next.filter(|due| *due <= now) {
             self.next = Some(due + gap);
             self.seen.asked += 1;
@@ -238,14 +238,14 @@
         }
     }
 
-    fn wake(&self) -> Option<Time> {
+    fn wake(&self) -> Option<Timestamp> {
         if !self.begun {
-            return Some(Time::default());
+            return Some(Timestamp::default());
         }
         [self.timers.next(), self.next].into_iter().flatten().min()
     }
 
-    fn links(&mut self) -> &mut Links {
+    fn links(&mut self) -> &mut Connections {
         &mut self.links
     }
 }
--- a/crates/load/src/crowd_host.rs
+++ b/crates/load/src/crowd_host.rs
@@ -3,16 +3,16 @@
 //! `grow N`, `speak` and `end` come in; `up N` goes out, ten times a
 //! second.
 
-use mulleinhub_interface::Span;
-use mulleinhub_shell::Shell;
+use mulleinhub_interface::Duration;
+use mulleinhub_shell::EventLoop;
 use mulleinhub_standins::{Crowd, CrowdSettings};
 use std::io::{BufRead, Write};
 use std::net::SocketAddr;
 use std::process::{Child, ChildStdin, Command, Stdio};
 use std::sync::mpsc;
-use std::time::{Duration, Instant};
+use std::time::{Duration as StdDuration, Instant};
 
-const TELL: Duration = Duration::from_millis(100);
+const TELL: StdDuration = StdDuration::from_millis(100);
 /// Connections that go out from one address of ours: fewer than it has ports.
 const FROM_ONE: usize = 10_000;
 
@@ -33,9 +33,10 @@
         tenants: 20,
         planners: to,
         opens_a_second: rate,
-        back_within: Span::from_secs(2),
+        back_within: Duration::from_secs(2),
     };
-    let mut shell = Shell::new(Crowd::new(settings, number as u64 + 1)).map_err(|e| format!("poll: {e}"))?;
+    let mut shell =
+        EventLoop::new(Crowd::new(settings, number as u64 + 1)).map_err(|e| format!("poll: {e}"))?;
     let (told, tells) = mpsc::channel::<String>();
     std::thread::spawn(move || {
         for line in std::io::stdin().lock().lines().map_while(Result::ok) {
@@ -47,7 +48,7 @@
     let mut last = Instant::now();
     let mut out = std::io::stdout();
     loop {
-        shell.step(Duration::from_millis(10)).map_err(|e| format!("poll: {e}"))?;
+        shell.step(StdDuration::from_millis(10)).map_err(|e| format!("poll: {e}"))?;
         let now = shell.now();
         match tells.try_recv() {
             Ok(line) => match line.split_once(' ').unwrap_or((&line, "")) {
--- a/crates/load/src/idle.rs
+++ b/crates/load/src/idle.rs
@@ -7,12 +7,12 @@
 use crate::report::{self, Row};
 use crate::town::{self, Town};
 use mulleinhub_day::Day;
-use mulleinhub_interface::Span;
-use mulleinhub_seam::Party;
-use mulleinhub_shell::Shell;
+use mulleinhub_interface::Duration;
+use mulleinhub_seam::StateMachine;
+use mulleinhub_shell::EventLoop;
 use std::net::SocketAddr;
 use std::path::PathBuf;
-use std::time::{Duration, Instant};
+use std::time::{Duration as StdDuration, Instant};
 
 /// What is measured, and for how long.
 #[derive(Clone, Debug)]
@@ -26,8 +26,8 @@
     pub rate: f64,
     /// Connections of the busy to each planner.
     pub busy: usize,
-    pub silent_for: Duration,
-    pub busy_for: Duration,
+    pub silent_for: StdDuration,
+    pub busy_for: StdDuration,
     /// Planners that are killed and started again at one moment.
     pub storm_planners: usize,
     /// Another planner's program, to compare with.
@@ -36,22 +36,22 @@
     pub idle_after: u64,
     pub csv: PathBuf,
     pub svg: PathBuf,
-    pub at_most: Duration,
+    pub at_most: StdDuration,
 }
 
 /// Connections that a crowd opens in a second.
 const OPENS: f64 = 40_000.0;
 /// Without one more connection for so long, no more are to be had.
-const STUCK: Duration = Duration::from_secs(10);
+const STUCK: StdDuration = StdDuration::from_secs(10);
 /// After the load has changed, before anything is measured.
-const SETTLES: Duration = Duration::from_secs(1);
+const SETTLES: StdDuration = StdDuration::from_secs(1);
 /// Before an ask is due, the busy look again and again.
-const CLOSE: Span = Span::from_nanos(1_500_000);
+const CLOSE: Duration = Duration::from_nanos(1_500_000);
 
 struct Field {
     planners: Vec<Planner>,
     crowds: Vec<CrowdProcess>,
-    busy: Shell<Busy>,
+    busy: EventLoop<Busy>,
     until: Instant,
     _town: Town,
     _folder: tempfile::TempDir,
@@ -78,7 +78,7 @@
         // The case that may run again; asks are small beside the machines.
         let case = day.cases.iter().position(|case| case.case.spread.is_some_and(|(_, most)| most == 1));
         let patience = day.cases[case.unwrap_or(0)].case.client_timeout;
-        let busy = Shell::new(Busy::new(BusySettings {
+        let busy = EventLoop::new(Busy::new(BusySettings {
             planners: addresses.iter().map(ToString::to_string).collect(),
             each: campaign.busy,
             rate: campaign.rate,
@@ -95,7 +95,7 @@
         // The system's poll wakes to whole milliseconds; an ask's instant is met more closely without it.
         let now = self.busy.now();
         let soon = self.busy.party.wake().is_some_and(|at| at - now < CLOSE);
-        let wait = if soon { Duration::ZERO } else { Duration::from_millis(1) };
+        let wait = if soon { StdDuration::ZERO } else { StdDuration::from_millis(1) };
         self.busy.step(wait).map_err(|e| format!("poll: {e}"))?;
         self.crowds.iter_mut().for_each(CrowdProcess::look);
         self.planners.iter_mut().try_for_each(Planner::lives)?;
@@ -107,7 +107,7 @@
         Ok(())
     }
 
-    fn go_on(&mut self, span: Duration) -> Result<(), String> {
+    fn go_on(&mut self, span: StdDuration) -> Result<(), String> {
         let end = Instant::now() + span;
         while Instant::now() < end {
             self.step()?;
@@ -120,14 +120,14 @@
     }
 
     /// The busy ask for so long, and wait for answers a while.
-    fn busy_for(&mut self, span: Duration) -> Result<(Seen, u64), String> {
+    fn busy_for(&mut self, span: StdDuration) -> Result<(Seen, u64), String> {
         self.busy.party.reset();
         let now = self.busy.now();
         self.busy.party.asks(now, true);
         self.go_on(span)?;
         let now = self.busy.now();
         self.busy.party.asks(now, false);
-        let end = Instant::now() + Duration::from_secs(2);
+        let end = Instant::now() + StdDuration::from_secs(2);
         while self.busy.party.open() > 0 && Instant::now() < end {
             self.step()?;
         }
@@ -148,7 +148,7 @@
     }
 
     /// Seconds of CPU that planners use in a second while nobody asks.
-    fn cpu_for(&mut self, span: Duration) -> Result<f64, String> {
+    fn cpu_for(&mut self, span: StdDuration) -> Result<f64, String> {
         let (before, began) = (self.usage().cpu, Instant::now());
         self.go_on(span)?;
         Ok(self.usage().cpu.saturating_sub(before).as_secs_f64() / began.elapsed().as_secs_f64())
@@ -221,12 +221,12 @@
     let began = Instant::now();
     while !field.busy.party.all_up() {
         field.step()?;
-        if began.elapsed() > Duration::from_secs(10) {
+        if began.elapsed() > StdDuration::from_secs(10) {
             return Err("planners didn't greet the busy within 10 s".to_owned());
         }
     }
     // What is used once, whoever is connected, is no connection's.
-    field.busy_for(Duration::from_secs(2))?;
+    field.busy_for(StdDuration::from_secs(2))?;
     let (alone, kernel) = (field.usage(), kernel_memory());
     let cpu_alone = field.cpu_for(campaign.silent_for)?;
     for idle in &campaign.steps {
@@ -295,7 +295,7 @@
     field.busy.party.reset();
     let now = field.busy.now();
     field.busy.party.asks(now, true);
-    let part = (campaign.busy_for / 3).max(Duration::from_secs(1));
+    let part = (campaign.busy_for / 3).max(StdDuration::from_secs(1));
     for _ in 0..3 {
         field.crowds.iter_mut().try_for_each(|crowd| crowd.says("speak"))?;
         field.go_on(part)?;
@@ -337,16 +337,16 @@
     let struck = campaign.storm_planners.min(field.planners.len());
     field.planners[..struck].iter_mut().for_each(|planner| planner.process.kill());
     // The ends of their connections are seen before they are there again.
-    field.go_on(Duration::from_millis(50))?;
+    field.go_on(StdDuration::from_millis(50))?;
     field.planners[..struck].iter_mut().try_for_each(|planner| planner.process.start())?;
     let began = Instant::now();
     let mut busy_back = None;
-    while began.elapsed() < Duration::from_secs(60) {
+    while began.elapsed() < StdDuration::from_secs(60) {
         field.step()?;
         if busy_back.is_none() && field.busy.party.all_up() {
             busy_back = Some(began.elapsed());
         }
-        if busy_back.is_some() && began.elapsed() > Duration::from_millis(500) && field.up() >= before {
+        if busy_back.is_some() && began.elapsed() > StdDuration::from_millis(500) && field.up() >= before {
             break;
         }
     }
--- a/crates/load/src/stage_host.rs
+++ b/crates/load/src/stage_host.rs
@@ -2,10 +2,10 @@
 
 use crate::process::{PlannerProcess, Usage};
 use mulleinhub_day::{Behind, Day, Fate, PlannerDeed, Progress, Score, Stage};
-use mulleinhub_interface::Time;
+use mulleinhub_interface::Timestamp;
 use mulleinhub_planner::BooksText;
 use mulleinhub_runner::planner_text;
-use mulleinhub_shell::Shell;
+use mulleinhub_shell::EventLoop;
 use rustix::process::Signal;
 use std::fs::File;
 use std::io::{BufWriter, Write};
@@ -128,7 +128,7 @@
 
 /// Which program a planner is started with: by its number from 0, and the instant. Nothing is this program's
 /// own.
-pub type Programs<'a> = &'a dyn Fn(usize, Time) -> Option<PathBuf>;
+pub type Programs<'a> = &'a dyn Fn(usize, Timestamp) -> Option<PathBuf>;
 
 /// Plays a day to its end; settings, logs and kept lists of the planners go to `folder`.
 ///
@@ -139,12 +139,12 @@
     folder: &Path,
     capture: &Path,
     programs: Programs<'_>,
-    mut watch: impl FnMut(Time, &Progress),
-) -> Result<(Score, Time, Usage), String> {
+    mut watch: impl FnMut(Timestamp, &Progress),
+) -> Result<(Score, Timestamp, Usage), String> {
     let words = |what: &Path, e: std::io::Error| format!("{}: {e}", what.display());
     std::fs::create_dir_all(folder).map_err(|e| words(folder, e))?;
     let out = BufWriter::new(File::create(capture).map_err(|e| words(capture, e))?);
-    let mut shell = Shell::new(Stage::new(day.clone(), out)).map_err(|e| format!("poll: {e}"))?;
+    let mut shell = EventLoop::new(Stage::new(day.clone(), out)).map_err(|e| format!("poll: {e}"))?;
     let any = SocketAddr::from((Ipv4Addr::LOCALHOST, 0));
     let mut lists = vec![String::new(); day.planners];
     let mut members: Vec<Vec<(String, String)>> = vec![Vec::new(); day.planners];
--- a/crates/load/src/town.rs
+++ b/crates/load/src/town.rs
@@ -1,14 +1,14 @@
 //! Machines and a list service behind real sockets, in a thread of their own: a day's stage without owners.
 
 use mulleinhub_day::{Behind, Day, PlannerDeed, Stage, parse_day};
-use mulleinhub_interface::Span;
+use mulleinhub_interface::Duration;
 use mulleinhub_settings::{Faults, parse_text};
-use mulleinhub_shell::Shell;
+use mulleinhub_shell::EventLoop;
 use std::net::{Ipv4Addr, SocketAddr};
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::thread::JoinHandle;
-use std::time::Duration;
+use std::time::Duration as StdDuration;
 
 const TOWN: &str = include_str!("../../../days/town.day");
 
@@ -21,7 +21,7 @@
     );
     let mut day =
         parse_day(&parse_text("load.day", &text, &mut faults), &mut faults).ok_or(faults.render())?;
-    (day.machine.look.low, day.machine.look.high) = (Span::ZERO, Span::ZERO);
+    (day.machine.look.low, day.machine.look.high) = (Duration::ZERO, Duration::ZERO);
     (day.machine.line.low, day.machine.line.high) = (10_000, 10_000);
     (day.machine.starts.low, day.machine.starts.high) = (10_000, 10_000);
     (day.machine.cold_from.low, day.machine.cold_from.high) = (1.0, 1.0);
@@ -41,7 +41,7 @@
     /// Where the system refuses a listener.
     pub fn start(day: &Day) -> Result<Self, String> {
         let mut shell =
-            Shell::new(Stage::new(day.clone(), std::io::sink())).map_err(|e| format!("poll: {e}"))?;
+            EventLoop::new(Stage::new(day.clone(), std::io::sink())).map_err(|e| format!("poll: {e}"))?;
         let any = SocketAddr::from((Ipv4Addr::LOCALHOST, 0));
         let mut lists = vec![String::new(); day.planners];
         for (door, planner, behind) in shell.party.doors() {
@@ -56,7 +56,7 @@
         let told = over.clone();
         let thread = std::thread::spawn(move || {
             while !told.load(Ordering::Relaxed) {
-                if shell.step(Duration::from_millis(20)).is_err() {
+                if shell.step(StdDuration::from_millis(20)).is_err() {
                     return;
                 }
                 while let Some(deed) = shell.party.next_deed() {
--- a/crates/pacing/src/lib.rs
+++ b/crates/pacing/src/lib.rs
@@ -8,5 +8,5 @@
 mod cold;
 mod standstill;
 
-pub use cold::Gate;
-pub use standstill::{HEARTBEAT, STANDSTILL, Standstills};
+pub use cold::SlowStartGate;
+pub use standstill::{HEARTBEAT, PAUSE_THRESHOLD, PauseDetector};
--- a/crates/planner/src/books.rs
+++ b/crates/planner/src/books.rs
@@ -65,7 +65,7 @@
     }
     let listen = mine.and_then(|member| loopback(&member.address));
     let orders = scope.maybe::<String>("orders", faults).map(PathBuf::from);
-    let ms = |span: mulleinhub_interface::Span| (span.nanos() / 1_000_000) as i64;
+    let ms = |span: mulleinhub_interface::Duration| (span.nanos() / 1_000_000) as i64;
     let ahead = scope.maybe("clock-ahead", faults).map_or(0, ms);
     let ahead = ahead - scope.maybe("clock-behind", faults).map_or(0, ms);
     scope.finish(faults);
--- a/crates/planner/src/conf.rs
+++ b/crates/planner/src/conf.rs
@@ -2,8 +2,8 @@
 
 use crate::books::{self, BooksConf};
 use mulleinhub_engine::Settings;
-use mulleinhub_interface::Span;
-use mulleinhub_interface::{ColdRule, Home, Listing, Taking, ZoneId};
+use mulleinhub_interface::Duration;
+use mulleinhub_interface::{AcceptanceRules, Discovery, LocalityCosts, SlowStart, ZoneId};
 use mulleinhub_settings::{Bytes, Directive, Faults, Name, Place, Scope, parse, parse_text};
 use mulleinhub_terms::{BooksTerms, Case, Kind, Rules, SiteTerms, read_case, read_kind, read_rules};
 use std::net::SocketAddr;
@@ -93,7 +93,7 @@
     }
     let none = Scope::new(&[], place.clone());
     let mut taking = scope.once("taking", faults).map_or(none, Scope::of);
-    let taking_ = Taking {
+    let taking_ = AcceptanceRules {
         cores: taking.or("accepts-cores", 1.0, faults),
         memory: taking.or("accepts-memory", 1.0, faults),
         yes_when_running: taking.or("yes-when-running", false, faults),
@@ -104,7 +104,7 @@
     taking.finish(faults);
     let none = Scope::new(&[], place.clone());
     let mut prices = scope.once("prices", faults).map_or(none, Scope::of);
-    let home = Home {
+    let home = LocalityCosts {
         zone: ZoneId(hall),
         cross_zone_price: prices.or("cross-hall", 0.0, faults),
         machine_price: prices.or("machine", 0.0, faults),
@@ -112,11 +112,11 @@
     prices.finish(faults);
     let none = Scope::new(&[], place.clone());
     let mut links = scope.once("links", faults).map_or(none, Scope::of);
-    let ms = |ms: u64| Span::from_nanos(ms * 1_000_000);
+    let ms = |ms: u64| Duration::from_nanos(ms * 1_000_000);
     let reconnect = links.or("reconnect", ms(200), faults);
     let lost_after = links.or("lost-after", ms(2_000), faults);
     let silence = links.or("silence", ms(2_000), faults);
-    let remember = links.or("remember", Span::from_secs(60), faults);
+    let remember = links.or("remember", Duration::from_secs(60), faults);
     let start_wait = links.or("start-wait", ms(1_000), faults);
     let most_in_hand = links.or("most-in-hand", 20_000, faults);
     let most_unwritten = links.or("most-unwritten", Bytes(4 << 20), faults).0 as usize;
@@ -146,7 +146,7 @@
     }
     scope.finish(faults);
     for (name, span) in [("reconnect", reconnect), ("silence", silence), ("remember", remember)] {
-        if span == Span::ZERO {
+        if span == Duration::ZERO {
             faults.add(&place, format!("links: {name} must be more than no time"));
         }
     }
@@ -159,14 +159,14 @@
         use_cases: for_module,
         kinds: kinds.iter().map(|kind| kind.size).collect(),
         taking: taking_,
-        cold: ColdRule {
+        cold: SlowStart {
             warm_after: rules.warm_after,
             fall: rules.fall,
             young_limit: f64::from(rules.young_limit),
             schedulers,
             number,
         },
-        listing: Listing { asked, ask_within: rules.ask_within },
+        listing: Discovery { asked, ask_within: rules.ask_within },
         home,
         list_address: list_address?,
         reconnect,
--- a/crates/planner/src/daemon.rs
+++ b/crates/planner/src/daemon.rs
@@ -4,17 +4,17 @@
 use crate::conf::{Conf, LogFormat, read_conf};
 use crate::metrics::Metrics;
 use mulleinhub_engine::Engine;
-use mulleinhub_interface::{Time, mix};
+use mulleinhub_interface::{Timestamp, mix};
 use mulleinhub_ledger::{AdmissionHandle, Running, Start};
 use mulleinhub_replicated_log::Order;
-use mulleinhub_seam::{Door, End, Link, Links, Party};
-use mulleinhub_shell::{Clock, Shell, Step};
+use mulleinhub_seam::{Connections, End, Link, ListenerId, StateMachine};
+use mulleinhub_shell::{Clock, EventLoop, Step};
 use signal_hook::consts::{SIGHUP, SIGINT, SIGTERM};
 use std::collections::BTreeMap;
 use std::path::{Path, PathBuf};
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-const METRICS: Door = Door(1);
+const METRICS: ListenerId = ListenerId(1);
 const MOST_REQUEST: usize = 8 * 1024;
 /// Who reads metrics at a time; they have their own share of the descriptors.
 const MOST_READERS: usize = 16;
@@ -50,8 +50,8 @@
     }
 }
 
-impl Party for Daemon {
-    fn opened(&mut self, now: Time, link: Link, door: Door) {
+impl StateMachine for Daemon {
+    fn opened(&mut self, now: Timestamp, link: Link, door: ListenerId) {
         if door == METRICS {
             self.readers.insert(link, Vec::new());
         } else {
@@ -59,11 +59,11 @@
         }
     }
 
-    fn up(&mut self, now: Time, link: Link) {
+    fn up(&mut self, now: Timestamp, link: Link) {
         self.engine.up(now, link);
     }
 
-    fn received(&mut self, now: Time, link: Link, bytes: &[u8]) {
+    fn received(&mut self, now: Timestamp, link: Link, bytes: &[u8]) {
         let Some(request) = self.readers.get_mut(&link) else {
             return self.engine.received(now, link, bytes);
         };
@@ -76,7 +76,7 @@
         }
     }
 
-    fn ended(&mut self, now: Time, link: Link, end: End) {
+    fn ended(&mut self, now: Timestamp, link: Link, end: End) {
         if self.readers.remove(&link).is_some() {
             self.engine.links().forget(link);
         } else {
@@ -84,7 +84,7 @@
         }
     }
 
-    fn turn_early(&mut self, now: Time) {
+    fn turn_early(&mut self, now: Timestamp) {
         self.engine.turn_early(now);
     }
 
@@ -92,21 +92,21 @@
         self.engine.is_prompt(link)
     }
 
-    fn turn(&mut self, now: Time) {
+    fn turn(&mut self, now: Timestamp) {
         let began = Instant::now();
         self.engine.turn(now);
         self.engine.turn_took(now, mulleinhub_shell::span(began.elapsed()));
     }
 
-    fn wake(&self) -> Option<Time> {
+    fn wake(&self) -> Option<Timestamp> {
         self.engine.wake()
     }
 
-    fn links(&mut self) -> &mut Links {
+    fn links(&mut self) -> &mut Connections {
         self.engine.links()
     }
 
-    fn takes(&self, door: Door) -> usize {
+    fn takes(&self, door: ListenerId) -> usize {
         if door == METRICS {
             MOST_READERS.saturating_sub(self.readers.len())
         } else {
@@ -114,7 +114,7 @@
         }
     }
 
-    fn pinched(&mut self, now: Time) {
+    fn pinched(&mut self, now: Timestamp) {
         self.engine.pinched(now);
     }
 
@@ -179,7 +179,7 @@
     let life = SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |since| since.as_nanos() as u64);
     let saved = kept.as_deref().and_then(load);
     let mut engine = Engine::new(conf.engine.clone(), life, saved);
-    let clock = Clock::new(Time::default());
+    let clock = Clock::new(Timestamp::default());
     let mut books = None;
     if let (Some(of), Some(dir)) = (&conf.books, &conf.state_dir) {
         let running = start_books(of, dir, life, conf.engine.seed, clock)?;
@@ -190,10 +190,11 @@
         engine.descriptors(most);
     }
     let daemon = Daemon { engine, metrics: Metrics, readers: BTreeMap::new() };
-    let mut shell = Shell::new(daemon).map_err(|e| words("poll", e))?.with_clock(clock);
+    let mut shell = EventLoop::new(daemon).map_err(|e| words("poll", e))?.with_clock(clock);
     shell.hear_signals(&[SIGTERM, SIGINT, SIGHUP]).map_err(|e| words("signals", e))?;
-    let at =
-        shell.listen_at(listen, Door(0), conf.shared).map_err(|e| words(&format!("listen {listen}"), e))?;
+    let at = shell
+        .listen_at(listen, ListenerId(0), conf.shared)
+        .map_err(|e| words(&format!("listen {listen}"), e))?;
     if let Some(metrics) = conf.metrics {
         shell.listen(metrics, METRICS).map_err(|e| words(&format!("metrics {metrics}"), e))?;
     }
@@ -231,7 +232,7 @@
 }
 
 fn serve(
-    shell: &mut Shell<Daemon>,
+    shell: &mut EventLoop<Daemon>,
     path: &Path,
     mut conf: Conf,
     kept: Option<&Path>,
--- a/crates/planner/src/platform.rs
+++ b/crates/planner/src/platform.rs
@@ -2,17 +2,17 @@
 
 use crate::LogFormat;
 use crate::daemon::start_log;
-use mulleinhub_interface::Time;
+use mulleinhub_interface::Timestamp;
 use mulleinhub_platform::{Conf, Platform};
-use mulleinhub_seam::Door;
-use mulleinhub_shell::{Shell, Step, span};
+use mulleinhub_seam::ListenerId;
+use mulleinhub_shell::{EventLoop, Step, span};
 use signal_hook::consts::{SIGHUP, SIGINT, SIGTERM};
 use std::io::ErrorKind;
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-const OWNERS: Door = Door(0);
+const OWNERS: ListenerId = ListenerId(0);
 /// At the end, owners have so long to take their last answers.
 const LAST_WORDS: Duration = Duration::from_millis(150);
 /// The shell wakes by itself for whatever is due; this bounds the wait for an end that nothing tells of.
@@ -28,7 +28,7 @@
 }
 
 /// Listens there; waits for an address that the life before this one may still hold, as it ends.
-fn listen_once_free(shell: &mut Shell<Platform>, at: SocketAddr) -> std::io::Result<()> {
+fn listen_once_free(shell: &mut EventLoop<Platform>, at: SocketAddr) -> std::io::Result<()> {
     let until = Instant::now() + ADDRESS_WITHIN;
     loop {
         match shell.listen(at, OWNERS) {
@@ -55,9 +55,9 @@
     start_log(LogFormat::Text);
     tracing::info!(name = conf.name, %listen, "starting");
     let since = SystemTime::now().duration_since(UNIX_EPOCH).map_or(Duration::ZERO, |since| since);
-    let origin = Time::default() + span(since);
+    let origin = Timestamp::default() + span(since);
     let words = |what: &'static str| move |error: std::io::Error| format!("{what}: {error}");
-    let shell = Shell::new(Platform::new(conf)).map_err(words("no poll"))?;
+    let shell = EventLoop::new(Platform::new(conf)).map_err(words("no poll"))?;
     let mut shell = shell.from_origin(origin);
     shell.hear_signals(&[SIGHUP, SIGTERM, SIGINT]).map_err(words("no signals"))?;
     listen_once_free(&mut shell, listen).map_err(words("listen"))?;
--- a/crates/platform/src/desk.rs
+++ b/crates/platform/src/desk.rs
@@ -7,13 +7,13 @@
 use crate::tasks::{Open, Tasks, hex};
 use crate::watch::{self, Watch};
 use mulleinhub::{Pcg, mix};
-use mulleinhub_interface::{Effect, Ending, MachineId, Mode, Span, TaskId, Time};
+use mulleinhub_interface::{Duration, Effect, Ending, MachineId, Mode, TaskId, Timestamp};
 use mulleinhub_limits::{
     Admission, Doorway, Limits, MOST_CONNECTIONS, Pool, connections_to_machines, tasks_held, tasks_in_hand,
 };
-use mulleinhub_pacing::{HEARTBEAT, Standstills, again};
+use mulleinhub_pacing::{HEARTBEAT, PauseDetector, again};
 use mulleinhub_platform_protocol::{self as protocol, Cause, Event, kind, why};
-use mulleinhub_seam::{End, Link, Links, Timers};
+use mulleinhub_seam::{Connections, End, Link, Timers};
 use mulleinhub_site::Site;
 use std::collections::VecDeque;
 use std::sync::Arc;
@@ -21,19 +21,19 @@
 /// Bytes that may wait for one peer that doesn't read.
 const MOST_UNWRITTEN: usize = 256 * 1024;
 /// The end of a task is owed for so long where no owner is connected to hear of it.
-const OWED_FOR: Span = Span::from_secs(60);
+const OWED_FOR: Duration = Duration::from_secs(60);
 /// Faults of peers that are logged within a second.
 const MOST_LOGGED: u32 = 5;
 /// After so long from the word to end nobody comes any more, and later set-ups are refused at once.
-pub const STILL_COMING: Span = Span::from_nanos(700_000_000);
+pub const STILL_COMING: Duration = Duration::from_nanos(700_000_000);
 /// All that was taken must have its answer by then: the longest wait, as far as it counts, behind whoever
 /// came last, less what the last answers may take on their way out of a process that has a part of a core.
-const COUNTED_WAIT: Span = Span::from_secs(3);
-const LAST_ANSWERS: Span = Span::from_nanos(300_000_000);
+const COUNTED_WAIT: Duration = Duration::from_secs(3);
+const LAST_ANSWERS: Duration = Duration::from_nanos(300_000_000);
 /// A connection for which there is no room may ask for so long; it is refused and ended.
-const ASKS_WITHIN: Span = Span::from_nanos(250_000_000);
+const ASKS_WITHIN: Duration = Duration::from_nanos(250_000_000);
 /// And no end before this is past.
-const NO_END_BEFORE: Span = Span::from_nanos(1_000_000_000);
+const NO_END_BEFORE: Duration = Duration::from_nanos(1_000_000_000);
 
 /// Between two looks for a connection where none may be opened, as a part of the time that one takes to
 /// come up.
@@ -85,8 +85,8 @@
 
 pub struct Desk {
     pub site: Site,
-    pub now: Time,
-    pub links: Links,
+    pub now: Timestamp,
+    pub links: Connections,
     pub owners: Owners,
     pub machines: Machines,
     pub watch: Watch,
@@ -117,13 +117,13 @@
     pub gone: Vec<TaskId>,
     pub timers: Timers<Due>,
     next_mark: u64,
-    pub stood: Standstills,
+    pub stood: PauseDetector,
     pub chance: Pcg,
     /// Since when it is to end, and whether the module has heard by when its answers are owed.
-    pub ending: Option<Time>,
+    pub ending: Option<Timestamp>,
     pub told_end: bool,
     pub counts: Counts,
-    logged: (Time, u32),
+    logged: (Timestamp, u32),
     stuck: Vec<Link>,
     scratch: Vec<u8>,
 }
@@ -138,12 +138,12 @@
             // Who says nothing has a part of what owners have, and no more.
             most_strangers: (conf.descriptors / 8).max(1),
             opens_a_turn: doorway.taken_a_turn,
-            greet_within: Span::from_nanos(2_000_000_000),
-            frame_within: Span::from_nanos(2_000_000_000),
-            idle_after: Span::from_secs(30),
-            sign_within: Span::from_secs(10),
-            steady_for: Span::from_secs(5),
-            may_speak: Span::from_nanos(20_000_000),
+            greet_within: Duration::from_nanos(2_000_000_000),
+            frame_within: Duration::from_nanos(2_000_000_000),
+            idle_after: Duration::from_secs(30),
+            sign_within: Duration::from_secs(10),
+            steady_for: Duration::from_secs(5),
+            may_speak: Duration::from_nanos(20_000_000),
             woken_a_turn: 256,
         };
         let mut limits = Limits::new(limits);
@@ -153,8 +153,8 @@
             limits,
             patience,
             admission: Admission::new(tasks_in_hand(conf.memory_mb)),
-            now: Time::default(),
-            links: Links::default(),
+            now: Timestamp::default(),
+            links: Connections::default(),
             owners: Owners::default(),
             machines: Machines::default(),
             watch: Watch::new(conf.bulletin, conf.known.no),
@@ -173,12 +173,12 @@
             gone: Vec::new(),
             timers: Timers::default(),
             next_mark: 0,
-            stood: Standstills::default(),
+            stood: PauseDetector::default(),
             chance: Pcg::new(mix(conf.seed, conf.site.cold.number.into())),
             ending: None,
             told_end: false,
             counts: Counts::default(),
-            logged: (Time::default(), 0),
+            logged: (Timestamp::default(), 0),
             stuck: Vec::new(),
             scratch: Vec::with_capacity(1024),
             site: conf.site,
@@ -187,7 +187,7 @@
 
     // What whoever feeds the party tells.
 
-    pub fn owner_came(&mut self, now: Time, link: Link) {
+    pub fn owner_came(&mut self, now: Timestamp, link: Link) {
         self.now = self.now.max(now);
         self.owners.by_link.insert(link, Owner::new((self.now, self.stood.turns())));
         match self.limits.opened(self.now, link.0) {
@@ -296,7 +296,7 @@
         }
     }
 
-    pub fn is_up(&mut self, now: Time, link: Link) {
+    pub fn is_up(&mut self, now: Timestamp, link: Link) {
         self.now = self.now.max(now);
         match self.who(link) {
             Some(Who::Machine) => {
@@ -314,7 +314,7 @@
         }
     }
 
-    pub fn came_in(&mut self, now: Time, link: Link, bytes: &[u8]) {
+    pub fn came_in(&mut self, now: Timestamp, link: Link, bytes: &[u8]) {
         match self.who(link) {
             Some(Who::Owner) => {
                 let turns = self.stood.turns();
@@ -349,7 +349,7 @@
         }
     }
 
-    pub fn has_ended(&mut self, now: Time, link: Link, end: End) {
+    pub fn has_ended(&mut self, now: Timestamp, link: Link, end: End) {
         self.now = self.now.max(now);
         match self.who(link) {
             Some(Who::Owner) => {
@@ -408,7 +408,7 @@
 
     // Turns.
 
-    pub fn begin_turn(&mut self, now: Time) {
+    pub fn begin_turn(&mut self, now: Timestamp) {
         self.now = now;
         if self.stood.begin(now) {
             self.limits.woke(now);
@@ -426,9 +426,9 @@
 
     /// When what was read before this turn was said at the earliest. Met in a story: what a machine had said
     /// before it stopped lay here through a standstill of ours, and counted from when it was read.
-    pub fn said_at(&self) -> Time {
+    pub fn said_at(&self) -> Timestamp {
         let lay = self.stood.lay(self.now, (self.now, self.stood.turns() - 1));
-        Time::default() + ((self.now - Time::default()) - lay)
+        Timestamp::default() + ((self.now - Timestamp::default()) - lay)
     }
 
     pub fn end_turn(&mut self) {
@@ -442,7 +442,7 @@
         self.stood.end(self.wake());
     }
 
-    pub fn wake(&self) -> Option<Time> {
+    pub fn wake(&self) -> Option<Timestamp> {
         let at_once = !self.closings.is_empty()
             || !self.gone.is_empty()
             || !self.arrivals.is_empty()
@@ -461,7 +461,7 @@
     /// A fault of a peer, logged a few times a second at the most.
     pub fn grumble(&mut self, what: &str, why: &str) {
         let (since, times) = self.logged;
-        let fresh = self.now - since >= Span::from_secs(1);
+        let fresh = self.now - since >= Duration::from_secs(1);
         self.logged = if fresh { (self.now, 1) } else { (since, times + 1) };
         if self.logged.1 <= MOST_LOGGED {
             tracing::warn!(why, "{what}");
@@ -548,7 +548,7 @@
         let is_idle = |connection: &Connection| {
             connection.up && connection.end.is_none() && !connection.queued && connection.open.is_empty()
         };
-        let since = Time::default() + (self.now - (Time::default() + self.patience.connect));
+        let since = Timestamp::default() + (self.now - (Timestamp::default() + self.patience.connect));
         let longest = self.pool.to_let_go(since, |conn| connections.get(&Link(conn)).is_some_and(is_idle));
         let Some(longest) = longest else { return false };
         self.end_connection(Link(longest));
@@ -603,7 +603,7 @@
 
     /// A connection for a set-up: one with nothing open, a new one, or a shared one.
     fn connection_for(&mut self, machine: MachineId, task: TaskId) -> Option<Link> {
-        let since = Time::default() + (self.now - (Time::default() + self.patience.idle));
+        let since = Timestamp::default() + (self.now - (Timestamp::default() + self.patience.idle));
         if let Some(link) = self.machines.free_connection(machine, task, since) {
             return Some(link);
         }
@@ -726,8 +726,8 @@
     /// Until when a send that is decided on now may be written: a further one of a task that machines drop
     /// repeats of within their window, one to a cold machine within what its budget was dealt for. Met: what
     /// waited for a connection left after the window had ended.
-    pub fn write_by(&self, id: TaskId, machine: MachineId) -> Time {
-        let never = Time::from_nanos(u64::MAX);
+    pub fn write_by(&self, id: TaskId, machine: MachineId) -> Timestamp {
+        let never = Timestamp::from_nanos(u64::MAX);
         let (Some(job), Some(machine)) = (self.tasks.by_id.get(&id), self.machines.by_id.get(&machine))
         else {
             return never;
@@ -799,12 +799,12 @@
     }
 
     /// All that stands on a machine is over with it.
-    pub fn is_lost(&mut self, id: MachineId, before: Time, why: &str) {
+    pub fn is_lost(&mut self, id: MachineId, before: Timestamp, why: &str) {
         let mut lost = 0;
         for (task, open) in self.tasks.standing_on(id) {
             if open.placed_at.is_some_and(|at| at < before) {
                 lost += 1;
-                let loss = Ending::Broken(mulleinhub_interface::Loss::Untold);
+                let loss = Ending::Broken(mulleinhub_interface::FailureCause::Untold);
                 self.closings.push_back((task, open.number, loss));
             }
         }
@@ -870,7 +870,7 @@
     }
 
     /// By when all answers are owed, where it is to end.
-    pub fn answered_by(&self) -> Option<Time> {
+    pub fn answered_by(&self) -> Option<Timestamp> {
         let longest =
             self.site.use_cases.iter().map(|case| case.client_timeout).max().unwrap_or(COUNTED_WAIT);
         let by = longest.min(COUNTED_WAIT) + STILL_COMING - LAST_ANSWERS;
@@ -883,7 +883,7 @@
     }
 
     /// Whether nobody comes any more and nothing that was taken is unanswered.
-    pub fn is_done(&self, now: Time) -> bool {
+    pub fn is_done(&self, now: Timestamp) -> bool {
         self.ending.is_some_and(|since| now - since >= NO_END_BEFORE)
             && self.tasks.unanswered == 0
             && !self.has_unheard()
--- a/crates/platform/src/handover.rs
+++ b/crates/platform/src/handover.rs
@@ -1,17 +1,17 @@
 //! Hand-overs that cross something: the end of a task heard before its hand-over, and a hand-over heard
 //! before the list names its machine.
 
-use mulleinhub_interface::{MachineId, Order, Span, TaskId, Time};
+use mulleinhub_interface::{Duration, MachineId, Order, TaskId, Timestamp};
 use mulleinhub_platform_protocol::Cause;
 use mulleinhub_seam::Link;
 use std::collections::{BTreeMap, VecDeque};
 
 /// For so long a hand-over waits until a list names its machine: lists reach schedulers up to some two
 /// seconds apart, and whoever speaks wrongly is owed a word within three.
-const LISTED_WITHIN: Span = Span::from_nanos(2_500_000_000);
+const LISTED_WITHIN: Duration = Duration::from_nanos(2_500_000_000);
 /// For so long the end of a task that is not in hand may matter: until its scheduler is known to have died,
 /// and its owner has waited and asked.
-const MATTERS_FOR: Span = Span::from_secs(60);
+const MATTERS_FOR: Duration = Duration::from_secs(60);
 
 /// A task that runs on a machine which no list has named yet.
 #[derive(Clone, Copy, Debug)]
@@ -19,7 +19,7 @@
     pub order: Order,
     pub machine: MachineId,
     pub owner: Link,
-    pub until: Time,
+    pub until: Timestamp,
     /// Its owner has ended it meanwhile.
     pub given_up: bool,
 }
@@ -32,12 +32,12 @@
     /// of a task whose scheduler had died, on a connection of ours, was dropped; handed over after that, the
     /// task was taken to run for ever.
     ends: BTreeMap<(TaskId, MachineId), Cause>,
-    heard: VecDeque<(Time, TaskId, MachineId)>,
+    heard: VecDeque<(Timestamp, TaskId, MachineId)>,
 }
 
 impl HandOvers {
     /// A machine told the end of a task that is not in hand; of so many it is remembered.
-    pub fn has_ended(&mut self, now: Time, task: TaskId, machine: MachineId, cause: Cause, most: usize) {
+    pub fn has_ended(&mut self, now: Timestamp, task: TaskId, machine: MachineId, cause: Cause, most: usize) {
         while self.heard.front().is_some_and(|(at, ..)| self.heard.len() >= most || now - *at > MATTERS_FOR) {
             let (_, task, machine) = self.heard.pop_front().expect("was there");
             self.ends.remove(&(task, machine));
@@ -53,7 +53,7 @@
     }
 
     /// Waits for its machine to be listed; gives until when.
-    pub fn waits(&mut self, now: Time, order: Order, machine: MachineId, owner: Link) -> Time {
+    pub fn waits(&mut self, now: Timestamp, order: Order, machine: MachineId, owner: Link) -> Timestamp {
         let until = now + LISTED_WITHIN;
         self.waiting.push_back(Waiting { order, machine, owner, until, given_up: false });
         until
@@ -78,7 +78,7 @@
     }
 
     /// The next one that has waited for too long.
-    pub fn overdue(&mut self, now: Time) -> Option<Waiting> {
+    pub fn overdue(&mut self, now: Timestamp) -> Option<Waiting> {
         self.waiting.pop_front_if(|waiting| waiting.until <= now)
     }
 
--- a/crates/platform/src/hear.rs
+++ b/crates/platform/src/hear.rs
@@ -8,15 +8,15 @@
 use crate::machines::{Machine, id_of};
 use crate::tasks::{Job, Open, Wanted, hex};
 use mulleinhub_interface::{
-    CellId, Ears, Effect, Ending, Entry, KindId, ListKind, Loss, MachineId, Mode, Nack, Order, Report, Room,
-    ServiceId, Span, TaskId, TaskKey, Time, UseCaseId, ZoneId,
+    CellId, Duration, Effect, Ending, Entry, FailureCause, KindId, ListKind, MachineId, Mode, Order,
+    PolicyEvents, Rejection, Report, Resources, ServiceId, TaskId, TaskKey, Timestamp, UseCaseId, ZoneId,
 };
 use mulleinhub_limits::Act;
 use mulleinhub_pacing::again;
 use mulleinhub_platform_protocol::{
     self as protocol, Bad, Cause, Frame, Listed, SetUp, Unusable, Why, kind, why,
 };
-use mulleinhub_seam::{End, Link, Unwritten};
+use mulleinhub_seam::{End, Link, Unsent};
 use std::cell::RefCell;
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -27,12 +27,12 @@
 const LAST_TRIES: f64 = 0.5;
 /// Whoever found all owners' connections in use stays away for so long: they are let go after four seconds
 /// idle.
-const NO_ROOM_AWAY: Span = Span::from_secs(1);
+const NO_ROOM_AWAY: Duration = Duration::from_secs(1);
 /// A wait so many times longer than any that is used is none.
 const ABSURD: u64 = 10;
 
 /// The first turn: the list that the configuration knew, and the call for what came since.
-pub fn begin(desk: &RefCell<Desk>, round: &mut dyn Ears) {
+pub fn begin(desk: &RefCell<Desk>, round: &mut dyn PolicyEvents) {
     let saved = std::mem::take(&mut desk.borrow_mut().saved);
     let mut all: BTreeMap<String, Listed> = BTreeMap::new();
     for event in saved {
@@ -49,10 +49,10 @@
 }
 
 /// Between two lines in the log that tell how it is.
-const TELL: Span = Span::from_secs(5);
+const TELL: Duration = Duration::from_secs(5);
 
 /// It is to end: waits are cut to the time that is left, those of sends that are out too.
-pub fn ending(desk: &RefCell<Desk>, round: &mut dyn Ears) {
+pub fn ending(desk: &RefCell<Desk>, round: &mut dyn PolicyEvents) {
     let by = {
         let d = &mut *desk.borrow_mut();
         let Some(by) = d.answered_by().filter(|_| !std::mem::replace(&mut d.told_end, true)) else { return };
@@ -70,7 +70,7 @@
 
 // The bulletin.
 
-pub fn bulletin(desk: &RefCell<Desk>, round: &mut dyn Ears) {
+pub fn bulletin(desk: &RefCell<Desk>, round: &mut dyn PolicyEvents) {
     let events = std::mem::take(&mut desk.borrow_mut().watch.events);
     for event in events {
         let kind = if event.roster.all { ListKind::Whole } else { ListKind::Changes };
@@ -78,7 +78,7 @@
     }
 }
 
-fn list(desk: &RefCell<Desk>, round: &mut dyn Ears, kind: ListKind, targets: &[Listed]) {
+fn list(desk: &RefCell<Desk>, round: &mut dyn PolicyEvents, kind: ListKind, targets: &[Listed]) {
     let entries: Vec<Entry> = {
         let d = &mut *desk.borrow_mut();
         let entries: Vec<Entry> = targets.iter().map(|listed| entry(d, listed)).collect();
@@ -130,8 +130,8 @@
             // Nothing new goes where the state is not understood.
             _ => Mode::Leaving,
         },
-        since: (listed.boot_ms > 0).then(|| Time::from_nanos(listed.boot_ms.saturating_mul(1_000_000))),
-        left: listed.room.map(|(cores, memory)| Room::new(cores, memory)),
+        since: (listed.boot_ms > 0).then(|| Timestamp::from_nanos(listed.boot_ms.saturating_mul(1_000_000))),
+        left: listed.room.map(|(cores, memory)| Resources::new(cores, memory)),
     }
 }
 
@@ -191,7 +191,7 @@
 // Connections.
 
 /// Every connection on which something came in, in the order of coming.
-pub fn all_that_came(desk: &RefCell<Desk>, round: &mut dyn Ears) {
+pub fn all_that_came(desk: &RefCell<Desk>, round: &mut dyn PolicyEvents) {
     loop {
         let next = desk.borrow_mut().next_arrival();
         let Some(link) = next else { return };
@@ -207,7 +207,7 @@
     }
 }
 
-fn hear_owner(desk: &RefCell<Desk>, round: &mut dyn Ears, link: Link) {
+fn hear_owner(desk: &RefCell<Desk>, round: &mut dyn PolicyEvents, link: Link) {
     // The frames are taken out for the while, so that messages can borrow them and the desk stays free.
     let take = |d: &mut Desk| Some(std::mem::take(&mut d.owners.by_link.get_mut(&link)?.frames));
     let Some(mut frames) = take(&mut desk.borrow_mut()) else { return };
@@ -270,7 +270,12 @@
     }
 }
 
-fn of_owner(desk: &RefCell<Desk>, round: &mut dyn Ears, link: Link, frame: &Frame<'_>) -> Result<(), Bad> {
+fn of_owner(
+    desk: &RefCell<Desk>,
+    round: &mut dyn PolicyEvents,
+    link: Link,
+    frame: &Frame<'_>,
+) -> Result<(), Bad> {
     match frame.kind {
         kind::SET_UP => set_up(desk, round, link, frame)?,
         kind::RELEASE => given_up(&mut desk.borrow_mut(), link, TaskId(frame.task)),
@@ -300,7 +305,12 @@
     }
 }
 
-fn set_up(desk: &RefCell<Desk>, round: &mut dyn Ears, link: Link, frame: &Frame<'_>) -> Result<(), Bad> {
+fn set_up(
+    desk: &RefCell<Desk>,
+    round: &mut dyn PolicyEvents,
+    link: Link,
+    frame: &Frame<'_>,
+) -> Result<(), Bad> {
     let mut borrowed = desk.borrow_mut();
     let d = &mut *borrowed;
     let id = TaskId(frame.task);
@@ -317,7 +327,7 @@
         if d.tasks.by_id.len() + d.handovers.waiting.len() >= d.most_held {
             return refuse_unusable(d, link, id, &Unusable("one more than can be held"));
         }
-        let order = order(setup, *case, Time::from_nanos(u64::MAX));
+        let order = order(setup, *case, Timestamp::from_nanos(u64::MAX));
         if !d.machines.by_id.contains_key(&machine) {
             // Another scheduler's list may be ahead of ours. Met: owners were told that their tasks were
             // over.
@@ -338,10 +348,10 @@
         Err(unusable) => return refuse_unusable(d, link, id, &unusable),
     };
     greets(d, link);
-    let lay = d.owners.by_link.get(&link).map_or(Span::ZERO, |owner| d.stood.lay(d.now, owner.since));
+    let lay = d.owners.by_link.get(&link).map_or(Duration::ZERO, |owner| d.stood.lay(d.now, owner.since));
     let longest = d.site.use_cases[case.0].client_timeout;
-    let patience = Span::from_nanos(setup.patience_ms * 1_000_000).min(longest) - lay;
-    if d.is_closed() || patience == Span::ZERO {
+    let patience = Duration::from_nanos(setup.patience_ms * 1_000_000).min(longest) - lay;
+    if d.is_closed() || patience == Duration::ZERO {
         d.send(link, |out| protocol::write_refusal(out, id.0, why::FULL, 0));
         return Ok(());
     }
@@ -380,7 +390,13 @@
 }
 
 /// A task that runs on this machine is this scheduler's charge from now on, unless its end was heard before.
-fn takes_over(desk: &RefCell<Desk>, round: &mut dyn Ears, order: Order, machine: MachineId, owner: Link) {
+fn takes_over(
+    desk: &RefCell<Desk>,
+    round: &mut dyn PolicyEvents,
+    order: Order,
+    machine: MachineId,
+    owner: Link,
+) {
     let mut borrowed = desk.borrow_mut();
     let d = &mut *borrowed;
     let id = order.id;
@@ -422,8 +438,8 @@
         return Err(Unusable("a description that is no text"));
     }
     let taking = &d.site.taking;
-    let largest = d.site.kinds.iter().fold(Room::NONE, |most, size| most.at_least(*size));
-    let asked = Room::new(setup.figures.cores, setup.figures.memory);
+    let largest = d.site.kinds.iter().fold(Resources::NONE, |most, size| most.at_least(*size));
+    let asked = Resources::new(setup.figures.cores, setup.figures.memory);
     if !(largest + taking.beyond(largest)).fits(asked) {
         return Err(Unusable("more than any machine takes"));
     }
@@ -434,13 +450,13 @@
     Ok(UseCaseId(case))
 }
 
-fn order(setup: &SetUp<'_>, use_case: UseCaseId, deadline: Time) -> Order {
+fn order(setup: &SetUp<'_>, use_case: UseCaseId, deadline: Timestamp) -> Order {
     Order {
         id: TaskId(setup.task),
         key: TaskKey(setup.name_number),
         use_case,
         service: ServiceId(setup.figures.service),
-        ask: Room::new(setup.figures.cores, setup.figures.memory),
+        ask: Resources::new(setup.figures.cores, setup.figures.memory),
         deadline,
         again: setup.again,
     }
@@ -481,7 +497,7 @@
 }
 
 /// Tells the module of the tasks that nobody wants any more.
-pub fn tell_gone(desk: &RefCell<Desk>, round: &mut dyn Ears) {
+pub fn tell_gone(desk: &RefCell<Desk>, round: &mut dyn PolicyEvents) {
     let gone = std::mem::take(&mut desk.borrow_mut().gone);
     gone.into_iter().for_each(|id| round.abandoned(id));
 }
@@ -529,7 +545,7 @@
 
 // Machines.
 
-fn hear_machine(desk: &RefCell<Desk>, round: &mut dyn Ears, link: Link) {
+fn hear_machine(desk: &RefCell<Desk>, round: &mut dyn PolicyEvents, link: Link) {
     let take = |d: &mut Desk| Some(std::mem::take(&mut d.machines.connections.get_mut(&link)?.frames));
     let Some(mut frames) = take(&mut desk.borrow_mut()) else { return };
     loop {
@@ -555,7 +571,12 @@
     }
 }
 
-fn of_machine(desk: &RefCell<Desk>, round: &mut dyn Ears, link: Link, frame: &Frame<'_>) -> Result<(), Bad> {
+fn of_machine(
+    desk: &RefCell<Desk>,
+    round: &mut dyn PolicyEvents,
+    link: Link,
+    frame: &Frame<'_>,
+) -> Result<(), Bad> {
     let id = TaskId(frame.task);
     let mut borrowed = desk.borrow_mut();
     let d = &mut *borrowed;
@@ -576,7 +597,7 @@
 
 fn of_its_tasks(
     desk: &RefCell<Desk>,
-    round: &mut dyn Ears,
+    round: &mut dyn PolicyEvents,
     link: Link,
     id: TaskId,
     frame: &Frame<'_>,
@@ -617,7 +638,7 @@
 }
 
 /// A machine says that a task stands.
-fn stands(desk: &RefCell<Desk>, round: &mut dyn Ears, link: Link, id: TaskId, description: &[u8]) {
+fn stands(desk: &RefCell<Desk>, round: &mut dyn PolicyEvents, link: Link, id: TaskId, description: &[u8]) {
     let mut borrowed = desk.borrow_mut();
     let d = &mut *borrowed;
     let now = d.now;
@@ -669,7 +690,7 @@
 
 fn released(
     desk: &RefCell<Desk>,
-    round: &mut dyn Ears,
+    round: &mut dyn PolicyEvents,
     link: Link,
     id: TaskId,
     cause: Cause,
@@ -709,16 +730,16 @@
 fn before_answer(cause: Cause, told: Option<Why>) -> Ending {
     match cause {
         why::FULL => Ending::Nacked(match told {
-            None => Nack::Untold,
-            Some(Why::NoCores) => Nack::NoCores,
-            Some(Why::NoMemory) => Nack::NoMemory,
-            Some(Why::LineFull) => Nack::QueueFull,
-            Some(Why::NotHere) => Nack::NotHere,
-            Some(Why::Evicted | Why::PushedOut | Why::SentAway) => Nack::HandedBack,
+            None => Rejection::Untold,
+            Some(Why::NoCores) => Rejection::NoCores,
+            Some(Why::NoMemory) => Rejection::NoMemory,
+            Some(Why::LineFull) => Rejection::QueueFull,
+            Some(Why::NotHere) => Rejection::NotHere,
+            Some(Why::Evicted | Why::PushedOut | Why::SentAway) => Rejection::HandedBack,
         }),
         why::ERROR => Ending::Errored,
         why::MOOT => Ending::NotSent,
-        _ => Ending::Broken(Loss::Untold),
+        _ => Ending::Broken(FailureCause::Untold),
     }
 }
 
@@ -727,16 +748,16 @@
         why::ENDED => Ending::Ok,
         why::CANCELLED => Ending::Recalled,
         _ => Ending::Broken(match told {
-            Some(Why::Evicted) => Loss::Evicted,
-            Some(Why::PushedOut) => Loss::PushedOut,
-            Some(Why::SentAway) => Loss::SentAway,
-            _ => Loss::Untold,
+            Some(Why::Evicted) => FailureCause::Evicted,
+            Some(Why::PushedOut) => FailureCause::PushedOut,
+            Some(Why::SentAway) => FailureCause::SentAway,
+            _ => FailureCause::Untold,
         }),
     }
 }
 
 /// Ends that this side found out.
-pub fn closings(desk: &RefCell<Desk>, round: &mut dyn Ears) {
+pub fn closings(desk: &RefCell<Desk>, round: &mut dyn PolicyEvents) {
     tell_gone(desk, round);
     loop {
         let next = desk.borrow_mut().closings.pop_front();
@@ -746,7 +767,14 @@
 }
 
 /// The end of a send, unless it is known already.
-fn close(desk: &RefCell<Desk>, round: &mut dyn Ears, id: TaskId, send: u32, ending: Ending, cause: Cause) {
+fn close(
+    desk: &RefCell<Desk>,
+    round: &mut dyn PolicyEvents,
+    id: TaskId,
+    send: u32,
+    ending: Ending,
+    cause: Cause,
+) {
     tracing::debug!(task = hex(id), send, ?ending, cause, "closed");
     let over = {
         let d = &mut *desk.borrow_mut();
@@ -833,7 +861,7 @@
             d.waits_for_connection(task, open.number, id);
             continue;
         }
-        let never_left = unwritten.contains(&(open.mark, Unwritten::Whole));
+        let never_left = unwritten.contains(&(open.mark, Unsent::Whole));
         if never_left && connection.up && !open.anew {
             // An idle connection that the other side had closed, or one reset as it came up: the same send
             // goes out on another one.
@@ -842,7 +870,7 @@
                 continue;
             }
         }
-        let ending = if never_left { Ending::NoConnection } else { Ending::Broken(Loss::Untold) };
+        let ending = if never_left { Ending::NoConnection } else { Ending::Broken(FailureCause::Untold) };
         d.closings.push_back((task, open.number, ending));
     }
     d.look_after(id);
@@ -916,7 +944,7 @@
     let mut up = d.machines.connections_of(id).filter(|(_, connection)| connection.up).count();
     let idle =
         d.machines.connections_of(id).filter(|(_, connection)| connection.up && connection.open.is_empty());
-    let idle: Vec<(Link, Time)> = idle.map(|(link, connection)| (link, connection.used_at)).collect();
+    let idle: Vec<(Link, Timestamp)> = idle.map(|(link, connection)| (link, connection.used_at)).collect();
     let quiet = now - heard_at;
     let cuts = !d.machines.by_id[&id].cuts.is_empty();
     // Where the pool is used up, machines where tasks stand are visited in turn, each well within the time
--- a/crates/platform/src/lib.rs
+++ b/crates/platform/src/lib.rs
@@ -22,14 +22,14 @@
 pub use desk::Counts;
 
 use desk::{Desk, Due};
-use mulleinhub::Brain;
-use mulleinhub_interface::{Mind, Time};
-use mulleinhub_seam::{Door, End, Link, Links, Party};
+use mulleinhub::PlacementPolicy;
+use mulleinhub_interface::{Policy, Timestamp};
+use mulleinhub_seam::{Connections, End, Link, ListenerId, StateMachine};
 use pen::Pen;
 use std::cell::RefCell;
 
 pub struct Platform {
-    mind: Brain,
+    mind: PlacementPolicy,
     desk: RefCell<Desk>,
     begun: bool,
 }
@@ -41,19 +41,19 @@
     }
 
     /// The bulletin is at this address from now on; the numbers go on.
-    pub fn reload(&mut self, now: Time, conf: Conf) {
+    pub fn reload(&mut self, now: Timestamp, conf: Conf) {
         let desk = self.desk.get_mut();
         desk.now = desk.now.max(now);
         desk.move_watch(conf.bulletin);
     }
 
     /// It is to end: tests fail from now on. Told again, nothing changes.
-    pub fn wind_down(&mut self, now: Time) {
+    pub fn wind_down(&mut self, now: Timestamp) {
         self.desk.get_mut().ending.get_or_insert(now);
     }
 
     /// Nobody comes any more, and all that was taken is answered.
-    pub fn is_done(&self, now: Time) -> bool {
+    pub fn is_done(&self, now: Timestamp) -> bool {
         self.desk.borrow().is_done(now)
     }
 
@@ -62,29 +62,29 @@
     }
 }
 
-impl Party for Platform {
-    fn opened(&mut self, now: Time, link: Link, _: Door) {
+impl StateMachine for Platform {
+    fn opened(&mut self, now: Timestamp, link: Link, _: ListenerId) {
         self.desk.get_mut().owner_came(now, link);
     }
 
-    fn up(&mut self, now: Time, link: Link) {
+    fn up(&mut self, now: Timestamp, link: Link) {
         self.desk.get_mut().is_up(now, link);
     }
 
-    fn received(&mut self, now: Time, link: Link, bytes: &[u8]) {
+    fn received(&mut self, now: Timestamp, link: Link, bytes: &[u8]) {
         self.desk.get_mut().came_in(now, link, bytes);
     }
 
-    fn ended(&mut self, now: Time, link: Link, end: End) {
+    fn ended(&mut self, now: Timestamp, link: Link, end: End) {
         self.desk.get_mut().has_ended(now, link, end);
     }
 
-    fn turn(&mut self, now: Time) {
+    fn turn(&mut self, now: Timestamp) {
         let Self { mind, desk, begun } = self;
         desk.get_mut().begin_turn(now);
         let first = !std::mem::replace(begun, true);
         let desk = &*desk;
-        Mind::round(mind, now, &mut Pen(desk), &mut |round| {
+        Policy::round(mind, now, &mut Pen(desk), &mut |round| {
             if first {
                 round.start();
                 hear::begin(desk, round);
@@ -117,19 +117,19 @@
         !matches!(self.desk.borrow().who(link), Some(desk::Who::Owner) | None)
     }
 
-    fn wake(&self) -> Option<Time> {
-        if self.begun { self.desk.borrow().wake() } else { Some(Time::default()) }
+    fn wake(&self) -> Option<Timestamp> {
+        if self.begun { self.desk.borrow().wake() } else { Some(Timestamp::default()) }
     }
 
-    fn links(&mut self) -> &mut Links {
+    fn links(&mut self) -> &mut Connections {
         &mut self.desk.get_mut().links
     }
 
-    fn takes(&self, _: Door) -> usize {
+    fn takes(&self, _: ListenerId) -> usize {
         self.desk.borrow().takes()
     }
 
-    fn pinched(&mut self, now: Time) {
+    fn pinched(&mut self, now: Timestamp) {
         let desk = self.desk.get_mut();
         desk.now = desk.now.max(now);
         for conn in desk.limits.pinched(now) {
--- a/crates/platform/src/machines.rs
+++ b/crates/platform/src/machines.rs
@@ -3,8 +3,8 @@
 //! A machine is its uid. A spoilt answer spends its connection with all that is open there, so a set-up has a
 //! connection to itself while the bound on connections allows it, and set-ups share when it does not.
 
-use mulleinhub_interface::{Entry, MachineId, Mode, Span, TaskId, Time};
-use mulleinhub_pacing::Gate;
+use mulleinhub_interface::{Duration, Entry, MachineId, Mode, TaskId, Timestamp};
+use mulleinhub_pacing::SlowStartGate;
 use mulleinhub_platform_protocol::Frames;
 use mulleinhub_seam::{End, Link};
 use std::collections::{BTreeMap, VecDeque};
@@ -21,11 +21,11 @@
     pub queued: bool,
     pub up: bool,
     /// When it came up, and when its machine had last shown before that it is there.
-    came_up: (Time, Time),
+    came_up: (Timestamp, Timestamp),
     /// The machine said something on it.
     pub heard: bool,
     /// When something last passed on it.
-    pub used_at: Time,
+    pub used_at: Timestamp,
     /// Set-ups that wait for their answers here.
     pub open: Vec<TaskId>,
     /// Set-ups given up here, and whether a copy that comes of one is to be cut.
@@ -36,7 +36,7 @@
 }
 
 impl Connection {
-    pub fn new(machine: MachineId, now: Time) -> Self {
+    pub fn new(machine: MachineId, now: Timestamp) -> Self {
         Self {
             machine,
             frames: Frames::default(),
@@ -82,12 +82,12 @@
     pub replaced: bool,
     pub connections: Vec<Link>,
     /// When it last showed that it is there.
-    pub heard_at: Time,
+    pub heard_at: Timestamp,
     /// Tries for a connection that failed since then, and when the next one may be made.
     pub failures: u32,
     pub refusals: u32,
-    pub retry_at: Time,
-    pub gate: Gate,
+    pub retry_at: Timestamp,
+    pub gate: SlowStartGate,
     /// Sends that the gate holds back, as task and number.
     pub waiting: Vec<(TaskId, u32)>,
     /// Tasks that stand there and are to be cut, once there is a connection.
@@ -97,7 +97,7 @@
 }
 
 impl Machine {
-    pub fn new(entry: Entry, address: String, now: Time) -> Self {
+    pub fn new(entry: Entry, address: String, now: Timestamp) -> Self {
         Self {
             entry,
             address,
@@ -107,7 +107,7 @@
             failures: 0,
             refusals: 0,
             retry_at: now,
-            gate: Gate::default(),
+            gate: SlowStartGate::default(),
             waiting: Vec::new(),
             cuts: Vec::new(),
             looked_after: false,
@@ -117,7 +117,7 @@
     /// A connection that had come up was ended by the other side without a word, sooner than one that is
     /// idle: nobody was there. Met: join+mass on centro-dados-sede, where a machine that had stopped let one
     /// come up once more, and owners heard of the ends there half a second late.
-    pub fn was_not_there(&mut self, connection: &Connection, now: Time, idle: Span) {
+    pub fn was_not_there(&mut self, connection: &Connection, now: Timestamp, idle: Duration) {
         let (came_up, before) = connection.came_up;
         if connection.up && !connection.heard && now - came_up < idle && self.heard_at == came_up {
             self.heard_at = before;
@@ -126,7 +126,7 @@
     }
 
     /// It showed that it is there, at this instant or later.
-    pub fn is_there(&mut self, at: Time) {
+    pub fn is_there(&mut self, at: Timestamp) {
         self.heard_at = self.heard_at.max(at);
         (self.failures, self.refusals) = (0, 0);
     }
@@ -149,7 +149,7 @@
     /// An open connection for a set-up of this task, with nothing else open on it: the one used last, and
     /// since then. Met: where machines close idle connections soon, a set-up was written as its machine
     /// closed.
-    pub fn free_connection(&self, machine: MachineId, task: TaskId, since: Time) -> Option<Link> {
+    pub fn free_connection(&self, machine: MachineId, task: TaskId, since: Timestamp) -> Option<Link> {
         let fits = |(_, connection): &(Link, &Connection)| {
             connection.up
                 && connection.used_at > since
@@ -177,7 +177,7 @@
     }
 
     /// The machine said something on this connection, at this instant or later.
-    pub fn shows_life(&mut self, said_at: Time, link: Link) {
+    pub fn shows_life(&mut self, said_at: Timestamp, link: Link) {
         let connection = self.connections.get_mut(&link).expect("a connection to a machine");
         connection.heard = true;
         if let Some(machine) = self.by_id.get_mut(&connection.machine) {
@@ -186,7 +186,7 @@
     }
 
     /// This connection came up, at this instant or later.
-    pub fn comes_up(&mut self, now: Time, up_at: Time, link: Link) {
+    pub fn comes_up(&mut self, now: Timestamp, up_at: Timestamp, link: Link) {
         let Some(connection) = self.connections.get_mut(&link) else { return };
         (connection.used_at, connection.up) = (now, true);
         if let Some(machine) = self.by_id.get_mut(&connection.machine) {
@@ -215,22 +215,22 @@
 #[derive(Clone, Copy, Debug)]
 pub struct Patience {
     /// Between two looks at a machine.
-    pub look: Span,
+    pub look: Duration,
     /// After so long without a sign a new connection is tried: that costs the machine no work, as a test
     /// does.
-    pub quiet: Span,
+    pub quiet: Duration,
     /// After so long without a sign and without a new connection it is lost, with what stood there.
-    pub lost: Span,
+    pub lost: Duration,
     /// A connection that is not up by then is not coming.
-    pub connect: Span,
+    pub connect: Duration,
     /// Idle ones are closed by us before the machine does.
-    pub idle: Span,
+    pub idle: Duration,
     /// Between two tries, at first.
-    pub again: Span,
+    pub again: Duration,
 }
 
 /// Owners must hear within this of an end that nobody could tell.
-const OWNERS_HEAR: Span = Span::from_secs(8);
+const OWNERS_HEAR: Duration = Duration::from_secs(8);
 /// What is lost is told this part of that after the last sign. Met: where machines were given up after half
 /// of it, a part of the fleet that was cut off for six seconds came back to find its tasks released, and two
 /// in five tasks of that day were lost for nothing.
@@ -242,7 +242,7 @@
 const IDLE_PART: f64 = 0.6;
 
 impl Patience {
-    pub fn new(idle_after: Span, connect_within: Span) -> Self {
+    pub fn new(idle_after: Duration, connect_within: Duration) -> Self {
         let lost = OWNERS_HEAR * LOST_PART;
         Self {
             look: lost * LOOK_PART,
--- a/crates/platform/src/owners.rs
+++ b/crates/platform/src/owners.rs
@@ -1,6 +1,6 @@
 //! Connections of owners: what came in on them, and which tasks are to be answered there.
 
-use mulleinhub_interface::{TaskId, Time};
+use mulleinhub_interface::{TaskId, Timestamp};
 use mulleinhub_platform_protocol::{Cause, Frames};
 use mulleinhub_seam::{End, Link};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
@@ -11,10 +11,10 @@
     pub end: Option<End>,
     pub queued: bool,
     /// Since when a part of a message has been here, if one is.
-    pub partial_since: Option<Time>,
+    pub partial_since: Option<Timestamp>,
     /// When the first of what waits to be heard was read, and after how many turns.
-    pub since: (Time, u64),
-    pub heard_at: Time,
+    pub since: (Timestamp, u64),
+    pub heard_at: Timestamp,
     /// A task of it stood, or it handed one over: it may be told of any task. Met: who only asked rightly
     /// need be no owner, and ends told there were heard by nobody.
     pub proven: bool,
@@ -26,13 +26,13 @@
     pub taken: Vec<TaskId>,
     /// Since when it is to make room: it is ended once a turn has passed in which nothing of it was here to
     /// be heard. Met: connections were ended while a set-up lay on them unread.
-    pub gives_way: Option<Time>,
+    pub gives_way: Option<Timestamp>,
     /// There was no room for it: what it asks is refused, and then it is ended.
     pub turned_away: bool,
 }
 
 impl Owner {
-    pub fn new(since: (Time, u64)) -> Self {
+    pub fn new(since: (Timestamp, u64)) -> Self {
         Self {
             frames: Frames::default(),
             end: None,
@@ -55,9 +55,9 @@
     /// Those that are to make room, as of the last turn and of this one.
     pub giving_way: Vec<Link>,
     /// Those for whom there was no room, the first to come first, and until when they may ask.
-    pub turned_away: VecDeque<(Time, Link)>,
+    pub turned_away: VecDeque<(Timestamp, Link)>,
     /// Releases that found no owner connected, oldest first.
-    pub owed: VecDeque<(Time, TaskId, Cause)>,
+    pub owed: VecDeque<(Timestamp, TaskId, Cause)>,
 }
 
 impl Owners {
--- a/crates/platform/src/pen.rs
+++ b/crates/platform/src/pen.rs
@@ -5,14 +5,14 @@
 
 use crate::desk::{Desk, Due};
 use crate::tasks::Open;
-use mulleinhub_interface::{Effect, Ending, MachineId, Mode, Reach, Span, TaskId, Time, Writer};
+use mulleinhub_interface::{Dispatch, Duration, Effect, Ending, MachineId, Mode, Reach, TaskId, Timestamp};
 use mulleinhub_platform_protocol::{self as protocol, kind, why};
 use std::cell::RefCell;
 
 pub struct Pen<'a>(pub &'a RefCell<Desk>);
 
 /// A final answer that is no yes: it goes to the connection that the task came on, and the task is over.
-fn answer(desk: &mut Desk, task: TaskId, cause: u8, stay_away: Span) {
+fn answer(desk: &mut Desk, task: TaskId, cause: u8, stay_away: Duration) {
     let job = &desk.tasks.by_id[&task];
     let (link, owed) = (job.owner, !job.answered);
     desk.is_answered(task);
@@ -23,8 +23,8 @@
     }
 }
 
-impl Writer for Pen<'_> {
-    fn send(&mut self, task: TaskId, machine: MachineId, time_out: Span) {
+impl Dispatch for Pen<'_> {
+    fn send(&mut self, task: TaskId, machine: MachineId, time_out: Duration) {
         let desk = &mut *self.0.borrow_mut();
         let now = desk.now;
         let job = desk.tasks.by_id.get_mut(&task).expect("the module sends tasks in hand");
@@ -64,7 +64,7 @@
         }
     }
 
-    fn nack(&mut self, task: TaskId, stay_away: Span) {
+    fn nack(&mut self, task: TaskId, stay_away: Duration) {
         let desk = &mut *self.0.borrow_mut();
         let job = &desk.tasks.by_id[&task];
         assert!(job.open.is_none(), "task {}: nacked with a send out", task.0);
@@ -81,7 +81,7 @@
         let desk = &mut *self.0.borrow_mut();
         assert!(desk.tasks.by_id[&task].open.is_none(), "task {}: errored with a send out", task.0);
         desk.counts.errored += 1;
-        answer(desk, task, why::ERROR, Span::ZERO);
+        answer(desk, task, why::ERROR, Duration::ZERO);
     }
 
     fn move_off(&mut self, task: TaskId) {
@@ -92,7 +92,7 @@
         }
     }
 
-    fn wake_at(&mut self, token: u64, at: Time) {
+    fn wake_at(&mut self, token: u64, at: Timestamp) {
         self.0.borrow_mut().timers.set(at, Due::Token(token));
     }
 
--- a/crates/platform/src/stories/crossings.rs
+++ b/crates/platform/src/stories/crossings.rs
@@ -2,9 +2,9 @@
 
 use super::placed;
 use super::rig::*;
-use mulleinhub_interface::Span;
+use mulleinhub_interface::Duration;
 use mulleinhub_platform_protocol::{code, kind, why};
-use mulleinhub_seam::{End, Link, Party};
+use mulleinhub_seam::{End, Link, StateMachine};
 use std::collections::BTreeSet;
 
 #[test]
@@ -15,7 +15,7 @@
     });
     let owner = rig.owner();
     rig.say(owner, &waits(set_up(1, "front", ""), "100000"));
-    rig.pass(Span::from_secs(80));
+    rig.pass(Duration::from_secs(80));
     assert!(!rig.closed.contains(&owner), "it waits");
     let heard = rig.heard_on(owner);
     assert!(heard.is_empty(), "it waits: {heard:?}");
@@ -101,7 +101,7 @@
                     }
                 }
                 rig.turn();
-                rig.pass(Span::from_secs(3));
+                rig.pass(Duration::from_secs(3));
                 assert!(rig.set_ups().is_empty(), "{class} {cause} {order:?}");
                 assert!(rig.heard_on(owner).is_empty(), "none is owed: {class} {cause} {order:?}");
                 assert!(rig.platform.desk.get_mut().tasks.by_id.is_empty());
@@ -121,7 +121,7 @@
     // Given up in that turn; the yes comes before the module has heard of it.
     rig.platform.received(rig.now, connection, &yes(1));
     rig.turn();
-    rig.pass(Span::from_secs(2));
+    rig.pass(Duration::from_secs(2));
     let heard = rig.heard_on(owner);
     let answers = heard.iter().filter(|said| said.kind == kind::ANSWER).count();
     let ends = heard.iter().filter(|said| said.kind == kind::RELEASE).count();
@@ -309,7 +309,7 @@
         rig.pass(ms(120));
         leaves(&mut rig, owner, 1, cancels);
         rig.doors.remove(&address(1));
-        rig.pass(Span::from_secs(3));
+        rig.pass(Duration::from_secs(3));
         assert!(rig.set_ups().is_empty());
         assert!(rig.platform.desk.get_mut().tasks.by_id.is_empty());
     }
@@ -331,7 +331,7 @@
         assert!(rig.set_ups().is_empty(), "it waits behind the gate");
         leaves(&mut rig, owner, 2, cancels);
         rig.say(connection, &yes(1));
-        rig.pass(Span::from_secs(3));
+        rig.pass(Duration::from_secs(3));
         assert!(rig.set_ups().is_empty());
     }
 }
@@ -362,7 +362,7 @@
         rig.say(owner, &set_up(task, "front", &format!(";at:{}", uid(2))));
     }
     rig.say(owner, &release(5, why::ENDED));
-    rig.pass(Span::from_secs(3));
+    rig.pass(Duration::from_secs(3));
     let told: Vec<u64> = rig.heard_on(owner).iter().map(|said| said.task).collect();
     assert_eq!(told, [6], "whoever ended it is owed nothing, the other one hears in time");
 }
--- a/crates/platform/src/stories/fleet.rs
+++ b/crates/platform/src/stories/fleet.rs
@@ -1,9 +1,9 @@
 //! Stories at the size of a fleet: more machines than descriptors.
 
 use super::rig::*;
-use mulleinhub_interface::Span;
+use mulleinhub_interface::Duration;
 use mulleinhub_platform_protocol::{code, kind, why};
-use mulleinhub_seam::{Door, Link, Party};
+use mulleinhub_seam::{Link, ListenerId, StateMachine};
 use std::collections::BTreeSet;
 
 /// Descriptors that the rig's configuration gives, and what of them is owners' and our own.
@@ -22,7 +22,7 @@
 }
 
 /// Lets time pass in small steps, and holds the open connections against the bound at each of them.
-fn pass_within_bounds(rig: &mut Rig, span: Span) {
+fn pass_within_bounds(rig: &mut Rig, span: Duration) {
     let until = rig.now + span;
     while rig.now < until {
         rig.pass(ms(50));
@@ -37,13 +37,13 @@
     // that had vanished behind its open connection was never looked at again.
     for machines in [20, 400, 1_024] {
         let (mut rig, owner) = fleet(machines);
-        pass_within_bounds(&mut rig, Span::from_secs(4));
+        pass_within_bounds(&mut rig, Duration::from_secs(4));
         let gone: BTreeSet<u64> = [3, machines / 2, machines].into();
         for n in &gone {
             rig.doors.insert(address(*n), Entrance::Silent);
             rig.stuck.extend(rig.on(&address(*n)));
         }
-        pass_within_bounds(&mut rig, Span::from_secs(8));
+        pass_within_bounds(&mut rig, Duration::from_secs(8));
         let told: BTreeSet<u64> = rig.heard_on(owner).iter().map(|said| said.task).collect();
         assert_eq!(told, gone, "of {machines} machines");
     }
@@ -53,7 +53,7 @@
 fn ends_that_machines_can_tell_only_when_they_are_visited_are_told_within_eight_seconds() {
     for machines in [400, 1_024] {
         let (mut rig, owner) = fleet(machines);
-        pass_within_bounds(&mut rig, Span::from_secs(4));
+        pass_within_bounds(&mut rig, Duration::from_secs(4));
         // All end at one instant; each machine tells on the next connection that is opened to it.
         let (mut told, mut seen) = (BTreeSet::new(), rig.opened.keys().copied().collect::<BTreeSet<Link>>());
         for _ in 0..160 {
@@ -92,7 +92,7 @@
     }
     rig.turn();
     assert_eq!(rig.set_ups().len(), strangers, "each goes on, on a connection of its own");
-    rig.pass(Span::from_secs(3));
+    rig.pass(Duration::from_secs(3));
     for (task, link) in (1..).zip(&early) {
         let answers = rig.heard_on(*link).iter().filter(|said| said.task == task).count();
         assert_eq!(answers, 1, "task {task}");
@@ -120,13 +120,13 @@
     assert!(rig.closed.contains(&silent));
     // More than are refused at a time wait outside.
     (0..40).for_each(|_| {
-        if rig.platform.takes(Door(0)) > 0 {
+        if rig.platform.takes(ListenerId(0)) > 0 {
             rig.owner();
         }
     });
-    assert_eq!(rig.platform.takes(Door(0)), 0);
+    assert_eq!(rig.platform.takes(ListenerId(0)), 0);
     rig.pass(ms(300));
-    assert!(rig.platform.takes(Door(0)) > 0);
+    assert!(rig.platform.takes(ListenerId(0)) > 0);
 }
 
 #[test]
@@ -148,7 +148,7 @@
     // And for longer: what stands is not called lost for it, before silence tells.
     rig.end(connection, mulleinhub_seam::End::Closed);
     rig.doors.insert(address(1), Entrance::Untried);
-    rig.pass(Span::from_secs(6));
+    rig.pass(Duration::from_secs(6));
     assert!(rig.heard_on(owner).is_empty(), "they stand");
 }
 
@@ -166,7 +166,7 @@
         let told = rig.now;
         rig.pass(ms(650));
         rig.say(owner, &set_up(1, "front", ""));
-        rig.pass(Span::from_secs(6));
+        rig.pass(Duration::from_secs(6));
         let said = rig.heard_on(owner);
         assert_eq!(said.len(), 1, "{longest}");
         assert!(said[0].at < told + ms(kill - 200), "{longest}: {:?}", said[0].at - told);
--- a/crates/platform/src/stories/mod.rs
+++ b/crates/platform/src/stories/mod.rs
@@ -7,7 +7,7 @@
 mod rig;
 mod rules;
 
-use mulleinhub_interface::{Span, Time};
+use mulleinhub_interface::{Duration, Timestamp};
 use mulleinhub_platform_protocol::{code, kind, why};
 use mulleinhub_seam::{End, Link};
 use rig::*;
@@ -142,9 +142,9 @@
     let connection = placed(&mut rig, owner, 1, "front");
     let desk = rig.platform.desk.get_mut();
     let (id, machine) = (mulleinhub_interface::TaskId(2), desk.machines.connections[&connection].machine);
-    assert_eq!(desk.machines.free_connection(machine, id, Time::default()), Some(connection));
+    assert_eq!(desk.machines.free_connection(machine, id, Timestamp::default()), Some(connection));
     desk.machines.connections.get_mut(&connection).unwrap().gives_up(id, false);
-    assert_eq!(desk.machines.free_connection(machine, id, Time::default()), None);
+    assert_eq!(desk.machines.free_connection(machine, id, Timestamp::default()), None);
     assert_eq!(desk.machines.shared_connection(machine, id), None);
 }
 
@@ -245,15 +245,15 @@
         let cut_off = rig.address_of(connection).to_owned();
         // The machine tells how its task fares once a second.
         for _ in 0..seconds_before {
-            rig.pass(Span::from_secs(1));
+            rig.pass(Duration::from_secs(1));
             let connection = rig.on(&cut_off)[0];
             rig.say(connection, &message(kind::NOTE, 1, &[(code::NOTE, b"use_cpu"), (code::FIGURE, b"0.5")]));
         }
         rig.pass(ms(900));
         rig.doors.insert(cut_off.clone(), Entrance::Silent);
-        rig.pass(Span::from_secs(6));
+        rig.pass(Duration::from_secs(6));
         rig.doors.remove(&cut_off);
-        rig.pass(Span::from_secs(9));
+        rig.pass(Duration::from_secs(9));
         assert!(rig.heard_on(owner).is_empty(), "it stands, {seconds_before} s on");
     }
 }
@@ -402,7 +402,7 @@
     rig.end(owner, End::Closed);
     (1..=128).for_each(|task| rig.say(connection, &release(task, why::ENDED)));
     assert_eq!(rig.platform.desk.get_mut().owners.owed.len(), 128);
-    rig.pass(Span::from_secs(61));
+    rig.pass(Duration::from_secs(61));
     assert!(rig.platform.desk.get_mut().owners.owed.is_empty());
 }
 
@@ -421,7 +421,7 @@
         }
         rig.pass(ms(100));
     }
-    rig.pass(Span::from_secs(20));
+    rig.pass(Duration::from_secs(20));
     let desk = rig.platform.desk.get_mut();
     assert!(desk.tasks.by_id.is_empty() && desk.owners.by_link.is_empty());
     assert_eq!((desk.machines.by_id.len(), desk.machines.connections.len()), (2, 0));
--- a/crates/platform/src/stories/ramp.rs
+++ b/crates/platform/src/stories/ramp.rs
@@ -4,12 +4,12 @@
 
 use super::rig::*;
 use mulleinhub::{Pcg, mix};
-use mulleinhub_interface::{Span, Time};
+use mulleinhub_interface::{Duration, Timestamp};
 use mulleinhub_platform_protocol::why;
 use mulleinhub_seam::Link;
 use std::collections::BTreeMap;
 
-const FALL: Span = Span::from_secs(1);
+const FALL: Duration = Duration::from_secs(1);
 /// The machine that everybody knows and that has no room left, and the cold ones.
 const FULL: u64 = 1;
 const COLD: std::ops::RangeInclusive<u64> = 2..=4;
@@ -18,9 +18,9 @@
     rig: Rig,
     owner: Link,
     /// When each change of the list reaches it, and what was told.
-    to_tell: Vec<(Time, Vec<String>)>,
+    to_tell: Vec<(Timestamp, Vec<String>)>,
     told: u64,
-    held_back: Vec<(Time, Link)>,
+    held_back: Vec<(Timestamp, Link)>,
 }
 
 struct Fleet {
@@ -28,7 +28,7 @@
     limit: u64,
     chance: Pcg,
     /// Calls that came to each machine.
-    calls: BTreeMap<u64, Vec<Time>>,
+    calls: BTreeMap<u64, Vec<Timestamp>>,
     next_task: u64,
 }
 
@@ -47,7 +47,7 @@
         fleet
     }
 
-    fn scheduler(&mut self, n: usize, of: usize, now: Time, known: &[String]) -> One {
+    fn scheduler(&mut self, n: usize, of: usize, now: Timestamp, known: &[String]) -> One {
         let (seed, limit) = (mix(self.chance.below(1 << 30) as u64, n as u64), self.limit);
         let mut rig = Rig::knowing(now, known, |conf| {
             conf.replace("\"balancers\":1,\"index\":0", &format!("\"balancers\":{of},\"index\":{n}"))
@@ -60,7 +60,7 @@
     }
 
     /// A step of all: what is due is told, tasks come, machines answer.
-    fn step(&mut self, step: Span, tasks: f64) {
+    fn step(&mut self, step: Duration, tasks: f64) {
         for at in 0..self.all.len() {
             let one = &mut self.all[at];
             one.rig.pass(step);
@@ -121,7 +121,8 @@
     fn most(&self, machine: u64) -> usize {
         let mut calls = self.calls.get(&machine).cloned().unwrap_or_default();
         calls.sort_unstable();
-        let in_window = |from: &Time| calls.iter().filter(|at| *at >= from && **at - *from <= FALL).count();
+        let in_window =
+            |from: &Timestamp| calls.iter().filter(|at| *at >= from && **at - *from <= FALL).count();
         calls.iter().map(in_window).max().unwrap_or(0)
     }
 }
--- a/crates/platform/src/stories/rig.rs
+++ b/crates/platform/src/stories/rig.rs
@@ -2,15 +2,15 @@
 //! more.
 
 use crate::{Conf, Platform};
-use mulleinhub_interface::{Span, Time};
+use mulleinhub_interface::{Duration, Timestamp};
 use mulleinhub_platform_protocol::{Frames, code, kind, write_message};
-use mulleinhub_seam::{Ask, Door, End, Link, Party};
+use mulleinhub_seam::{Ask, End, Link, ListenerId, StateMachine};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// A message as it was written, for looking at.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Said {
-    pub at: Time,
+    pub at: Timestamp,
     pub kind: u8,
     pub task: u64,
     pub params: Vec<(u8, Vec<u8>)>,
@@ -39,7 +39,7 @@
 
 pub struct Rig {
     pub platform: Platform,
-    pub now: Time,
+    pub now: Timestamp,
     pub doors: BTreeMap<String, Entrance>,
     /// Connections that the scheduler opened, by address, and whether bytes are taken from them.
     pub opened: BTreeMap<Link, String>,
@@ -52,10 +52,10 @@
 }
 
 pub const BULLETIN: &str = "127.0.0.1:8500";
-pub const START: Time = Time::from_nanos(1_700_000_000_000_000_000);
+pub const START: Timestamp = Timestamp::from_nanos(1_700_000_000_000_000_000);
 
-pub fn ms(ms: u64) -> Span {
-    Span::from_nanos(ms * 1_000_000)
+pub fn ms(ms: u64) -> Duration {
+    Duration::from_nanos(ms * 1_000_000)
 }
 
 pub fn uid(n: u64) -> String {
@@ -116,7 +116,7 @@
     }
 
     /// One that starts then and knows this list.
-    pub fn knowing(now: Time, lines: &[String], change: impl Fn(String) -> String) -> Self {
+    pub fn knowing(now: Timestamp, lines: &[String], change: impl Fn(String) -> String) -> Self {
         let conf = Conf::read(&change(conf(&event(1, true, lines), BULLETIN))).expect("a good one");
         let mut rig = Self {
             platform: Platform::new(conf),
@@ -203,7 +203,7 @@
     }
 
     /// Lets time pass, in steps as short as the scheduler wants its turns.
-    pub fn pass(&mut self, span: Span) {
+    pub fn pass(&mut self, span: Duration) {
         let until = self.now + span;
         while self.now < until {
             let wake = self.platform.wake().unwrap_or(until).max(self.now + ms(1));
@@ -236,7 +236,7 @@
     pub fn comes(&mut self) -> Link {
         let link = self.platform.links().fresh();
         self.owners.insert(link);
-        self.platform.opened(self.now, link, Door(0));
+        self.platform.opened(self.now, link, ListenerId(0));
         link
     }
 
--- a/crates/platform/src/stories/rules.rs
+++ b/crates/platform/src/stories/rules.rs
@@ -2,20 +2,20 @@
 
 use super::rig::*;
 use mulleinhub::Pcg;
-use mulleinhub_interface::{Span, Time};
+use mulleinhub_interface::{Duration, Timestamp};
 use mulleinhub_platform_protocol::{kind, why};
-use mulleinhub_seam::{End, Link, Party};
+use mulleinhub_seam::{End, Link, StateMachine};
 use std::collections::BTreeMap;
 
 /// What the oracle knows of a task from what passed.
 struct Known {
     owner: Link,
-    deadline: Time,
+    deadline: Timestamp,
     keyed: bool,
     service: u64,
     answers: usize,
     /// Sends: their connection, machine, when, and whether they are out, and may have run.
-    sends: Vec<(Link, u64, Time, bool, bool)>,
+    sends: Vec<(Link, u64, Timestamp, bool, bool)>,
     stands: bool,
     /// Its machine has told its end.
     over: bool,
@@ -44,7 +44,7 @@
     rig: Rig,
     tasks: BTreeMap<u64, Known>,
     /// When each machine was told to drain.
-    drains: BTreeMap<u64, Time>,
+    drains: BTreeMap<u64, Timestamp>,
     connections: BTreeMap<Link, u64>,
     seen: Seen,
 }
@@ -94,7 +94,7 @@
         }
     }
 
-    fn sent(&mut self, link: Link, machine: u64, id: u64, now: Time) {
+    fn sent(&mut self, link: Link, machine: u64, id: u64, now: Timestamp) {
         let limit = |keyed: bool| if keyed { 2 } else { 1 };
         let (service, keyed) = (self.tasks[&id].service, self.tasks[&id].keyed);
         let held = self.tasks.values().filter(|task| task.service == service && task.keyed == keyed);
@@ -107,7 +107,7 @@
             .sum();
         assert!(held < limit(keyed), "rule 5: {} of service {service} on machine {machine}", held + 1);
         if let Some(told) = self.drains.get(&machine) {
-            assert!(now <= *told + Span::from_secs(2), "rule 3: sent to a machine that drains");
+            assert!(now <= *told + Duration::from_secs(2), "rule 3: sent to a machine that drains");
         }
         let task = self.tasks.get_mut(&id).unwrap();
         assert!(!task.left, "a send of {id}, whose client has left");
@@ -117,7 +117,7 @@
             && task.keyed
         {
             assert_eq!(first.1 % 2, machine % 2, "rule 2: sent outside its cell");
-            assert!(now <= first.2 + Span::from_secs(5), "rule 2: sent outside its window");
+            assert!(now <= first.2 + Duration::from_secs(5), "rule 2: sent outside its window");
         }
         self.seen.resent += usize::from(!task.sends.is_empty());
         task.sends.push((link, machine, now, true, false));
@@ -288,7 +288,7 @@
         judge.rig.pass(ms(1 + chance.below(40) as u64));
         judge.look();
     }
-    judge.rig.pass(Span::from_secs(4));
+    judge.rig.pass(Duration::from_secs(4));
     judge.look();
     for (id, task) in judge.tasks.iter().filter(|(_, task)| !task.left) {
         assert_eq!(task.answers, 1, "rule 1: {id} has no final answer");
--- a/crates/platform/src/tasks.rs
+++ b/crates/platform/src/tasks.rs
@@ -1,6 +1,6 @@
 //! Tasks in hand, and their sends.
 
-use mulleinhub_interface::{MachineId, Order, TaskId, Time};
+use mulleinhub_interface::{MachineId, Order, TaskId, Timestamp};
 use mulleinhub_seam::Link;
 use std::collections::BTreeMap;
 
@@ -21,13 +21,13 @@
     pub link: Option<Link>,
     pub mark: u64,
     /// When the module decided on it, and when the wait for an answer ends.
-    pub decided: Time,
-    pub due: Time,
+    pub decided: Timestamp,
+    pub due: Timestamp,
     /// It is not written later than this.
-    pub write_by: Time,
+    pub write_by: Timestamp,
     /// It was written anew, as its first connection was reset before a byte of it had left.
     pub anew: bool,
-    pub placed_at: Option<Time>,
+    pub placed_at: Option<Timestamp>,
 }
 
 #[derive(Debug)]
@@ -38,7 +38,7 @@
     pub sends: u32,
     pub open: Option<Open>,
     /// When the first send was decided on that may have run, if any.
-    pub may_have_run: Option<Time>,
+    pub may_have_run: Option<Timestamp>,
     /// Its owner has had the final answer, or none is owed.
     pub answered: bool,
     /// Nobody wants it any more.
@@ -47,8 +47,8 @@
 
 impl Open {
     /// A send decided on now, which nothing has carried yet.
-    pub fn new(number: u32, machine: MachineId, now: Time, due: Time) -> Self {
-        let write_by = Time::from_nanos(u64::MAX);
+    pub fn new(number: u32, machine: MachineId, now: Timestamp, due: Timestamp) -> Self {
+        let write_by = Timestamp::from_nanos(u64::MAX);
         Self {
             number,
             machine,
--- a/crates/platform/src/watch.rs
+++ b/crates/platform/src/watch.rs
@@ -1,17 +1,17 @@
 //! The bulletin: its connection, and the last number that was heard whole.
 
-use mulleinhub_interface::{Span, Time};
+use mulleinhub_interface::{Duration, Timestamp};
 use mulleinhub_platform_protocol::{Bad, Event, Head, Stream, event};
 use mulleinhub_seam::Link;
 
 /// A comment comes each second; so long without one is a standstill of the other side.
-pub const SILENCE: Span = Span::from_nanos(2_200_000_000);
+pub const SILENCE: Duration = Duration::from_nanos(2_200_000_000);
 /// Between two tries, at first.
-pub const AGAIN: Span = Span::from_nanos(100_000_000);
+pub const AGAIN: Duration = Duration::from_nanos(100_000_000);
 /// A connection that is not up by then is not coming.
-pub const CONNECT: Span = Span::from_nanos(500_000_000);
+pub const CONNECT: Duration = Duration::from_nanos(500_000_000);
 /// A connection that lives for so long without a fault was no failed try: a comment comes each second.
-const LIVES: Span = Span::from_secs(1);
+const LIVES: Duration = Duration::from_secs(1);
 /// So often an event is asked for again that can't be read. After that it is passed over, so that what
 /// follows it is not lost too.
 const UNREAD: u32 = 3;
@@ -22,9 +22,9 @@
     pub link: Option<Link>,
     pub up: bool,
     /// When it was asked for, or last told anything.
-    pub heard_at: Time,
+    pub heard_at: Timestamp,
     /// Since when the present connection was asked for.
-    began: Time,
+    began: Timestamp,
     /// Tries that told nothing, one after another.
     pub failures: u32,
     pub last: u64,
@@ -46,7 +46,7 @@
     }
 
     /// A new connection begins.
-    pub fn begins(&mut self, link: Link, now: Time) {
+    pub fn begins(&mut self, link: Link, now: Timestamp) {
         (self.link, self.up, self.heard_at, self.began, self.first) = (Some(link), false, now, now, true);
         (self.head, self.stream) = (Head::default(), None);
     }
@@ -65,7 +65,7 @@
     /// Where it is no stream of events, or one that leaves some out. What was whole before is kept, and
     /// nothing counts that came behind. Met: an event that could not be read was never asked for again, as
     /// good ones with later numbers followed it.
-    pub fn take(&mut self, now: Time, bytes: &[u8]) -> Result<(), Bad> {
+    pub fn take(&mut self, now: Timestamp, bytes: &[u8]) -> Result<(), Bad> {
         self.heard_at = now;
         let behind;
         let mut bytes = bytes;
--- a/crates/quota/src/announce.rs
+++ b/crates/quota/src/announce.rs
@@ -4,16 +4,16 @@
 //! all of them there the first one speaks, and the others hear of it in time. Two that speak at the same
 //! time do no harm: the later row number holds.
 
-use mulleinhub_interface::{Span, Time};
+use mulleinhub_interface::{Duration, Timestamp};
 use mulleinhub_replicated_log::{Announced, Name, State};
 use std::collections::BTreeMap;
 
 /// How much longer a holder waits than the one before it.
-const RANK_WAITS: Span = Span::from_secs(2);
+const RANK_WAITS: Duration = Duration::from_secs(2);
 /// A silence alone is waited out for so long more: a sign of life may only be late.
-const SILENCE_WAITS: Span = Span::from_secs(1);
+const SILENCE_WAITS: Duration = Duration::from_secs(1);
 /// Between two announcements of one member by one holder.
-const BETWEEN: Span = Span::from_secs(10);
+const BETWEEN: Duration = Duration::from_secs(10);
 
 /// How far a work log is known: a life of its writer, and the number of its last row.
 pub type Extent = (u64, u64);
@@ -21,8 +21,8 @@
 /// Since when members have been silent, and when we announced their work last.
 #[derive(Debug, Default)]
 pub struct Announcer {
-    silent: BTreeMap<Name, Time>,
-    announced: BTreeMap<Name, Time>,
+    silent: BTreeMap<Name, Timestamp>,
+    announced: BTreeMap<Name, Timestamp>,
 }
 
 impl Announcer {
@@ -36,7 +36,7 @@
     /// announced it.
     pub fn is_due(
         &mut self,
-        now: Time,
+        now: Timestamp,
         member: &Name,
         rank: usize,
         broke: bool,
@@ -44,7 +44,7 @@
         known: Option<Extent>,
     ) -> bool {
         let since = *self.silent.entry(member.clone()).or_insert(now);
-        let waits = RANK_WAITS * rank as f64 + if broke { Span::ZERO } else { SILENCE_WAITS };
+        let waits = RANK_WAITS * rank as f64 + if broke { Duration::ZERO } else { SILENCE_WAITS };
         let rests = self.announced.get(member).is_some_and(|at| now - *at < BETWEEN);
         if known.is_some_and(|known| known >= copy) || now - since < waits || rests {
             return false;
--- a/crates/quota/src/keeper.rs
+++ b/crates/quota/src/keeper.rs
@@ -18,7 +18,7 @@
 use crate::reservation_pool::{Away, News, ReservationPools, Seen, Terms};
 use crate::settings::Settings;
 use crate::shares::{self, Demand, Use};
-use mulleinhub_interface::{Pcg, Span, Time};
+use mulleinhub_interface::{Duration, Pcg, Timestamp};
 use mulleinhub_replicated_log::{
     Balance, Changes, Entry, KeptLogs, Kind, LogId, LogStore, MemberState, Membership, Name, Parts, Reached,
     ShareTransfer, State, Subject, Word, replicas,
@@ -26,19 +26,20 @@
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
 /// Between two looks at the tills.
-pub const TICK: Span = Span::from_nanos(100_000_000);
+pub const TICK: Duration = Duration::from_nanos(100_000_000);
 /// What a till knows holds for so long after a look. A keeper that stands still takes nothing new.
-const FRESH: Span = Span::from_nanos(1_000_000_000);
+const FRESH: Duration = Duration::from_nanos(1_000_000_000);
 /// An ask without an answer is given up after this, and whoever had nothing is left alone for that long and
 /// drawn up to twice as long.
-const ANSWER: Span = Span::from_secs(1);
-const REST: Span = Span::from_secs(2);
+const ANSWER: Duration = Duration::from_secs(1);
+const REST: Duration = Duration::from_secs(2);
 /// What the others have is reckoned this often at the most.
-const LOOK: Span = Span::from_nanos(200_000_000);
+const LOOK: Duration = Duration::from_nanos(200_000_000);
 /// While it isn't known what was used of a share.
-const UNKNOWN: Away = Away { least: Span::from_nanos(500_000_000), most: Span::from_nanos(1_500_000_000) };
+const UNKNOWN: Away =
+    Away { least: Duration::from_nanos(500_000_000), most: Duration::from_nanos(1_500_000_000) };
 /// After a standstill nothing new is taken until something was heard of the others, or for this long.
-const AWAKE: Span = Span::from_nanos(500_000_000);
+const AWAKE: Duration = Duration::from_nanos(500_000_000);
 /// Clocks of schedulers differ by less: what an unknown former life may have begun, it began within this.
 const CLOCKS_DIFFER: u64 = 60_000;
 /// So that the first of a burst need not wait for the disk, this part of what is left lies drawn, also
@@ -106,9 +107,9 @@
     credits: VecDeque<(u64, Parts)>,
     demand: Demand,
     most: u64,
-    asking: Option<(Name, Time)>,
-    looked_at: Option<Time>,
-    rests: BTreeMap<Name, Time>,
+    asking: Option<(Name, Timestamp)>,
+    looked_at: Option<Timestamp>,
+    rests: BTreeMap<Name, Timestamp>,
     seen: Seen,
     others_have: bool,
     /// What holds for it, and whether its hold's tasks were written down.
@@ -127,13 +128,13 @@
     is_older: bool,
     announcer: Announcer,
     /// Since when we are no replica of members whose work logs we hold, and when that was looked at last.
-    spare_copies: BTreeMap<Name, Time>,
-    spare_looked_at: Time,
+    spare_copies: BTreeMap<Name, Timestamp>,
+    spare_looked_at: Timestamp,
     /// When balances are written together, in Unix time.
     balances_at: u64,
     pub roll: Membership,
     phase: Phase,
-    since: Option<Time>,
+    since: Option<Timestamp>,
     met: BTreeSet<Name>,
     /// The end of our last life's column, as we had kept it.
     kept: Option<(u64, u64)>,
@@ -142,9 +143,9 @@
     /// What others say of each team.
     figures: FigureCache,
     chance: Pcg,
-    due: Option<Time>,
-    awake_at: Option<Time>,
-    heard_at: Option<Time>,
+    due: Option<Timestamp>,
+    awake_at: Option<Timestamp>,
+    heard_at: Option<Timestamp>,
     wanted: Vec<Wanted>,
     replies: Vec<Reply>,
     adopted: BTreeSet<u64>,
@@ -158,7 +159,7 @@
 
 impl Ledger {
     /// `life` is greater at each start; `kept` is what earlier lives left on disk.
-    pub fn new(settings: Settings, life: u64, seed: u64, kept: KeptLogs, beat: Span) -> Self {
+    pub fn new(settings: Settings, life: u64, seed: u64, kept: KeptLogs, beat: Duration) -> Self {
         let own = LogId { writer: settings.me.clone(), life };
         let mut library = LogStore::new(own.clone());
         let mut told = library.restore(kept.fleet);
@@ -201,7 +202,7 @@
             is_older: false,
             announcer: Announcer::default(),
             spare_copies: BTreeMap::new(),
-            spare_looked_at: Time::default(),
+            spare_looked_at: Timestamp::default(),
             balances_at: 0,
             phase: Phase::CatchingUp,
             since: None,
@@ -318,7 +319,7 @@
     }
 
     /// Something was heard of another.
-    pub fn heard(&mut self, now: Time) {
+    pub fn heard(&mut self, now: Timestamp) {
         self.heard_at = Some(now);
     }
 
@@ -427,7 +428,7 @@
     /// that is kept.
     pub fn asked(
         &mut self,
-        now: Time,
+        now: Timestamp,
         from: &Name,
         life: u64,
         wanted: &Wanted,
@@ -475,7 +476,7 @@
     }
 
     /// Another's answer to what we asked for: nothing, or a gift whose row comes with its column.
-    pub fn answered(&mut self, now: Time, from: &Name, team: &Name, parts: Parts) {
+    pub fn answered(&mut self, now: Timestamp, from: &Name, team: &Name, parts: Parts) {
         let Some(team) = self.settings.teams.iter().position(|t| t.name == *team) else { return };
         let rest = now + REST * (1.0 + self.chance.part());
         let desk = &mut self.desks[team];
@@ -495,13 +496,13 @@
     // Time.
 
     /// When the next look is due.
-    pub fn due(&self) -> Option<Time> {
+    pub fn due(&self) -> Option<Timestamp> {
         self.due
     }
 
     /// This process stood still for so long: what was silent meanwhile may have spoken, and what is known
     /// is old.
-    pub fn stood(&mut self, now: Time, still: Span) {
+    pub fn stood(&mut self, now: Timestamp, still: Duration) {
         self.roll.stood(still);
         if still > FRESH {
             self.awake_at = Some(now);
@@ -509,7 +510,7 @@
     }
 
     /// Looks at all tills. `utc` is the time of day, in milliseconds of Unix time.
-    pub fn tick(&mut self, now: Time, utc: u64, tills: &mut dyn ReservationPools) {
+    pub fn tick(&mut self, now: Timestamp, utc: u64, tills: &mut dyn ReservationPools) {
         self.due = Some(now + TICK);
         let month = self.settings.months.at(utc);
         self.refresh_figures();
@@ -518,7 +519,7 @@
             if !self.has_caught_up(now) {
                 for team in 0..self.desks.len() {
                     let terms = self.terms(team, utc);
-                    tills.with(team, &mut |till| till.refresh(Time::default(), UNKNOWN, terms));
+                    tills.with(team, &mut |till| till.refresh(Timestamp::default(), UNKNOWN, terms));
                 }
                 return self.tell_names(now, utc, tills);
             }
@@ -541,7 +542,7 @@
         self.forget_copies(now);
     }
 
-    fn has_caught_up(&self, now: Time) -> bool {
+    fn has_caught_up(&self, now: Timestamp) -> bool {
         let others = self.roll.len();
         let waited = self.since.is_some_and(|since| now - since >= self.settings.catch_up);
         // Every row that was told is with most of the others by then, or with those who can't be reached.
@@ -599,7 +600,7 @@
         }
     }
 
-    fn turn_month(&mut self, now: Time, month: Month, tills: &mut dyn ReservationPools) {
+    fn turn_month(&mut self, now: Timestamp, month: Month, tills: &mut dyn ReservationPools) {
         let old = self.month.replace(month).map_or(0, |month| month.number);
         for team in 0..self.desks.len() {
             let (mut spent, mut owed) = (0, 0);
@@ -628,7 +629,7 @@
     /// A worker ran on while nobody counted: what it cost since then is charged by whoever has it now.
     fn charge_gap(
         &mut self,
-        now: Time,
+        now: Timestamp,
         until: u64,
         team: usize,
         key: u64,
@@ -648,7 +649,8 @@
             Some(work.since.max(at[0].max(at[1])))
         };
         let Some(since) = states.iter().filter_map(counted).max() else { return };
-        let span = |from: u64, to: u64| Span::from_nanos(to.saturating_sub(from).saturating_mul(1_000_000));
+        let span =
+            |from: u64, to: u64| Duration::from_nanos(to.saturating_sub(from).saturating_mul(1_000_000));
         let here = cost(rate, span(since.max(month.begins), until));
         tills.with(team, &mut |till| till.charge(now, here));
         let before = cost(rate, span(since, month.begins.min(until)));
@@ -700,7 +702,7 @@
     /// holds.
     fn look_after(
         &mut self,
-        now: Time,
+        now: Timestamp,
         utc: u64,
         team: usize,
         fleet: Pace,
@@ -781,8 +783,8 @@
         self.ask_others(now, team, month.number, uses.wants(has));
         let awake =
             self.awake_at.is_none_or(|at| now - at > AWAKE || self.heard_at.is_some_and(|heard| heard > at));
-        let left = Span::from_nanos(month.ends.saturating_sub(utc).saturating_mul(1_000_000));
-        let fresh = if awake { now + FRESH.min(left) } else { Time::default() };
+        let left = Duration::from_nanos(month.ends.saturating_sub(utc).saturating_mul(1_000_000));
+        let fresh = if awake { now + FRESH.min(left) } else { Timestamp::default() };
         let has_some = self.desks[team].others_have || free.open >= self.desks[team].most;
         let mut terms = self.terms(team, utc);
         terms.near |= all_too_much;
@@ -819,7 +821,7 @@
         Terms { capped: cap.is_some(), bound, held, finished, near }
     }
 
-    fn ask_others(&mut self, now: Time, team: usize, month: u32, parts: Parts) {
+    fn ask_others(&mut self, now: Timestamp, team: usize, month: u32, parts: Parts) {
         let desk = &mut self.desks[team];
         if let Some((name, until)) = &desk.asking {
             if now < *until {
@@ -855,7 +857,7 @@
     }
 
     /// Who may come again, told to the tills where that has changed.
-    fn tell_names(&mut self, now: Time, utc: u64, tills: &mut dyn ReservationPools) {
+    fn tell_names(&mut self, now: Timestamp, utc: u64, tills: &mut dyn ReservationPools) {
         let me = &self.settings.me;
         let states = self.fleet_states();
         let silent = |writer: &&Name| *writer != me && self.roll.presence(now, writer) != MemberState::Alive;
--- a/crates/quota/src/keeper/copies.rs
+++ b/crates/quota/src/keeper/copies.rs
@@ -4,20 +4,20 @@
 use super::{Ledger, MOST_WORK, USUAL_REPLICAS};
 use crate::announce;
 use crate::work_log::{self, Running};
-use mulleinhub_interface::{Span, Time};
+use mulleinhub_interface::{Duration, Timestamp};
 use mulleinhub_replicated_log::{
     Announced, Entry, Kind, LogId, MemberState, Name, State, TAKEN_BACK, Work, replicas,
 };
 use std::collections::BTreeSet;
 
 /// Between two looks at which copies are spare, and how long one is kept on.
-const SPARE_LOOK: Span = Span::from_secs(60);
-const SPARE_KEPT: Span = Span::from_secs(600);
+const SPARE_LOOK: Duration = Duration::from_secs(60);
+const SPARE_KEPT: Duration = Duration::from_secs(600);
 
 impl Ledger {
     /// Lets go of copies of members that are there, and whose replica we have not been for long. One that
     /// is wrong about that gets the log again with its next row.
-    pub(super) fn forget_copies(&mut self, now: Time) {
+    pub(super) fn forget_copies(&mut self, now: Timestamp) {
         let Some(many) = self.settings.replicas.filter(|_| now - self.spare_looked_at >= SPARE_LOOK) else {
             return;
         };
@@ -41,7 +41,7 @@
 
     /// Announces what ran at members that are silent, and takes back what was announced of those that are
     /// there in a later life.
-    pub(super) fn announce(&mut self, now: Time, utc: u64) {
+    pub(super) fn announce(&mut self, now: Timestamp, utc: u64) {
         let writers: BTreeSet<Name> = self.copies().cloned().collect();
         for writer in &writers {
             if self.roll.presence(now, writer) == MemberState::Alive {
@@ -61,7 +61,7 @@
         Some((life, column.tip().0, column.state()))
     }
 
-    pub(super) fn announce_silent(&mut self, now: Time, utc: u64, writer: &Name) {
+    pub(super) fn announce_silent(&mut self, now: Timestamp, utc: u64, writer: &Name) {
         let Some((life, number, state)) = self.copy_of(writer) else { return };
         if self.is_succeeded(writer, life) {
             return;
@@ -120,7 +120,7 @@
         self.work.drop_writer(writer);
     }
 
-    pub(super) fn take_back_announcements(&mut self, now: Time) {
+    pub(super) fn take_back_announcements(&mut self, now: Timestamp) {
         let me = &self.settings.me;
         let Some(ours) = self.library.state_of(me).map(|state| &state.announced) else { return };
         let back = |(of, announced): &(&Name, &Announced)| {
--- a/crates/quota/src/keeper/figures/tests.rs
+++ b/crates/quota/src/keeper/figures/tests.rs
@@ -5,7 +5,7 @@
 use crate::money::Prices;
 use crate::month::{Month, Months};
 use crate::settings::{Settings, Team};
-use mulleinhub_interface::Span;
+use mulleinhub_interface::Duration;
 use mulleinhub_replicated_log::{
     Balance, Before, Entry, KeptLogs, Log, LogId, Name, Parts, ShareTransfer, Standing, State, Subject, Word,
 };
@@ -115,8 +115,8 @@
         prices: Prices { core_second: 1, memory_second: 0 },
         months: Months::of_zone("UTC").expect("is a zone"),
         near: 900_000,
-        stretch: Span::from_secs(10),
-        catch_up: Span::from_secs(3),
+        stretch: Duration::from_secs(10),
+        catch_up: Duration::from_secs(3),
         replicas: None,
         sites: BTreeMap::new(),
     }
@@ -135,7 +135,7 @@
 
 impl World {
     fn new() -> Self {
-        let mut keeper = Ledger::new(settings(), 1, 7, KeptLogs::default(), Span::from_secs(1));
+        let mut keeper = Ledger::new(settings(), 1, 7, KeptLogs::default(), Duration::from_secs(1));
         keeper.library.open(State { month: MONTH, ..State::default() });
         keeper.month = Some(month(MONTH));
         let mut world = Self { keeper, logs: Vec::new(), orders: 0 };
--- a/crates/quota/src/keeper/work.rs
+++ b/crates/quota/src/keeper/work.rs
@@ -5,7 +5,7 @@
 use crate::names;
 use crate::reservation_pool::{News, ReservationPools};
 use crate::work_log::{self, Divided, Running, WorkNews};
-use mulleinhub_interface::Time;
+use mulleinhub_interface::Timestamp;
 use mulleinhub_replicated_log::{Entry, Kind, Name, READS_WORK_LOGS, State, WRITES_WORK_LOG, Work};
 use std::collections::BTreeSet;
 
@@ -80,7 +80,7 @@
     }
 
     /// What became of workers since the last look, as rows.
-    pub(super) fn tell_news(&mut self, now: Time, utc: u64, tills: &mut dyn ReservationPools) {
+    pub(super) fn tell_news(&mut self, now: Timestamp, utc: u64, tills: &mut dyn ReservationPools) {
         let me = self.settings.me.clone();
         let mut told = WorkNews::default();
         for team in 0..self.desks.len() {
--- a/crates/quota/src/pace.rs
+++ b/crates/quota/src/pace.rs
@@ -6,12 +6,12 @@
 //! a cap is nearly spent, needs them often only near its end.
 
 use crate::shares::BLOCK;
-use mulleinhub_interface::Span;
+use mulleinhub_interface::Duration;
 use mulleinhub_replicated_log::Balance;
 
 /// What was spent is written down this often at the most, where nothing else is: a crash leaves so much to
 /// be reckoned.
-pub const LEAST_PERIOD: Span = Span::from_secs(1);
+pub const LEAST_PERIOD: Duration = Duration::from_secs(1);
 /// About what one balance costs each member, in bytes, and what all that are written together cost beside:
 /// ends of logs that are told, and the asking for rows.
 const BALANCE: u64 = 64;
@@ -24,7 +24,7 @@
 /// Between two writings of a team's balance, and what a block that is drawn lasts for.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Pace {
-    pub period: Span,
+    pub period: Duration,
     /// In seconds of use.
     pub block: f64,
 }
@@ -37,9 +37,9 @@
     pub fn of_fleet(members: usize, teams: usize) -> Self {
         let each = (teams as u64).saturating_mul(BALANCE).saturating_add(TELLING);
         let bytes = (members as u64).saturating_mul(each);
-        let period = Span::from_secs(1) * (bytes as f64 / BUDGET as f64);
+        let period = Duration::from_secs(1) * (bytes as f64 / BUDGET as f64);
         let period = period.max(LEAST_PERIOD);
-        Self { period, block: (2.0 * period.over(Span::from_secs(1))).max(BLOCK) }
+        Self { period, block: (2.0 * period.over(Duration::from_secs(1))).max(BLOCK) }
     }
 }
 
--- a/crates/quota/src/reservation_pool.rs
+++ b/crates/quota/src/reservation_pool.rs
@@ -9,7 +9,7 @@
 //! Nothing here allocates but the telling of names, whose room the keeper gives back.
 
 use crate::money::{accrued, cost};
-use mulleinhub_interface::{Span, TaskKey, Ticket, Time};
+use mulleinhub_interface::{Duration, TaskKey, Ticket, Timestamp};
 use mulleinhub_replicated_log::Parts;
 use std::collections::HashMap;
 
@@ -19,17 +19,17 @@
 /// It has room for so many times the names that came between two looks.
 const SPARE_OVER_ASKED: usize = 2;
 /// The most that came between two looks is forgotten after this.
-const ASKS_REMEMBERED: Span = Span::from_secs(60);
+const ASKS_REMEMBERED: Duration = Duration::from_secs(60);
 
 /// Between how long and how long a refused owner is to stay away.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Away {
-    pub least: Span,
-    pub most: Span,
+    pub least: Duration,
+    pub most: Duration,
 }
 
 impl Away {
-    pub fn drawn(self, drawn: f64) -> Span {
+    pub fn drawn(self, drawn: f64) -> Duration {
         self.least + (self.most - self.least) * drawn
     }
 }
@@ -47,7 +47,7 @@
     Adopted {
         key: u64,
         rate: u64,
-        at: Time,
+        at: Timestamp,
     },
     Over {
         key: u64,
@@ -82,10 +82,10 @@
 /// One team's.
 #[derive(Debug)]
 pub struct ReservationPool {
-    stretch: Span,
-    at: Time,
+    stretch: Duration,
+    at: Timestamp,
     /// Nothing new is taken by what is known here after this instant.
-    fresh_until: Time,
+    fresh_until: Timestamp,
     away: Away,
     terms: Terms,
     has: Parts,
@@ -104,7 +104,7 @@
     /// when it was so many.
     asks: usize,
     most_asks: usize,
-    most_asks_at: Time,
+    most_asks_at: Timestamp,
     // Since the keeper's last look.
     asked: u64,
     refused: u64,
@@ -139,11 +139,11 @@
 }
 
 impl ReservationPool {
-    pub fn new(stretch: Span, away: Away, terms: Terms) -> Self {
+    pub fn new(stretch: Duration, away: Away, terms: Terms) -> Self {
         Self {
             stretch,
-            at: Time::default(),
-            fresh_until: Time::default(),
+            at: Timestamp::default(),
+            fresh_until: Timestamp::default(),
             away,
             terms,
             has: Parts::default(),
@@ -156,7 +156,7 @@
             waiting: HashMap::new(),
             asks: 0,
             most_asks: 0,
-            most_asks_at: Time::default(),
+            most_asks_at: Timestamp::default(),
             asked: 0,
             refused: 0,
             most: 0,
@@ -170,7 +170,14 @@
     ///
     /// # Errors
     /// For how long its owner is to stay away.
-    pub fn ask(&mut self, now: Time, team: u32, key: TaskKey, rate: u64, drawn: f64) -> Result<Ticket, Span> {
+    pub fn ask(
+        &mut self,
+        now: Timestamp,
+        team: u32,
+        key: TaskKey,
+        rate: u64,
+        drawn: f64,
+    ) -> Result<Ticket, Duration> {
         self.accrue(now);
         self.asks += 1;
         let need = cost(rate, self.stretch);
@@ -198,7 +205,7 @@
     }
 
     /// A place for a new worker, where there is one.
-    fn take(&mut self, now: Time, none: Ticket, need: u64) -> Option<Ticket> {
+    fn take(&mut self, now: Timestamp, none: Ticket, need: u64) -> Option<Ticket> {
         let is_fresh = now <= self.fresh_until;
         if !self.terms.capped {
             return (is_fresh || !self.terms.bound).then_some(none);
@@ -245,7 +252,7 @@
     }
 
     /// It had its final answer and never ran.
-    pub fn never_ran(&mut self, now: Time, ticket: Ticket) {
+    pub fn never_ran(&mut self, now: Timestamp, ticket: Ticket) {
         self.accrue(now);
         self.give_back(ticket);
         self.not_in_hand(ticket.key.0);
@@ -253,7 +260,7 @@
     }
 
     /// It had its final answer and may run all the same, for a stretch at the most.
-    pub fn may_run(&mut self, now: Time, ticket: Ticket) {
+    pub fn may_run(&mut self, now: Timestamp, ticket: Ticket) {
         self.accrue(now);
         let reserve = ticket.open + ticket.last;
         self.reserved -= reserve;
@@ -262,7 +269,7 @@
         self.waits_no_more(ticket.key.0);
     }
 
-    pub fn runs(&mut self, now: Time, ticket: Ticket) {
+    pub fn runs(&mut self, now: Timestamp, ticket: Ticket) {
         self.accrue(now);
         self.rate += ticket.rate;
         self.waits_no_more(ticket.key.0);
@@ -271,7 +278,7 @@
     }
 
     /// It ran already, and is this scheduler's from now on.
-    pub fn adopt(&mut self, now: Time, team: u32, key: TaskKey, rate: u64) -> Ticket {
+    pub fn adopt(&mut self, now: Timestamp, team: u32, key: TaskKey, rate: u64) -> Ticket {
         self.accrue(now);
         let need = cost(rate, self.stretch);
         self.rate += rate;
@@ -279,7 +286,7 @@
         self.reserve(Ticket { team, key, rate, open: 0, last: 0 }, need)
     }
 
-    pub fn over(&mut self, now: Time, ticket: Ticket, comes_again: bool) {
+    pub fn over(&mut self, now: Timestamp, ticket: Ticket, comes_again: bool) {
         self.accrue(now);
         self.rate -= ticket.rate;
         self.give_back(ticket);
@@ -291,7 +298,7 @@
         self.news.push(News::Over { key: ticket.key.0, comes_again });
     }
 
-    fn accrue(&mut self, now: Time) {
+    fn accrue(&mut self, now: Timestamp) {
         let passed = now - self.at;
         self.at = self.at.max(now);
         let (cost, carried) = accrued(self.rate, passed, self.carried);
@@ -317,7 +324,7 @@
 
     // For the keeper.
 
-    pub fn look(&mut self, now: Time) -> Seen {
+    pub fn look(&mut self, now: Timestamp) -> Seen {
         self.accrue(now);
         let seen = Seen {
             has: self.has,
@@ -339,7 +346,7 @@
     }
 
     /// What is known here holds until then.
-    pub fn refresh(&mut self, fresh_until: Time, away: Away, terms: Terms) {
+    pub fn refresh(&mut self, fresh_until: Timestamp, away: Away, terms: Terms) {
         (self.fresh_until, self.away, self.terms) = (fresh_until, away, terms);
         self.make_room();
     }
@@ -379,7 +386,7 @@
     }
 
     /// What a worker cost before it was adopted.
-    pub fn charge(&mut self, now: Time, cost: u64) {
+    pub fn charge(&mut self, now: Timestamp, cost: u64) {
         self.accrue(now);
         self.spend(cost);
     }
@@ -399,7 +406,7 @@
 
     /// A new month begins: what was spent and what lay here belong to the old one. What is reserved is owed
     /// to the new one, whose share has to cover it. What was spent and what was owed.
-    pub fn turn_month(&mut self, now: Time) -> (u64, u64) {
+    pub fn turn_month(&mut self, now: Timestamp) -> (u64, u64) {
         self.accrue(now);
         let old = (std::mem::take(&mut self.spent), std::mem::replace(&mut self.debt, self.reserved));
         self.has = Parts::default();
@@ -411,16 +418,16 @@
 mod tests {
     use super::*;
 
-    const AWAY: Away = Away { least: Span::from_secs(1), most: Span::from_secs(3) };
+    const AWAY: Away = Away { least: Duration::from_secs(1), most: Duration::from_secs(3) };
 
     const CAPPED: Terms = Terms { capped: true, bound: true, held: false, finished: false, near: false };
 
-    fn at(ms: u64) -> Time {
-        Time::from_nanos(ms * 1_000_000)
+    fn at(ms: u64) -> Timestamp {
+        Timestamp::from_nanos(ms * 1_000_000)
     }
 
     fn till(open: u64, last: u64) -> ReservationPool {
-        let mut till = ReservationPool::new(Span::from_secs(10), AWAY, CAPPED);
+        let mut till = ReservationPool::new(Duration::from_secs(10), AWAY, CAPPED);
         till.credit(Parts { open, last });
         till.refresh(at(1_000_000), AWAY, CAPPED);
         till
@@ -430,7 +437,7 @@
     fn a_new_worker_reserves_a_stretch_and_what_it_costs_is_paid_ahead_of_that() {
         let mut till = till(200, 50);
         let ticket = till.ask(at(0), 0, TaskKey(1), 10, 0.0).expect("there is room");
-        assert_eq!(till.ask(at(0), 0, TaskKey(2), 11, 0.5), Err(Span::from_secs(2)));
+        assert_eq!(till.ask(at(0), 0, TaskKey(2), 11, 0.5), Err(Duration::from_secs(2)));
         till.runs(at(0), ticket);
         let seen = till.look(at(4_000));
         assert_eq!((seen.has.open, seen.reserved, seen.spent), (60, 100, 40));
@@ -544,7 +551,7 @@
 
     #[test]
     fn a_team_without_a_cap_is_held_back_by_a_hold_alone() {
-        let mut till = ReservationPool::new(Span::from_secs(10), AWAY, Terms::default());
+        let mut till = ReservationPool::new(Duration::from_secs(10), AWAY, Terms::default());
         let ticket = till.ask(at(0), 0, TaskKey(1), 10, 0.0).expect("nothing is known against it");
         till.runs(at(0), ticket);
         assert_eq!((till.look(at(5_000)).spent, till.look(at(5_000)).debt), (50, 0));
--- a/crates/quota/src/settings.rs
+++ b/crates/quota/src/settings.rs
@@ -2,7 +2,7 @@
 
 use crate::money::{self, Prices};
 use crate::month::Months;
-use mulleinhub_interface::Span;
+use mulleinhub_interface::Duration;
 use mulleinhub_replicated_log::{Name, Parts, Site};
 use std::collections::BTreeMap;
 
@@ -27,9 +27,9 @@
     /// The part of a cap that new workers may use, in millionths.
     pub near: u32,
     /// A new worker reserves what it costs for so long.
-    pub stretch: Span,
+    pub stretch: Duration,
     /// One that returns waits for so long for members that don't answer, once most of them have.
-    pub catch_up: Span,
+    pub catch_up: Duration,
     /// Ordinary work stands in a work log, which so many other members copy; nothing where all work stands
     /// in the fleet log.
     pub replicas: Option<usize>,
--- a/crates/quota/src/shares.rs
+++ b/crates/quota/src/shares.rs
@@ -8,7 +8,7 @@
 //! burst at all schedulers makes as many asks as there are schedulers, and they don't all go to the
 //! richest.
 
-use mulleinhub_interface::{Pcg, Span, Time};
+use mulleinhub_interface::{Duration, Pcg, Timestamp};
 use mulleinhub_replicated_log::{Name, Parts};
 
 /// What is kept of one's own share is the use of so long; what is asked for is that of twice as long.
@@ -25,11 +25,11 @@
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Demand {
     a_second: f64,
-    at: Time,
+    at: Timestamp,
 }
 
 impl Demand {
-    pub fn saw(&mut self, now: Time, asked: u64) {
+    pub fn saw(&mut self, now: Timestamp, asked: u64) {
         let passed = (now - self.at).nanos() as f64 / 1e9;
         self.at = self.at.max(now);
         if passed > 0.0 {
@@ -110,9 +110,9 @@
 
 /// How long those who are refused stay away: until shares have moved, where others have some; and so long
 /// that those who come again in a month that is spent cost nothing, where nobody has.
-pub fn away(others_have: bool, left_of_month: Span) -> crate::Away {
+pub fn away(others_have: bool, left_of_month: Duration) -> crate::Away {
     let (least, most) = if others_have { (200, 1_000) } else { (5_000, 30_000) };
-    let span = |ms: u64| Span::from_nanos(ms * 1_000_000);
+    let span = |ms: u64| Duration::from_nanos(ms * 1_000_000);
     crate::Away { least: span(least).min(left_of_month), most: span(most).min(left_of_month) }
 }
 
@@ -164,7 +164,7 @@
 
     #[test]
     fn demand_follows_what_is_asked_for_and_fades() {
-        let at = |ms: u64| Time::from_nanos(ms * 1_000_000);
+        let at = |ms: u64| Timestamp::from_nanos(ms * 1_000_000);
         let mut demand = Demand::default();
         (1..=100).for_each(|n| demand.saw(at(n * 100), 50));
         assert!((demand.a_second() - 500.0).abs() < 50.0, "{demand:?}");
--- a/crates/replay/src/bound.rs
+++ b/crates/replay/src/bound.rs
@@ -2,7 +2,7 @@
 //! gain.
 
 use mulleinhub_day::Day;
-use mulleinhub_interface::{Room, Span, Time};
+use mulleinhub_interface::{Duration, Resources, Timestamp};
 use mulleinhub_standins::Worth;
 
 /// Steps of the clock in which the bound is computed.
@@ -35,40 +35,41 @@
 /// smaller of the two sums is a bound, whatever is chosen: each leaves the other resource out of account.
 pub fn bound(day: &Day, worth: &Worth) -> Bound {
     let Some(fleet) = &day.fleet else { return Bound::default() };
-    let step = Span::from_nanos((day.length.nanos() / STEPS).max(1));
+    let step = Duration::from_nanos((day.length.nanos() / STEPS).max(1));
     let accepts = (day.machine.accepts_cores, day.machine.accepts_memory);
     // Sums of asks wanted, by use case, change at begins and ends alone.
-    let mut changes: Vec<(Time, usize, f64, f64)> = Vec::new();
+    let mut changes: Vec<(Timestamp, usize, f64, f64)> = Vec::new();
     for task in fleet.wanted.iter().flat_map(|wanted| wanted.iter()) {
         let case = task.use_case as usize;
         changes.push((task.at, case, task.cores, task.memory));
         changes.push((task.until, case, -task.cores, -task.memory));
     }
     changes.sort_by_key(|change| change.0);
-    let mut sums = vec![Room::NONE; day.cases.len()];
+    let mut sums = vec![Resources::NONE; day.cases.len()];
     let (mut next, mut bound) = (0, Bound::default());
     for n in 0..STEPS {
-        let at = Time::default() + step * (n as f64 + 0.5);
+        let at = Timestamp::default() + step * (n as f64 + 0.5);
         while let Some((_, case, cores, memory)) = changes.get(next).copied().filter(|change| change.0 <= at)
         {
-            sums[case] += Room::new(cores, memory);
+            sums[case] += Resources::new(cores, memory);
             next += 1;
         }
-        let (mut room, mut up) = (Room::NONE, 0.0);
+        let (mut room, mut up) = (Resources::NONE, 0.0);
         for spot in fleet.spots.iter().filter(|spot| spot.is_up(at)) {
             room += day.kinds[spot.kind].size.times(accepts.0, accepts.1);
             up += 1.0;
         }
-        let asked = sums.iter().fold(Room::NONE, |all, sum| all + *sum);
+        let asked = sums.iter().fold(Resources::NONE, |all, sum| all + *sum);
         let needed = up * f64::max(asked.cores / room.cores.max(1e-9), asked.memory / room.memory.max(1e-9));
-        let wanted: Vec<(f64, Room)> = sums
+        let wanted: Vec<(f64, Resources)> = sums
             .iter()
             .enumerate()
             .map(|(case, sum)| (worth.second(case as u32, sum.cores.max(0.0), sum.memory.max(0.0)), *sum))
             .collect();
-        let most = |size: fn(&Room) -> f64| {
+        let most = |size: fn(&Resources) -> f64| {
             let mut left = size(&room);
-            let mut order: Vec<&(f64, Room)> = wanted.iter().filter(|(_, sum)| size(sum) > 1e-9).collect();
+            let mut order: Vec<&(f64, Resources)> =
+                wanted.iter().filter(|(_, sum)| size(sum) > 1e-9).collect();
             order.sort_by(|a, b| (b.0 / size(&b.1)).total_cmp(&(a.0 / size(&a.1))));
             order.into_iter().fold(0.0, |earned, (worth, sum)| {
                 let part = (left / size(sum)).min(1.0);
@@ -81,7 +82,7 @@
         let seconds = step.nanos() as f64 / 1e9;
         bound.wanted += all * seconds;
         bound.most += possible * seconds;
-        bound.over_time.push(((at - Time::default()).nanos() as f64 / 1e9, all, possible, needed));
+        bound.over_time.push(((at - Timestamp::default()).nanos() as f64 / 1e9, all, possible, needed));
     }
     bound
 }
--- a/crates/replay/src/build.rs
+++ b/crates/replay/src/build.rs
@@ -1,7 +1,7 @@
 //! A day of a trace: its machines as kinds and racks, its tasks as what owners want.
 
 use mulleinhub_day::{Day, Fleet, Spot, parse_day};
-use mulleinhub_interface::{Room, Span};
+use mulleinhub_interface::{Duration, Resources};
 use mulleinhub_settings::{Directive, Faults, Place, parse_text};
 use mulleinhub_standins::{Planned, UseBook, UsePart, planned_key};
 use mulleinhub_terms::Kind;
@@ -76,7 +76,7 @@
     if work.machines.is_empty() {
         return Err("the trace declares no machine (is the machines' table among the files?)".to_owned());
     }
-    if work.length < Span::from_secs(1) || work.length > Span::from_secs(24 * 3600) {
+    if work.length < Duration::from_secs(1) || work.length > Duration::from_secs(24 * 3600) {
         return Err(format!(
             "the slice is {:.1} s long after compression; a day of 1 s to 24 h is wanted \
              (--from, --to, --compress)",
@@ -107,10 +107,9 @@
             changes: machine.changes.iter().map(|change| (change.at, change.up)).collect(),
         })
         .collect();
-    let greatest = day
-        .kinds
-        .iter()
-        .fold(Room::NONE, |a, kind| Room::new(a.cores.max(kind.size.cores), a.memory.max(kind.size.memory)));
+    let greatest = day.kinds.iter().fold(Resources::NONE, |a, kind| {
+        Resources::new(a.cores.max(kind.size.cores), a.memory.max(kind.size.memory))
+    });
     let mut wanted: Vec<Vec<Planned>> = vec![Vec::new(); day.owners];
     let mut uses = UseBook::default();
     let mut sums: BTreeMap<usize, (f64, f64, u64)> = BTreeMap::new();
@@ -195,7 +194,7 @@
         .enumerate()
         .map(|(n, ((cores, memory), _))| Kind {
             name: format!("size-{}", n + 1),
-            size: Room::new(*cores as f64 / 100.0, *memory as f64 / 100.0),
+            size: Resources::new(*cores as f64 / 100.0, *memory as f64 / 100.0),
         })
         .collect();
     (kinds, kind_of)
--- a/crates/replay/src/play.rs
+++ b/crates/replay/src/play.rs
@@ -1,7 +1,7 @@
 //! One replay in virtual time, and what it came to.
 
 use mulleinhub_day::{Day, Look, Score};
-use mulleinhub_interface::Time;
+use mulleinhub_interface::Timestamp;
 use mulleinhub_runner::{Rule, Runner};
 use mulleinhub_verdict::Verdict;
 use std::io::{BufReader, BufWriter, Seek, Write};
@@ -26,7 +26,7 @@
 ///
 /// # Errors
 /// Where the capture can't be kept or read back.
-pub fn play(day: &Day, rule: Option<Rule>, mut watch: impl FnMut(Time)) -> Result<Outcome, String> {
+pub fn play(day: &Day, rule: Option<Rule>, mut watch: impl FnMut(Timestamp)) -> Result<Outcome, String> {
     let words = |e: std::io::Error| format!("a file for the capture: {e}");
     let file = tempfile::tempfile().map_err(words)?;
     let every = (day.length.nanos() / POINTS).max(1);
--- a/crates/replicated-log/src/membership.rs
+++ b/crates/replicated-log/src/membership.rs
@@ -7,7 +7,7 @@
 //! same with a full distribution).
 
 use crate::name::Name;
-use mulleinhub_interface::{Span, Time};
+use mulleinhub_interface::{Duration, Timestamp};
 use std::collections::BTreeMap;
 
 /// Weight of the newest gap in the mean, and in the deviation.
@@ -30,9 +30,9 @@
 struct Member {
     /// Life and count: a new life's beats begin anew.
     beat: (u64, u64),
-    heard: Option<Time>,
-    mean: Span,
-    deviation: Span,
+    heard: Option<Timestamp>,
+    mean: Duration,
+    deviation: Duration,
     /// A connection to it broke, and it has not been heard of since.
     suspected: bool,
 }
@@ -40,19 +40,19 @@
 /// The members of the fleet but oneself.
 #[derive(Clone, Debug)]
 pub struct Membership {
-    every: Span,
+    every: Duration,
     members: BTreeMap<Name, Member>,
 }
 
 impl Membership {
-    pub fn new(members: impl IntoIterator<Item = Name>, every: Span) -> Self {
+    pub fn new(members: impl IntoIterator<Item = Name>, every: Duration) -> Self {
         let deviation = every * LEAST_DEVIATION;
         let fresh = Member { beat: (0, 0), heard: None, mean: every, deviation, suspected: false };
         Self { every, members: members.into_iter().map(|name| (name, fresh.clone())).collect() }
     }
 
     /// A count of a member's beats; true where it is newer than what was known.
-    pub fn beat(&mut self, now: Time, name: &Name, beat: (u64, u64)) -> bool {
+    pub fn beat(&mut self, now: Timestamp, name: &Name, beat: (u64, u64)) -> bool {
         let every = self.every;
         let Some(member) = self.members.get_mut(name) else { return false };
         if beat <= member.beat {
@@ -76,13 +76,13 @@
     }
 
     /// This process stood still: what was silent meanwhile may have spoken.
-    pub fn stood(&mut self, still: Span) {
+    pub fn stood(&mut self, still: Duration) {
         for heard in self.members.values_mut().filter_map(|member| member.heard.as_mut()) {
             *heard = *heard + still;
         }
     }
 
-    pub fn presence(&self, now: Time, name: &Name) -> MemberState {
+    pub fn presence(&self, now: Timestamp, name: &Name) -> MemberState {
         let Some(member) = self.members.get(name) else { return MemberState::Dead };
         let Some(heard) = member.heard else { return MemberState::Dead };
         let usual = member.mean + member.deviation * DEVIATIONS;
@@ -103,7 +103,7 @@
     }
 
     /// For how long nothing new was heard of it; nothing where it was never heard of.
-    pub fn silent(&self, now: Time, name: &Name) -> Option<Span> {
+    pub fn silent(&self, now: Timestamp, name: &Name) -> Option<Duration> {
         self.members.get(name)?.heard.map(|heard| now - heard)
     }
 
@@ -128,10 +128,10 @@
 mod tests {
     use super::*;
 
-    const EVERY: Span = Span::from_secs(1);
+    const EVERY: Duration = Duration::from_secs(1);
 
-    fn at(ms: u64) -> Time {
-        Time::from_nanos(ms * 1_000_000)
+    fn at(ms: u64) -> Timestamp {
+        Timestamp::from_nanos(ms * 1_000_000)
     }
 
     fn regular(until: u64) -> (Membership, Name) {
@@ -157,7 +157,7 @@
     #[test]
     fn our_own_standstill_is_no_silence_of_the_others() {
         let (mut roll, name) = regular(20);
-        roll.stood(Span::from_secs(30));
+        roll.stood(Duration::from_secs(30));
         assert_eq!(roll.presence(at(51_000), &name), MemberState::Alive);
     }
 
--- a/crates/runner/src/books.rs
+++ b/crates/runner/src/books.rs
@@ -1,11 +1,11 @@
 //! The books of one planner in virtual time: the exchange, its tills, and a disk that takes its time.
 
 use mulleinhub_engine::Engine;
-use mulleinhub_interface::{Span, Time};
+use mulleinhub_interface::{Duration, Timestamp};
 use mulleinhub_ledger::{AdmissionHandle, Exchange, SharedPools};
 use mulleinhub_planner::BooksConf;
 use mulleinhub_replicated_log::{Change, Changes, Digest, Kept, KeptLogs, Kind, LogId, Reached};
-use mulleinhub_seam::Party;
+use mulleinhub_seam::StateMachine;
 use std::collections::{BTreeMap, VecDeque};
 use std::sync::Arc;
 
@@ -55,7 +55,7 @@
 }
 
 /// Changes on their way to the disk: when they are there, and the last of our own rows among them.
-type Sync = (Time, Changes, Reached);
+type Sync = (Timestamp, Changes, Reached);
 
 pub struct Books {
     pub exchange: Exchange,
@@ -86,7 +86,7 @@
     }
 
     /// When the next turn is due.
-    pub fn wake(&self) -> Option<Time> {
+    pub fn wake(&self) -> Option<Timestamp> {
         let disk = self.syncs.front().map(|(at, ..)| *at);
         [self.exchange.wake(), disk].into_iter().flatten().min()
     }
@@ -95,11 +95,11 @@
     /// milliseconds.
     pub fn turn(
         &mut self,
-        now: Time,
+        now: Timestamp,
         ahead: i64,
         disk: &mut Disk,
         full: bool,
-        takes: impl FnOnce() -> Span,
+        takes: impl FnOnce() -> Duration,
     ) -> bool {
         while let Some((_, changes, last)) = self.syncs.pop_front_if(|(at, ..)| *at <= now) {
             disk.apply(changes);
--- a/crates/runner/src/lib.rs
+++ b/crates/runner/src/lib.rs
@@ -13,9 +13,9 @@
 use mulleinhub_baselines::Baseline;
 use mulleinhub_day::{Behind, Day, Fate, PlannerDeed, Score, Stage, list_door};
 use mulleinhub_engine::{Counts, Engine};
-use mulleinhub_interface::{Pcg, Span, Time};
+use mulleinhub_interface::{Duration, Pcg, Timestamp};
 use mulleinhub_planner::{BooksText, Conf, ConfText, conf_of_text, parse_orders};
-use mulleinhub_seam::{Ask, Door, End, Link, Party};
+use mulleinhub_seam::{Ask, End, Link, ListenerId, StateMachine};
 use std::collections::{BTreeMap, BTreeSet};
 use std::io::Write;
 
@@ -52,10 +52,10 @@
 }
 
 impl Slot {
-    fn party(&mut self, seat: Seat) -> Option<&mut dyn Party> {
+    fn party(&mut self, seat: Seat) -> Option<&mut dyn StateMachine> {
         match seat.books {
-            false => self.engine.as_mut().map(|engine| engine as &mut dyn Party),
-            true => self.books.as_mut().map(|books| &mut books.exchange as &mut dyn Party),
+            false => self.engine.as_mut().map(|engine| engine as &mut dyn StateMachine),
+            true => self.books.as_mut().map(|books| &mut books.exchange as &mut dyn StateMachine),
         }
     }
 }
@@ -80,8 +80,8 @@
     /// How long each sync takes.
     chance: Pcg,
     begins: u64,
-    syncs: (Span, Span),
-    now: Time,
+    syncs: (Duration, Duration),
+    now: Timestamp,
     counts: Counts,
     /// In place of the module: for comparison only.
     baseline: Option<Rule>,
@@ -149,7 +149,8 @@
             .collect();
         let slots = (0..day.planners).map(|_| Slot::default()).collect();
         let begins = day.books.as_ref().map_or(0, |books| books.begins());
-        let syncs = day.books.as_ref().map_or((Span::ZERO, Span::ZERO), |b| (b.syncs.low, b.syncs.high));
+        let syncs =
+            day.books.as_ref().map_or((Duration::ZERO, Duration::ZERO), |b| (b.syncs.low, b.syncs.high));
         let chance = Pcg::new(day.seed);
         for (door, ..) in doors {
             stage.set_address(door, format!("door:{}", door.0));
@@ -164,7 +165,7 @@
             chance,
             begins,
             syncs,
-            now: Time::default(),
+            now: Timestamp::default(),
             counts: Counts::default(),
             baseline: None,
         }
@@ -180,7 +181,7 @@
     ///
     /// # Errors
     /// Where the record could not be written.
-    pub fn play(mut self, watch: impl FnMut(Time, &Stage<W>)) -> std::io::Result<(Score, Counts, W)> {
+    pub fn play(mut self, watch: impl FnMut(Timestamp, &Stage<W>)) -> std::io::Result<(Score, Counts, W)> {
         self.play_to_end(watch);
         for slot in &self.slots {
             if let Some(engine) = &slot.engine {
@@ -197,7 +198,7 @@
     }
 
     /// Plays on until the day is over.
-    pub fn play_to_end(&mut self, mut watch: impl FnMut(Time, &Stage<W>)) {
+    pub fn play_to_end(&mut self, mut watch: impl FnMut(Timestamp, &Stage<W>)) {
         let mut watched = 0;
         let mut turns = 0;
         while !self.stage.is_over(self.now) {
@@ -371,7 +372,7 @@
         }
         let Some(party) = slot.party(seat) else { return };
         match news {
-            Waiting::Opened(link) => party.opened(now, link, Door(0)),
+            Waiting::Opened(link) => party.opened(now, link, ListenerId(0)),
             Waiting::Up(link) => party.up(now, link),
             Waiting::Bytes(link, bytes) => party.received(now, link, &bytes),
             Waiting::Ended(link, end) => party.ended(now, link, end),
@@ -441,7 +442,7 @@
             let Some(ask) = party.links().next_ask() else { break };
             match ask {
                 Ask::Open(link, address) => {
-                    let door = address.strip_prefix("door:").and_then(|n| n.parse().ok()).map(Door);
+                    let door = address.strip_prefix("door:").and_then(|n| n.parse().ok()).map(ListenerId);
                     match door.filter(|door| self.stage.listens(*door)) {
                         Some(door) => {
                             let ours = self.stage.links().fresh();
--- a/crates/runner/tests/days.rs
+++ b/crates/runner/tests/days.rs
@@ -95,7 +95,7 @@
 fn a_day_with_ten_thousand_machines_places_all_its_tasks() {
     let mut day = day("throughput.day", 1);
     (day.machines, day.racks) = (10_000, 1_000);
-    (day.rate, day.length) = (20.0, mulleinhub_interface::Span::from_secs(8));
+    (day.rate, day.length) = (20.0, mulleinhub_interface::Duration::from_secs(8));
     day.troubles.clear();
     let (score, counts, capture) = Runner::new(day, Vec::new()).play(|_, _| ()).expect("a vector takes all");
     let verdict = judge(&capture[..]).expect("is whole");
--- a/crates/runner/tests/mutants.rs
+++ b/crates/runner/tests/mutants.rs
@@ -3,7 +3,7 @@
 
 use mulleinhub_capture::{Deed, Record, Recorder, Side, Terms, read};
 use mulleinhub_day::parse_day;
-use mulleinhub_interface::{Span, Time};
+use mulleinhub_interface::{Duration, Timestamp};
 use mulleinhub_protocol::{self as protocol, Ending, Entry, ListKind, Message, Mode, Shape};
 use mulleinhub_runner::Runner;
 use mulleinhub_settings::{Faults, parse};
@@ -65,10 +65,10 @@
             Kept::Deed(deed, who, machine) => Record::Deed { deed: *deed, who, machine: *machine },
             Kept::Unread(link, side, on) => Record::Unread { link: *link, side: *side, on: *on },
         };
-        recorder.record(Time::from_nanos(*at), record);
+        recorder.record(Timestamp::from_nanos(*at), record);
     }
     let end = tape.last().map_or(0, |(at, _)| *at);
-    let bytes = recorder.close(Time::from_nanos(end)).expect("a vector takes all");
+    let bytes = recorder.close(Timestamp::from_nanos(end)).expect("a vector takes all");
     judge(&bytes[..]).expect("is whole")
 }
 
@@ -79,7 +79,7 @@
     let directives = parse(&path, &mut faults).expect("is in the repository");
     let mut day = parse_day(&directives, &mut faults).unwrap_or_else(|| panic!("{}", faults.render()));
     day.troubles.clear();
-    day.length = Span::from_secs(12);
+    day.length = Duration::from_secs(12);
     let (_, _, capture) = Runner::new(day, Vec::new()).play(|_, _| ()).expect("a vector takes all");
     let mut tape = Tape::new();
     read(&capture[..], |stamped| tape.extend(keep(&stamped.record).map(|kept| (stamped.at, kept))))
--- a/crates/scale/src/ledgers/fleet.rs
+++ b/crates/scale/src/ledgers/fleet.rs
@@ -8,20 +8,20 @@
 use crate::ledgers::network::{Connection, ConnectionId, Healed, Layout, Network, Parcel, other};
 use crate::meter::Stopwatch;
 use crate::profile::{Cut, Profile, RunPlan};
-use mulleinhub_interface::{Pcg, Span, Time};
+use mulleinhub_interface::{Duration, Pcg, Timestamp};
 use mulleinhub_protocol::{Frames, Message, decode};
 use mulleinhub_seam::{Ask, End, Link, Timers};
 use std::collections::BTreeMap;
 
 /// When all begins: the first instants of a clock are special to nobody.
-pub const BEGIN: Time = Time::from_nanos(1_000_000_000);
+pub const BEGIN: Timestamp = Timestamp::from_nanos(1_000_000_000);
 /// Members that start together do so within this.
-const START_SPREAD: Span = Span::from_nanos(100_000_000);
+const START_SPREAD: Duration = Duration::from_nanos(100_000_000);
 /// Two turns of one member are so far apart at least.
-const TURN: Span = Span::from_nanos(20_000);
+const TURN: Duration = Duration::from_nanos(20_000);
 /// What a group of writes takes until it is on disk.
-const DISK_LEAST: Span = Span::from_nanos(2_000_000);
-const DISK_MOST: Span = Span::from_nanos(8_000_000);
+const DISK_LEAST: Duration = Duration::from_nanos(2_000_000);
+const DISK_MOST: Duration = Duration::from_nanos(8_000_000);
 
 #[derive(Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum Event {
@@ -91,9 +91,9 @@
     /// What the disk is writing, and what waits for that.
     writing: Option<Writes>,
     waiting: Writes,
-    wake_at: Option<Time>,
+    wake_at: Option<Timestamp>,
     counts: Counts,
-    started_at: Time,
+    started_at: Timestamp,
 }
 
 /// What a turn of a member brought.
@@ -113,7 +113,7 @@
     chance: Pcg,
     stopwatch: Stopwatch,
     kinds: BTreeMap<&'static str, KindCount>,
-    now: Time,
+    now: Timestamp,
 }
 
 impl Fleet {
@@ -140,7 +140,7 @@
             waiting: Writes::default(),
             wake_at: None,
             counts: Counts::default(),
-            started_at: Time::default(),
+            started_at: Timestamp::default(),
         };
         let mut fleet = Self {
             settings,
@@ -164,21 +164,21 @@
 
     /// When something happens next.
     #[must_use]
-    pub fn next(&self) -> Option<Time> {
+    pub fn next(&self) -> Option<Timestamp> {
         self.events.next()
     }
 
     #[must_use]
-    pub fn now(&self) -> Time {
+    pub fn now(&self) -> Timestamp {
         self.now
     }
 
-    pub fn cue(&mut self, at: Time, cue: Cue) {
+    pub fn cue(&mut self, at: Timestamp, cue: Cue) {
         self.events.set(at, Event::Cue(cue));
     }
 
     /// Tells members what comes at this instant; what of it is the driver's.
-    pub fn deliver(&mut self, now: Time) -> Vec<Cue> {
+    pub fn deliver(&mut self, now: Timestamp) -> Vec<Cue> {
         self.now = now;
         let mut cues = Vec::new();
         while let Some(event) = self.events.due(now) {
@@ -220,7 +220,7 @@
 
     /// When a member started last.
     #[must_use]
-    pub fn started_at(&self, member: usize) -> Time {
+    pub fn started_at(&self, member: usize) -> Timestamp {
         self.seats[member].started_at
     }
 
@@ -414,7 +414,7 @@
         Some(Turned { member, looked })
     }
 
-    fn wake_at(&mut self, member: usize, wake: Option<Time>) {
+    fn wake_at(&mut self, member: usize, wake: Option<Timestamp>) {
         let seat = &mut self.seats[member];
         let at = wake.map(|at| at.max(self.now + TURN));
         if at != seat.wake_at
--- a/crates/scale/src/ledgers/load.rs
+++ b/crates/scale/src/ledgers/load.rs
@@ -8,21 +8,21 @@
 use crate::ledgers::fleet::{BEGIN, Fleet};
 use crate::ledgers::member::ConfigChange;
 use crate::profile::{Cut, Profile, RunPlan};
-use mulleinhub_interface::{Pcg, Span, Ticket, Time, mix};
+use mulleinhub_interface::{Duration, Pcg, Ticket, Timestamp, mix};
 use std::collections::BTreeMap;
 
 /// Parts of the warm-up.
 const CATCHING_UP: f64 = 0.4;
 const FILLED: f64 = 0.9;
 /// A member that failed is back after this, and its tasks are told by their machines after that.
-const DOWN: Span = Span::from_secs(10);
-const ADOPTED_AFTER: Span = Span::from_secs(1);
+const DOWN: Duration = Duration::from_secs(10);
+const ADOPTED_AFTER: Duration = Duration::from_secs(1);
 /// Between two balances that a member writes of a team.
-const BALANCES_APART: Span = Span::from_secs(1);
+const BALANCES_APART: Duration = Duration::from_secs(1);
 /// Changes come by up to so much later than evenly.
-const CHANGE_SPREAD: Span = Span::from_nanos(100_000_000);
-const SECOND: Span = Span::from_secs(1);
-const MINUTE: Span = Span::from_secs(60);
+const CHANGE_SPREAD: Duration = Duration::from_nanos(100_000_000);
+const SECOND: Duration = Duration::from_secs(1);
+const MINUTE: Duration = Duration::from_secs(60);
 
 /// What the driver does at some instant. Tasks, changes and failures are numbered as they come.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -90,11 +90,11 @@
     tasks: BTreeMap<u64, Task>,
     pub counts: LoadCounts,
     /// When the tasks that run from the start are there, and all goes at its pace.
-    filled: Time,
+    filled: Timestamp,
 }
 
 /// The instant of the n-th of things that come so many in a span.
-fn nth(from: Time, n: u64, rate: f64, every: Span) -> Time {
+fn nth(from: Timestamp, n: u64, rate: f64, every: Duration) -> Timestamp {
     from + every * ((n + 1) as f64 / rate)
 }
 
@@ -136,7 +136,7 @@
     /// The tasks that run from the start come evenly. A member writes a team's balance at even intervals from
     /// its first task on: so that these don't fall together where many tasks come, each team's tasks at each
     /// member come later by a span of its own.
-    fn cue_fill(&self, caught_up: Time, fleet: &mut Fleet) {
+    fn cue_fill(&self, caught_up: Timestamp, fleet: &mut Fleet) {
         let running = u64::from(self.plan.size.running);
         let span = self.filled - caught_up - BALANCES_APART;
         for n in 0..running {
--- a/crates/scale/src/ledgers/member.rs
+++ b/crates/scale/src/ledgers/member.rs
@@ -3,13 +3,13 @@
 //!
 //! All that knows the types of the ledger stands here.
 
-use mulleinhub_interface::{Quota, Room, Span, TaskKey, Ticket, Time};
+use mulleinhub_interface::{Duration, Quota, Resources, TaskKey, Ticket, Timestamp};
 use mulleinhub_ledger::{AdmissionHandle, Exchange, Figures, Member, SharedPools};
 use mulleinhub_quota::{Months, Phase, Prices, Settings, Team};
 use mulleinhub_replicated_log::{
     Change, Changes, Digest, Kept, KeptLogs, Kind, LogId, Name, Order, Reached, Site, Subject, Word,
 };
-use mulleinhub_seam::{Ask, Door, End, Link, Party};
+use mulleinhub_seam::{Ask, End, Link, ListenerId, StateMachine};
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
@@ -17,11 +17,11 @@
 const MIDDLE_OF_MONTH: u64 = 1_792_022_400_000;
 /// The part of a cap that new workers may use, in millionths.
 const NEAR: u32 = 900_000;
-const STRETCH: Span = Span::from_secs(60);
-const CATCH_UP: Span = Span::from_secs(10);
+const STRETCH: Duration = Duration::from_secs(60);
+const CATCH_UP: Duration = Duration::from_secs(10);
 const PRICES: Prices = Prices { core_second: 12, memory_second: 3 };
 /// What each task asks for.
-const TASK: Room = Room::new(1.0, 2.0);
+const TASK: Resources = Resources::new(1.0, 2.0);
 const MONTH_SECONDS: u64 = 31 * 24 * 3600;
 /// A cap is so many times what its team uses in a month, and covers at least so many tasks.
 const CAP_OVER_USE: u64 = 4;
@@ -246,7 +246,7 @@
     }
 
     /// Tells all that has come in, lets the member act, and takes what it wants done.
-    pub fn turn(&mut self, now: Time, told: Vec<Told>) -> Done {
+    pub fn turn(&mut self, now: Timestamp, told: Vec<Told>) -> Done {
         let mut done = Done::default();
         for told in told {
             self.tell(now, told, &mut done);
@@ -261,11 +261,11 @@
         done
     }
 
-    fn tell(&mut self, now: Time, told: Told, done: &mut Done) {
+    fn tell(&mut self, now: Timestamp, told: Told, done: &mut Done) {
         match told {
             Told::Opened { connection } => {
                 let link = self.exchange.links().fresh();
-                self.exchange.opened(now, link, Door(0));
+                self.exchange.opened(now, link, ListenerId(0));
                 done.accepted.push((connection, link));
             }
             Told::Up(link) => self.exchange.up(now, link),
@@ -301,7 +301,7 @@
 
     /// When a turn is wanted at the latest.
     #[must_use]
-    pub fn wake(&self) -> Option<Time> {
+    pub fn wake(&self) -> Option<Timestamp> {
         self.exchange.wake()
     }
 
@@ -317,7 +317,13 @@
     ///
     /// # Errors
     /// For how long its owner is to stay away.
-    pub fn start_task(&mut self, now: Time, team: usize, key: u64, drawn: f64) -> Result<Ticket, Span> {
+    pub fn start_task(
+        &mut self,
+        now: Timestamp,
+        team: usize,
+        key: u64,
+        drawn: f64,
+    ) -> Result<Ticket, Duration> {
         let ticket = self.teller.ask(now, &owner(team), TaskKey(key), TASK, drawn)?;
         let ticket = ticket.expect("its tenant is of a team");
         self.teller.runs(now, ticket);
@@ -325,17 +331,17 @@
     }
 
     /// A task that an earlier life started still runs.
-    pub fn adopt_task(&mut self, now: Time, team: usize, key: u64) -> Ticket {
+    pub fn adopt_task(&mut self, now: Timestamp, team: usize, key: u64) -> Ticket {
         let ticket = self.teller.adopted(now, &owner(team), TaskKey(key), TASK);
         ticket.expect("its tenant is of a team")
     }
 
     /// All tasks that run from earlier lives were adopted.
-    pub fn all_adopted(&mut self, now: Time) {
+    pub fn all_adopted(&mut self, now: Timestamp) {
         self.teller.all_told(now);
     }
 
-    pub fn end_task(&mut self, now: Time, ticket: Ticket) {
+    pub fn end_task(&mut self, now: Timestamp, ticket: Ticket) {
         self.teller.over(now, ticket, false);
     }
 
--- a/crates/scale/src/ledgers/mod.rs
+++ b/crates/scale/src/ledgers/mod.rs
@@ -21,9 +21,9 @@
 use crate::results::{Metric, Role, Run, Sample};
 use fleet::{BEGIN, Counts, Fleet, KindCount};
 use load::{Cue, Load, LoadCounts, Note};
-use mulleinhub_interface::{Span, Time};
+use mulleinhub_interface::{Duration, Timestamp};
 use std::collections::BTreeMap;
-use std::time::{Duration, Instant};
+use std::time::{Duration as StdDuration, Instant};
 use watch::Watch;
 
 /// The real time of a run is looked at after so many instants.
@@ -46,12 +46,12 @@
     /// Connections between members when the run ended, at one member: those it opened and those that came in.
     pub connections: f64,
     /// Real time.
-    pub took: Duration,
+    pub took: StdDuration,
 }
 
 /// Plays one run of a profile; after so much real time it ends with what it has.
 #[must_use]
-pub fn play(profile: &Profile, plan: &RunPlan, bound: Duration) -> Outcome {
+pub fn play(profile: &Profile, plan: &RunPlan, bound: StdDuration) -> Outcome {
     let mut game = Game::new(profile, plan, bound);
     game.run();
     game.outcome()
@@ -59,7 +59,7 @@
 
 /// What was counted when the measured span began.
 struct Start {
-    at: Time,
+    at: Timestamp,
     counts: Vec<Counts>,
     kinds: BTreeMap<&'static str, KindCount>,
     processor: f64,
@@ -72,15 +72,15 @@
     load: Load,
     watch: Watch,
     start: Option<Start>,
-    end: Time,
+    end: Timestamp,
     begun: Instant,
-    bound: Duration,
+    bound: StdDuration,
     is_partial: bool,
     remarks: Vec<String>,
 }
 
 impl Game {
-    fn new(profile: &Profile, plan: &RunPlan, bound: Duration) -> Self {
+    fn new(profile: &Profile, plan: &RunPlan, bound: StdDuration) -> Self {
         let begun = Instant::now();
         let mut fleet = Fleet::new(profile, plan);
         let load = Load::new(profile, plan, &mut fleet);
@@ -114,7 +114,7 @@
     }
 
     /// Cues may want a turn of a member at once, so they come before the turns.
-    fn instant(&mut self, now: Time) {
+    fn instant(&mut self, now: Timestamp) {
         for cue in self.fleet.deliver(now) {
             self.cue(cue);
         }
@@ -165,7 +165,7 @@
         }
         let Some(start) = self.start.take() else { unreachable!("was measured just now") };
         let span = if self.is_partial { self.fleet.now() - start.at } else { self.end - start.at };
-        let seconds = span.over(Span::from_secs(1));
+        let seconds = span.over(Duration::from_secs(1));
         let counts: Vec<Counts> =
             self.counts().into_iter().zip(&start.counts).map(|(now, then)| now.since(*then)).collect();
         let kinds = kinds_since(self.fleet.kinds(), &start.kinds);
--- a/crates/scale/src/ledgers/network.rs
+++ b/crates/scale/src/ledgers/network.rs
@@ -6,7 +6,7 @@
 
 use super::member::Place;
 use crate::profile::{Cut, Profile, RoundTrips};
-use mulleinhub_interface::{Pcg, Span};
+use mulleinhub_interface::{Duration, Pcg};
 use mulleinhub_seam::Link;
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -41,7 +41,7 @@
 
     /// One way, from one member to another.
     #[must_use]
-    pub fn delay(&self, one: usize, other: usize) -> Span {
+    pub fn delay(&self, one: usize, other: usize) -> Duration {
         let round_trip = if self.zone(one) == self.zone(other) {
             self.round_trips.zone
         } else if self.region(one) == self.region(other) {
@@ -76,7 +76,7 @@
 pub struct Connection {
     /// The side that opened it comes first.
     pub sides: [Side; 2],
-    pub delay: Span,
+    pub delay: Duration,
 }
 
 /// The other side's index.
@@ -211,14 +211,14 @@
     }
 
     /// After how long a connection that is up now breaks, where connections do.
-    pub fn breaks_after(&mut self) -> Option<Span> {
+    pub fn breaks_after(&mut self) -> Option<Duration> {
         if self.drops <= 0.0 {
             return None;
         }
         // Exponential: the chance of each second is the same.
         let drawn = (self.chance.below(1 << 30) as f64 + 1.0) / f64::from(1 << 30);
         let seconds = drawn.ln() / (1.0 - self.drops).ln();
-        Some(Span::from_secs(1) * seconds)
+        Some(Duration::from_secs(1) * seconds)
     }
 
     pub fn begin_cut(&mut self, cut: &Cut) {
--- a/crates/scale/src/ledgers/watch.rs
+++ b/crates/scale/src/ledgers/watch.rs
@@ -6,31 +6,31 @@
 use crate::ledgers::member::ConfigChange;
 use crate::results::Metric;
 use hdrhistogram::Histogram;
-use mulleinhub_interface::{Span, Time};
+use mulleinhub_interface::{Duration, Timestamp};
 use std::collections::BTreeSet;
 
 /// Between two looks whether what is waited for has come.
-const LOOK: Span = Span::from_nanos(20_000_000);
+const LOOK: Duration = Duration::from_nanos(20_000_000);
 /// Times are kept in microseconds, to three digits and up to a day.
 const LONGEST: u64 = 24 * 3600 * 1_000_000;
 const DIGITS: u8 = 3;
 
-fn seconds(span: Span) -> f64 {
-    span.over(Span::from_secs(1))
+fn seconds(span: Duration) -> f64 {
+    span.over(Duration::from_secs(1))
 }
 
 /// A change that isn't in force everywhere yet.
 #[derive(Debug)]
 struct Spreading {
     change: ConfigChange,
-    given: Time,
+    given: Timestamp,
     missing: BTreeSet<usize>,
 }
 
 /// All that members learn of each other after a cut.
 #[derive(Debug)]
 struct CatchingUp {
-    healed: Time,
+    healed: Timestamp,
     /// How far each member's own rows went when the cut was healed.
     ends: Vec<(u64, u64)>,
     /// Whose rows each member doesn't know that far.
@@ -46,12 +46,12 @@
     /// Members that started and aren't ready.
     starting: BTreeSet<usize>,
     /// The longest start: of all together, and of one that came back.
-    together: Option<Span>,
-    returned: Option<Span>,
+    together: Option<Duration>,
+    returned: Option<Duration>,
     /// Processor time of all until all that started together knew the same.
     together_processor: Option<f64>,
     catching_up: Option<CatchingUp>,
-    caught_up: Option<(Span, f64)>,
+    caught_up: Option<(Duration, f64)>,
     looks: bool,
 }
 
--- a/crates/scale/src/limits.rs
+++ b/crates/scale/src/limits.rs
@@ -5,13 +5,13 @@
 
 use crate::profile::{Profile, RunPlan};
 use crate::results::{Host, Size};
-use mulleinhub_interface::Span;
+use mulleinhub_interface::Duration;
 use std::fmt;
-use std::time::Duration;
+use std::time::Duration as StdDuration;
 
 pub const MOST_PROCESSES: u64 = 200;
 /// After so much real time a run ends with what it has, where nothing else is asked for.
-pub const REAL_TIME: Duration = Duration::from_secs(15 * 60);
+pub const REAL_TIME: StdDuration = StdDuration::from_secs(15 * 60);
 /// Of the machine's memory a run may take one part in so many.
 pub(crate) const PART_OF_MEMORY: u64 = 2;
 pub(crate) const MEMORY_FILE: &str = "/proc/meminfo";
@@ -97,16 +97,16 @@
 }
 
 /// How many rows a writer has since its last sum, at the most.
-fn rows(size: &Size, span: Span) -> u64 {
+fn rows(size: &Size, span: Duration) -> u64 {
     let schedulers = f64::from(size.schedulers);
     let tasks = 2.0 * (size.starts / schedulers).min(LOOKS);
     let balances = (f64::from(size.running) / schedulers).min(size.teams.into());
     let changes = size.changes / schedulers;
-    let written = (tasks + balances + changes) * span.over(Span::from_secs(1));
+    let written = (tasks + balances + changes) * span.over(Duration::from_secs(1));
     (written as u64 + u64::from(size.teams)).min(ROWS)
 }
 
-fn hollow_ledgers(plan: &RunPlan, span: Span) -> Vec<Part> {
+fn hollow_ledgers(plan: &RunPlan, span: Duration) -> Vec<Part> {
     let size = &plan.size;
     let [members, teams, running] = [size.schedulers, size.teams, size.running].map(u64::from);
     let pairs = members * members;
--- a/crates/scale/src/planners/client.rs
+++ b/crates/scale/src/planners/client.rs
@@ -2,7 +2,7 @@
 
 use super::scenario::Scenario;
 use super::settings::TASK_ROOM;
-use mulleinhub_interface::{Span, Time};
+use mulleinhub_interface::{Duration, Timestamp};
 use mulleinhub_protocol::Shape;
 use mulleinhub_seam::Link;
 use mulleinhub_standins::Dice;
@@ -16,7 +16,7 @@
 pub struct Task {
     pub shape: Shape,
     /// It is withdrawn then; never, where nothing is said.
-    pub until: Option<Time>,
+    pub until: Option<Timestamp>,
     pub placed: bool,
 }
 
@@ -44,7 +44,7 @@
     /// Of the tasks that run from the beginning, those that it asked for.
     filled: u64,
     /// When it wanted the last task.
-    wanted_at: Time,
+    wanted_at: Timestamp,
     dice: Dice,
 }
 
@@ -58,7 +58,7 @@
             number: number as u64,
             next: 0,
             filled: 0,
-            wanted_at: Time::default(),
+            wanted_at: Timestamp::default(),
             dice: Dice::new(seed, &format!("client {number}")),
         }
     }
@@ -75,7 +75,7 @@
     }
 
     /// A task that it wants anew.
-    pub fn new_task(&mut self, now: Time, scenario: &Scenario) -> (u64, Task) {
+    pub fn new_task(&mut self, now: Timestamp, scenario: &Scenario) -> (u64, Task) {
         let id = self.fresh_id();
         self.counts.wanted += 1;
         let shape = Shape {
@@ -92,14 +92,14 @@
 
     /// Lives are drawn from an exponential distribution, so that as many tasks end as start from the instant
     /// on at which the first may end.
-    fn end_of_life(&mut self, now: Time, scenario: &Scenario) -> Option<Time> {
+    fn end_of_life(&mut self, now: Timestamp, scenario: &Scenario) -> Option<Timestamp> {
         let life = scenario.life()?;
         Some(now.max(scenario.steady_from()) + self.dice.wait(life))
     }
 
     /// When it wants its next task; nothing where it wants no more. Counted from when it wanted the last one,
     /// however late that was asked for, so that the pace is the same in real and virtual time.
-    pub fn next_ask(&mut self, scenario: &Scenario) -> Option<Time> {
+    pub fn next_ask(&mut self, scenario: &Scenario) -> Option<Timestamp> {
         if let Some(at) = self.next_of_fill(scenario) {
             self.wanted_at = at;
             return Some(at);
@@ -109,12 +109,12 @@
             return None;
         }
         let last = self.wanted_at.max(scenario.steady_from());
-        self.wanted_at = last + self.dice.wait(Span::from_secs(1) * (1.0 / rate));
+        self.wanted_at = last + self.dice.wait(Duration::from_secs(1) * (1.0 / rate));
         (self.wanted_at < scenario.until).then_some(self.wanted_at)
     }
 
     /// The next of the tasks that run from the beginning, evenly over the time that is set aside for them.
-    fn next_of_fill(&mut self, scenario: &Scenario) -> Option<Time> {
+    fn next_of_fill(&mut self, scenario: &Scenario) -> Option<Timestamp> {
         let schedulers = u64::from(scenario.size.schedulers);
         let running = u64::from(scenario.size.running);
         let mine = running / schedulers + u64::from(self.number < running % schedulers);
--- a/crates/scale/src/planners/measured.rs
+++ b/crates/scale/src/planners/measured.rs
@@ -6,7 +6,7 @@
 use super::traffic::{Flow, Peer, SchedulerTraffic};
 use crate::results::{Metric, Role, Run, Sample, Size};
 use mulleinhub_engine::Counts;
-use mulleinhub_interface::{Span, Time};
+use mulleinhub_interface::{Duration, Timestamp};
 
 /// The figures of one run. Each list has a place for each scheduler.
 #[derive(Clone, Debug)]
@@ -26,7 +26,7 @@
     pub resident: Option<Vec<u64>>,
     /// From the start of a scheduler until it is ready, and its processor seconds until then: of those that
     /// came back after a failure, or of all that started together, where none fails.
-    pub start_up: Vec<Span>,
+    pub start_up: Vec<Duration>,
     pub start_up_processor: Vec<f64>,
     /// What engines count of themselves over the whole run, where they can be looked into.
     pub counts: Option<Vec<Counts>>,
@@ -68,13 +68,13 @@
 }
 
 /// How long starts took, of those that results tell.
-pub fn start_ups(scenario: &Scenario, surroundings: &Surroundings) -> Vec<Span> {
-    let told = |began: Time| is_told_start(scenario, began);
+pub fn start_ups(scenario: &Scenario, surroundings: &Surroundings) -> Vec<Duration> {
+    let told = |began: Timestamp| is_told_start(scenario, began);
     surroundings.done_starts().iter().filter(|done| told(done.began)).map(|done| done.took).collect()
 }
 
 /// Whether results tell of a start that began then.
-pub fn is_told_start(scenario: &Scenario, began: Time) -> bool {
+pub fn is_told_start(scenario: &Scenario, began: Timestamp) -> bool {
     !scenario.has_failures() || began >= scenario.from
 }
 
--- a/crates/scale/src/planners/real_host.rs
+++ b/crates/scale/src/planners/real_host.rs
@@ -7,10 +7,10 @@
 use super::settings::{self, ProcessPlaces, scheduler_name};
 use super::surroundings::{LIST_DOOR, Surroundings};
 use super::traffic::SchedulerTraffic;
-use mulleinhub_interface::Time;
+use mulleinhub_interface::Timestamp;
 use mulleinhub_load::PlannerProcess;
-use mulleinhub_seam::Door;
-use mulleinhub_shell::Shell;
+use mulleinhub_seam::ListenerId;
+use mulleinhub_shell::EventLoop;
 use std::collections::VecDeque;
 use std::net::{Ipv4Addr, SocketAddr, TcpListener};
 use std::path::{Path, PathBuf};
@@ -27,7 +27,7 @@
 
 /// A look at the counts of a run.
 struct Look {
-    at: Time,
+    at: Timestamp,
     traffic: Vec<SchedulerTraffic>,
     /// Processor seconds of each scheduler so far.
     processor: Vec<f64>,
@@ -44,9 +44,9 @@
 
 struct RealHost<'a> {
     scenario: &'a Scenario,
-    shell: Shell<Surroundings>,
+    shell: EventLoop<Surroundings>,
     processes: Vec<Process>,
-    deeds: VecDeque<(Time, Deed, usize)>,
+    deeds: VecDeque<(Timestamp, Deed, usize)>,
     /// Processor seconds of each start that is done and told.
     start_up_processor: Vec<f64>,
     looked: u64,
@@ -111,11 +111,11 @@
 
 impl<'a> RealHost<'a> {
     fn new(scenario: &'a Scenario, folder: &Path, program: Option<&Path>) -> Result<Self, String> {
-        let mut shell = Shell::new(Surroundings::new(scenario)).map_err(|e| format!("poll: {e}"))?;
+        let mut shell = EventLoop::new(Surroundings::new(scenario)).map_err(|e| format!("poll: {e}"))?;
         let any = SocketAddr::from((Ipv4Addr::LOCALHOST, 0));
         let listening = |e: std::io::Error| format!("a listener: {e}");
         for worker in 0..scenario.workers() {
-            let address = shell.listen(any, Door(worker as u32)).map_err(listening)?;
+            let address = shell.listen(any, ListenerId(worker as u32)).map_err(listening)?;
             shell.party.set_address(worker, &address.to_string());
         }
         let list = shell.listen(any, LIST_DOOR).map_err(listening)?.to_string();
@@ -135,7 +135,7 @@
         Ok(Self { scenario, shell, processes, deeds, start_up_processor: Vec::new(), looked: 0 })
     }
 
-    fn step_until(&mut self, until: Time) -> Result<(), String> {
+    fn step_until(&mut self, until: Timestamp) -> Result<(), String> {
         while self.shell.now() < until {
             let left = Duration::from_nanos((until - self.shell.now()).nanos());
             self.shell.step(STEP.min(left)).map_err(|e| format!("poll: {e}"))?;
--- a/crates/scale/src/planners/scenario.rs
+++ b/crates/scale/src/planners/scenario.rs
@@ -2,23 +2,23 @@
 
 use crate::profile::{Profile, RoundTrips, RunPlan};
 use crate::results::Size;
-use mulleinhub_interface::{Span, Time};
+use mulleinhub_interface::{Duration, Timestamp};
 use std::collections::VecDeque;
 
 /// Workers of one rack.
 const WORKERS_A_RACK: usize = 40;
 /// Schedulers start, and clients look for them, once the list service has seen all workers.
-pub const SCHEDULERS_START: Time = Time::from_nanos(2_000_000_000);
+pub const SCHEDULERS_START: Timestamp = Timestamp::from_nanos(2_000_000_000);
 /// Tasks that run from the beginning are asked for from then on,
-const FILL_BEGINS: Time = Time::from_nanos(4_500_000_000);
+const FILL_BEGINS: Timestamp = Timestamp::from_nanos(4_500_000_000);
 /// and until so long before what is measured; from then on tasks start and end at an even pace.
-const SETTLES: Span = Span::from_nanos(2_500_000_000);
+const SETTLES: Duration = Duration::from_nanos(2_500_000_000);
 /// After what is measured, answers that are still to come get so long.
-const DRAIN: Span = Span::from_secs(2);
+const DRAIN: Duration = Duration::from_secs(2);
 /// A scheduler that fails is down for so long.
-const DOWN: Span = Span::from_secs(1);
+const DOWN: Duration = Duration::from_secs(1);
 /// The shortest warm-up in which tasks can be asked for.
-const LEAST_WARM_UP: Span = Span::from_secs(8);
+const LEAST_WARM_UP: Duration = Duration::from_secs(8);
 
 /// What happens to a scheduler.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -34,8 +34,8 @@
     pub size: Size,
     pub round_trips: RoundTrips,
     /// What is measured begins then, and ends then.
-    pub from: Time,
-    pub until: Time,
+    pub from: Timestamp,
+    pub until: Timestamp,
 }
 
 impl Scenario {
@@ -56,7 +56,7 @@
         if size.running > 0 && profile.warm_up < LEAST_WARM_UP {
             return faulty("warm-up: tasks that run need 8s at least");
         }
-        let from = Time::default() + profile.warm_up;
+        let from = Timestamp::default() + profile.warm_up;
         Ok(Self {
             seed: profile.seed,
             size,
@@ -78,7 +78,7 @@
 
     /// When the run is over: nothing is asked for after what is measured, and all answers have come.
     #[must_use]
-    pub fn over(&self) -> Time {
+    pub fn over(&self) -> Timestamp {
         self.until + DRAIN
     }
 
@@ -91,7 +91,7 @@
     /// What happens to which scheduler, in the order of time: all start at one instant, and while it is
     /// measured they fail and return, one after the other.
     #[must_use]
-    pub fn deeds(&self) -> VecDeque<(Time, Deed, usize)> {
+    pub fn deeds(&self) -> VecDeque<(Timestamp, Deed, usize)> {
         let starts = (0..self.schedulers()).map(|number| (SCHEDULERS_START, Deed::Start, number));
         let mut deeds: Vec<_> = starts.collect();
         let failures = self.size.failures / 60.0 * self.seconds();
@@ -128,7 +128,7 @@
 
     /// One way between two zones.
     #[must_use]
-    pub fn one_way(&self, a: u32, b: u32) -> Span {
+    pub fn one_way(&self, a: u32, b: u32) -> Duration {
         let regions = self.size.regions.max(1);
         let there_and_back = if a == b {
             self.round_trips.zone
@@ -142,20 +142,20 @@
 
     /// When the tasks that run from the beginning are asked for: first and last.
     #[must_use]
-    pub fn fill(&self) -> (Time, Time) {
+    pub fn fill(&self) -> (Timestamp, Timestamp) {
         (FILL_BEGINS, self.steady_from())
     }
 
     /// From then on tasks start and end at an even pace.
     #[must_use]
-    pub fn steady_from(&self) -> Time {
-        Time::default() + (self.from - Time::default() - SETTLES)
+    pub fn steady_from(&self) -> Timestamp {
+        Timestamp::default() + (self.from - Timestamp::default() - SETTLES)
     }
 
     /// How long a task runs; nothing where none ends.
     #[must_use]
-    pub fn life(&self) -> Option<Span> {
+    pub fn life(&self) -> Option<Duration> {
         let seconds = f64::from(self.size.running) / self.size.starts;
-        (self.size.starts > 0.0).then(|| Span::from_secs(1) * seconds)
+        (self.size.starts > 0.0).then(|| Duration::from_secs(1) * seconds)
     }
 }
--- a/crates/scale/src/planners/settings.rs
+++ b/crates/scale/src/planners/settings.rs
@@ -1,7 +1,7 @@
 //! The settings of the schedulers of a run: the same text for real processes and for engines in virtual time.
 
 use super::scenario::Scenario;
-use mulleinhub_interface::Room;
+use mulleinhub_interface::Resources;
 use std::net::SocketAddr;
 use std::path::Path;
 
@@ -10,7 +10,7 @@
 pub const WORKER_MEMORY: f64 = 256.0;
 
 /// What every task asks for: so little that thousands of tasks fit on few workers.
-pub const TASK_ROOM: Room = Room { cores: 0.05, memory: 0.125 };
+pub const TASK_ROOM: Resources = Resources { cores: 0.05, memory: 0.125 };
 
 /// A worker is busy up to here while its tasks are served in full. Schedulers move tasks off workers that are
 /// busier than 0.95, and full service tells no more than this.
