--- a/crates/scale/src/planners/surroundings.rs
+++ b/crates/scale/src/planners/surroundings.rs
@@ -7,32 +7,32 @@
 use super::settings::{CLIENT_TIMEOUT_SECONDS, WORKER_MEMORY, scheduler_name, scheduler_number};
 use super::traffic::{Peer, SchedulerTraffic};
 use super::worker::{SendId, Worker};
-use mulleinhub_interface::{Span, Time};
+use mulleinhub_interface::{Duration, Timestamp};
 use mulleinhub_protocol::{self as protocol, Bad, Conversation, Ending, Frames, Message, Reason, Spare};
-use mulleinhub_seam::{Ask, Door, End, Link, Links, Party, Timers};
+use mulleinhub_seam::{Ask, Connections, End, Link, ListenerId, StateMachine, Timers};
 use mulleinhub_standins::{Fact, ListService, ListSettings};
 
 /// How long a worker looks at an offer, and how long a start takes.
-const LOOK: Span = Span::from_nanos(1_000_000);
-const START: Span = Span::from_nanos(50_000_000);
+const LOOK: Duration = Duration::from_nanos(1_000_000);
+const START: Duration = Duration::from_nanos(50_000_000);
 /// Between two times that a worker tells how its tasks fare.
-const NOTE_EVERY: Span = Span::from_secs(1);
+const NOTE_EVERY: Duration = Duration::from_secs(1);
 /// Cores and memory that a running task uses, as parts of what it asked for.
 const TASK_USES: f64 = 0.5;
 /// How often the list service looks at all workers, and how late it tells what it saw.
-const LIST_PERIOD: Span = Span::from_nanos(500_000_000);
-const LIST_LATE: Span = Span::from_secs(1);
+const LIST_PERIOD: Duration = Duration::from_nanos(500_000_000);
+const LIST_LATE: Duration = Duration::from_secs(1);
 /// The list service's own pace is no part of what is measured.
 const LIST_LINES_A_SECOND: f64 = 1e12;
 /// A client tries again after this.
-const RECONNECT: Span = Span::from_nanos(50_000_000);
+const RECONNECT: Duration = Duration::from_nanos(50_000_000);
 /// A client waits for so long before it asks again after an error, and at least so long after a refusal.
-const ASKS_AGAIN: Span = Span::from_secs(1);
+const ASKS_AGAIN: Duration = Duration::from_secs(1);
 /// Longest list of tasks in one message.
 const MOST_HELD: usize = 500;
 
 /// The door of the list service; each worker's door is its number from 0.
-pub const LIST_DOOR: Door = Door(u32::MAX);
+pub const LIST_DOOR: ListenerId = ListenerId(u32::MAX);
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum Due {
@@ -78,7 +78,7 @@
 /// How far a scheduler is with its start.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct StartUp {
-    pub began: Time,
+    pub began: Timestamp,
     pub workers_greeted: usize,
     client_greeted: bool,
     pub is_ready: bool,
@@ -87,14 +87,14 @@
 /// A start that is done.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct DoneStart {
-    pub began: Time,
-    pub took: Span,
+    pub began: Timestamp,
+    pub took: Duration,
 }
 
 /// The list service, workers and clients of a run.
 pub struct Surroundings {
     scenario: Scenario,
-    links: Links,
+    links: Connections,
     /// By link.
     connections: Vec<Option<Connection>>,
     spare: Spare,
@@ -117,12 +117,12 @@
         let schedulers = scenario.schedulers();
         let list = ListService::new(ListSettings {
             late: LIST_LATE,
-            silent_notice: Span::from_secs(8),
+            silent_notice: Duration::from_secs(8),
             lines_a_second: LIST_LINES_A_SECOND,
         });
         Self {
             scenario: scenario.clone(),
-            links: Links::default(),
+            links: Connections::default(),
             connections: Vec::new(),
             spare: Spare::default(),
             list,
@@ -151,7 +151,7 @@
     }
 
     /// A scheduler starts now.
-    pub fn starts(&mut self, now: Time, scheduler: usize) {
+    pub fn starts(&mut self, now: Timestamp, scheduler: usize) {
         self.start_ups[scheduler] = StartUp { began: now, ..StartUp::default() };
     }
 
@@ -187,7 +187,7 @@
         self.connections[at] = Some(Connection { role, scheduler, frames: Frames::default() });
     }
 
-    fn disconnect(&mut self, now: Time, link: Link) {
+    fn disconnect(&mut self, now: Timestamp, link: Link) {
         let Some(connection) = self.connections.get_mut(link.0 as usize).and_then(Option::take) else {
             return;
         };
@@ -227,7 +227,7 @@
         }
     }
 
-    fn hear_frames(&mut self, now: Time, link: Link, bytes: &[u8]) -> Result<(), Bad> {
+    fn hear_frames(&mut self, now: Timestamp, link: Link, bytes: &[u8]) -> Result<(), Bad> {
         let Some(connection) = self.connections.get_mut(link.0 as usize).and_then(Option::as_mut) else {
             return Ok(());
         };
@@ -266,7 +266,7 @@
 
     fn worker_hears(
         &mut self,
-        now: Time,
+        now: Timestamp,
         link: Link,
         worker: usize,
         message: &Message<'_>,
@@ -318,7 +318,7 @@
         Ok(())
     }
 
-    fn worker_greets(&mut self, now: Time, link: Link, worker: usize, scheduler: usize) {
+    fn worker_greets(&mut self, now: Timestamp, link: Link, worker: usize, scheduler: usize) {
         let older = self.workers[worker].links[scheduler].replace(link);
         if let Some(older) = older {
             self.connections[older.0 as usize] = None;
@@ -350,7 +350,7 @@
         self.write_to(worker, id.scheduler, &closed);
     }
 
-    fn worker_decides(&mut self, now: Time, worker: usize, id: SendId) {
+    fn worker_decides(&mut self, now: Timestamp, worker: usize, id: SendId) {
         match self.workers[worker].decide(id) {
             None => {}
             Some(false) => self.close(worker, id, Ending::Nacked, Reason::NoCores),
@@ -362,7 +362,7 @@
         }
     }
 
-    fn task_started(&mut self, now: Time, worker: usize, id: SendId) {
+    fn task_started(&mut self, now: Timestamp, worker: usize, id: SendId) {
         if !self.workers[worker].started(id) {
             return;
         }
@@ -372,7 +372,7 @@
         }
     }
 
-    fn worker_notes(&mut self, now: Time, worker: usize) {
+    fn worker_notes(&mut self, now: Timestamp, worker: usize) {
         let running: Vec<SendId> = self.workers[worker].running().collect();
         if running.is_empty() {
             self.workers[worker].tells = false;
@@ -395,7 +395,7 @@
 
     // The list service.
 
-    fn list_looks(&mut self, now: Time) {
+    fn list_looks(&mut self, now: Timestamp) {
         let scenario = &self.scenario;
         let facts = self.workers.iter().enumerate().map(|(number, worker)| {
             let left = worker.left();
@@ -464,7 +464,7 @@
         }
     }
 
-    fn client_wants(&mut self, now: Time, client: usize) {
+    fn client_wants(&mut self, now: Timestamp, client: usize) {
         let (id, task) = self.clients[client].new_task(now, &self.scenario);
         self.ask(now, client, id, task);
         self.wants_next(client);
@@ -476,19 +476,19 @@
         }
     }
 
-    fn ask(&mut self, now: Time, client: usize, id: u64, task: Task) {
+    fn ask(&mut self, now: Timestamp, client: usize, id: u64, task: Task) {
         self.clients[client].tasks.insert(id, task);
         if !self.clients[client].greeted {
             self.timers.set(now + ASKS_AGAIN, Due::AsksAgain(client, id));
             return;
         }
-        let patience = Span::from_secs(CLIENT_TIMEOUT_SECONDS).nanos();
+        let patience = Duration::from_secs(CLIENT_TIMEOUT_SECONDS).nanos();
         let ask = Message::Ask { task: id, shape: task.shape, patience, clock: now.nanos() };
         self.client_writes(client, &ask);
     }
 
     /// Asks once more for a task that came to nothing, under another number.
-    fn asks_again(&mut self, now: Time, client: usize, id: u64) {
+    fn asks_again(&mut self, now: Timestamp, client: usize, id: u64) {
         let Some(mut task) = self.clients[client].tasks.remove(&id) else { return };
         if task.until.is_some_and(|until| until <= now) {
             return;
@@ -499,7 +499,7 @@
         self.ask(now, client, id, task);
     }
 
-    fn client_hears(&mut self, now: Time, client: usize, message: &Message<'_>) {
+    fn client_hears(&mut self, now: Timestamp, client: usize, message: &Message<'_>) {
         match message {
             Message::Welcome { .. } => {
                 self.clients[client].greeted = true;
@@ -510,7 +510,7 @@
             Message::Ping { nonce } => self.client_writes(client, &Message::Pong { nonce: *nonce }),
             Message::Placed { task, .. } => self.client_is_served(now, client, *task),
             Message::Nacked { task, stay_away } => {
-                let wait = ASKS_AGAIN.max(Span::from_nanos(*stay_away));
+                let wait = ASKS_AGAIN.max(Duration::from_nanos(*stay_away));
                 self.timers.set(now + wait, Due::AsksAgain(client, *task));
             }
             Message::Unknown { task } => self.asks_again(now, client, *task),
@@ -522,8 +522,8 @@
     }
 
     /// A client that comes back asks what became of its tasks, and withdraws those whose life is over.
-    fn learn_all(&mut self, now: Time, client: usize) {
-        let tasks: Vec<(u64, Option<Time>)> =
+    fn learn_all(&mut self, now: Timestamp, client: usize) {
+        let tasks: Vec<(u64, Option<Timestamp>)> =
             self.clients[client].tasks.iter().map(|(id, task)| (*id, task.until)).collect();
         for (id, until) in tasks {
             self.client_writes(client, &Message::Learn { task: id });
@@ -533,7 +533,7 @@
         }
     }
 
-    fn client_is_served(&mut self, now: Time, client: usize, id: u64) {
+    fn client_is_served(&mut self, now: Timestamp, client: usize, id: u64) {
         let client_state = &mut self.clients[client];
         let Some(task) = client_state.tasks.get_mut(&id) else { return };
         if std::mem::replace(&mut task.placed, true) {
@@ -545,7 +545,7 @@
         }
     }
 
-    fn look_whether_ready(&mut self, now: Time, scheduler: usize) {
+    fn look_whether_ready(&mut self, now: Timestamp, scheduler: usize) {
         let start_up = &mut self.start_ups[scheduler];
         let is_ready = start_up.client_greeted && start_up.workers_greeted == self.workers.len();
         if is_ready && !std::mem::replace(&mut start_up.is_ready, true) {
@@ -554,7 +554,7 @@
         }
     }
 
-    fn begin(&mut self, now: Time) {
+    fn begin(&mut self, now: Timestamp) {
         self.timers.set(now, Due::ListLooks);
         for client in 0..self.clients.len() {
             self.timers.set(SCHEDULERS_START, Due::Connect(client));
@@ -562,7 +562,7 @@
         }
     }
 
-    fn fall_due(&mut self, now: Time, due: Due) {
+    fn fall_due(&mut self, now: Timestamp, due: Due) {
         match due {
             Due::ListLooks => self.list_looks(now),
             Due::Decide(worker, id) => self.worker_decides(now, worker, id),
@@ -585,20 +585,20 @@
     worker as u64 + 1
 }
 
-impl Party for Surroundings {
-    fn opened(&mut self, now: Time, link: Link, door: Door) {
+impl StateMachine for Surroundings {
+    fn opened(&mut self, now: Timestamp, link: Link, door: ListenerId) {
         if door == LIST_DOOR {
             let inner = self.list.links().fresh();
             self.list_links.resize(inner.0 as usize + 1, None);
             self.list_links[inner.0 as usize] = Some(link);
-            self.list.opened(now, inner, Door(0));
+            self.list.opened(now, inner, ListenerId(0));
             self.connect(link, Role::List(inner), None);
         } else {
             self.connect(link, Role::Worker(door.0 as usize), None);
         }
     }
 
-    fn up(&mut self, now: Time, link: Link) {
+    fn up(&mut self, now: Timestamp, link: Link) {
         let role = self.connection(link).map(|connection| connection.role);
         let Some(Role::Client(client)) = role else { return };
         let name = self.clients[client].name();
@@ -606,7 +606,7 @@
         self.write(link, &Message::hello(Conversation::ClientPlanner, features, &name, 1, now.nanos()));
     }
 
-    fn received(&mut self, now: Time, link: Link, bytes: &[u8]) {
+    fn received(&mut self, now: Timestamp, link: Link, bytes: &[u8]) {
         let heard = self.hear_frames(now, link, bytes);
         let role = self.connection(link).map(|connection| connection.role);
         if let (Ok(()), Some(Role::List(inner))) = (&heard, role) {
@@ -619,12 +619,12 @@
         }
     }
 
-    fn ended(&mut self, now: Time, link: Link, _: End) {
+    fn ended(&mut self, now: Timestamp, link: Link, _: End) {
         self.links.forget(link);
         self.disconnect(now, link);
     }
 
-    fn turn(&mut self, now: Time) {
+    fn turn(&mut self, now: Timestamp) {
         if !std::mem::replace(&mut self.begun, true) {
             self.begin(now);
         }
@@ -635,14 +635,14 @@
         self.carry_list();
     }
 
-    fn wake(&self) -> Option<Time> {
+    fn wake(&self) -> Option<Timestamp> {
         if !self.begun {
-            return Some(Time::default());
+            return Some(Timestamp::default());
         }
         [self.timers.next(), self.list.wake()].into_iter().flatten().min()
     }
 
-    fn links(&mut self) -> &mut Links {
+    fn links(&mut self) -> &mut Connections {
         &mut self.links
     }
 }
--- a/crates/scale/src/planners/virtual_host.rs
+++ b/crates/scale/src/planners/virtual_host.rs
@@ -10,9 +10,9 @@
 use super::surroundings::{LIST_DOOR, Surroundings};
 use super::traffic::SchedulerTraffic;
 use mulleinhub_engine::{Counts, Engine, Settings as EngineSettings};
-use mulleinhub_interface::{Span, Time};
+use mulleinhub_interface::{Duration, Timestamp};
 use mulleinhub_planner::conf_of_text;
-use mulleinhub_seam::{Ask, Door, End, Link, Links, Party};
+use mulleinhub_seam::{Ask, Connections, End, Link, ListenerId, StateMachine};
 use std::cmp::Reverse;
 use std::collections::{BTreeSet, BinaryHeap, VecDeque};
 
@@ -37,12 +37,12 @@
     (number as u64 + 1) * 1_000
 }
 
-fn door_of(address: &str) -> Option<Door> {
+fn door_of(address: &str) -> Option<ListenerId> {
     if address == LIST_ADDRESS {
         return Some(LIST_DOOR);
     }
     let port: usize = address.strip_prefix("127.0.0.1:")?.parse().ok()?;
-    Some(Door(port.checked_sub(FIRST_PORT)? as u32))
+    Some(ListenerId(port.checked_sub(FIRST_PORT)? as u32))
 }
 
 /// What is on its way.
@@ -74,12 +74,12 @@
 
 /// What a scheduler asks its host for.
 enum Wish {
-    Open(Link, Door),
+    Open(Link, ListenerId),
     End { link: Link, at_once: bool },
 }
 
 /// The next of a scheduler's asks. One for an address that is none of this run is passed over.
-fn next_ask(links: &mut Links) -> Option<Wish> {
+fn next_ask(links: &mut Connections) -> Option<Wish> {
     loop {
         match links.next_ask()? {
             Ask::End { link, at_once } => return Some(Wish::End { link, at_once }),
@@ -106,11 +106,11 @@
     /// The link of either end, once it has one; none after its end was told.
     at_scheduler: Option<Link>,
     at_surroundings: Option<Link>,
-    one_way: Span,
+    one_way: Duration,
 }
 
 /// Due then, in the order of sending.
-type Delivery = Reverse<(Time, u64, usize, Toward, Parcel)>;
+type Delivery = Reverse<(Timestamp, u64, usize, Toward, Parcel)>;
 
 struct Scheduler {
     engine: Engine,
@@ -120,7 +120,7 @@
     wires: Vec<Option<usize>>,
     /// What came in since its last turn.
     inbox: Vec<(Link, Parcel)>,
-    wake: Option<Time>,
+    wake: Option<Timestamp>,
     is_up: bool,
     lives: u64,
     /// The list that its last life kept.
@@ -148,10 +148,10 @@
     outer_wires: Vec<Option<usize>>,
     queue: BinaryHeap<Delivery>,
     sent: u64,
-    wakes: BTreeSet<(Time, usize)>,
+    wakes: BTreeSet<(Timestamp, usize)>,
     touched: BTreeSet<usize>,
-    now: Time,
-    deeds: VecDeque<(Time, Deed, usize)>,
+    now: Timestamp,
+    deeds: VecDeque<(Timestamp, Deed, usize)>,
     /// Processor time of each start that is done and told, in nanoseconds.
     start_up_processor: Vec<u64>,
 }
@@ -189,7 +189,7 @@
             sent: 0,
             wakes: BTreeSet::new(),
             touched: BTreeSet::new(),
-            now: Time::default(),
+            now: Timestamp::default(),
         })
     }
 
@@ -197,7 +197,7 @@
     ///
     /// # Panics
     /// Where the run goes round in circles, which is a defect of a party.
-    pub fn play_until(&mut self, until: Time) {
+    pub fn play_until(&mut self, until: Timestamp) {
         let mut turns = 0;
         while let Some(next) = self.next_instant().filter(|next| *next < until) {
             turns = if next > self.now { 0 } else { turns + 1 };
@@ -234,7 +234,7 @@
         &self.surroundings
     }
 
-    fn next_instant(&self) -> Option<Time> {
+    fn next_instant(&self) -> Option<Timestamp> {
         let delivery = self.queue.peek().map(|Reverse((at, ..))| *at);
         let wake = self.wakes.first().map(|(at, _)| *at);
         let deed = self.deeds.front().map(|(at, ..)| *at);
@@ -318,7 +318,7 @@
             return self.send(wire, Toward::Surroundings, Parcel::Ended(HowEnded::Closed));
         }
         if matches!(parcel, Parcel::Opened(_)) {
-            let link = scheduler.hold(Links::fresh);
+            let link = scheduler.hold(Connections::fresh);
             place(&mut scheduler.wires, link, wire);
             self.wires[wire].at_scheduler = Some(link);
         }
@@ -339,7 +339,7 @@
             let link = self.surroundings.links().fresh();
             self.wires[wire].at_surroundings = Some(link);
             place(&mut self.outer_wires, link, wire);
-            self.surroundings.opened(self.now, link, Door(door));
+            self.surroundings.opened(self.now, link, ListenerId(door));
             self.send(wire, Toward::Scheduler, Parcel::Up);
             return;
         }
@@ -415,7 +415,7 @@
         scheduler: usize,
         at_scheduler: Option<Link>,
         at_surroundings: Option<Link>,
-        one_way: Span,
+        one_way: Duration,
     ) -> usize {
         self.wires.push(Wire { scheduler, at_scheduler, at_surroundings, one_way });
         self.wires.len() - 1
@@ -423,7 +423,7 @@
 
     fn carry_from_scheduler(&mut self, number: usize) {
         loop {
-            if let Some(link) = self.schedulers[number].hold(Links::next_dirty) {
+            if let Some(link) = self.schedulers[number].hold(Connections::next_dirty) {
                 self.carry_inner(number, link);
                 continue;
             }
@@ -453,7 +453,7 @@
     }
 
     /// A scheduler opens a connection to a worker, or to the list service, which stands in the first zone.
-    fn scheduler_opens(&mut self, number: usize, link: Link, door: Door) {
+    fn scheduler_opens(&mut self, number: usize, link: Link, door: ListenerId) {
         let scenario = &self.scenario;
         let there = if door == LIST_DOOR { 0 } else { scenario.zone(door.0 as usize) };
         let one_way = scenario.one_way(scenario.zone(number), there);
@@ -514,19 +514,19 @@
 
     /// Does something with its connections as whoever feeds it; what that takes or gives back of memory is
     /// the scheduler's.
-    fn hold<T>(&mut self, work: impl FnOnce(&mut Links) -> T) -> T {
+    fn hold<T>(&mut self, work: impl FnOnce(&mut Connections) -> T) -> T {
         let links = self.engine.links();
         self.meter.hold(|| work(links))
     }
 
     /// Tells all that came in, and has a turn.
-    fn turn(&mut self, now: Time) {
+    fn turn(&mut self, now: Timestamp) {
         let inbox = std::mem::take(&mut self.inbox);
         let engine = &mut self.engine;
         let kept = self.meter.measure(|| {
             for (link, parcel) in &inbox {
                 match parcel {
-                    Parcel::Opened(door) => engine.opened(now, *link, Door(*door)),
+                    Parcel::Opened(door) => engine.opened(now, *link, ListenerId(*door)),
                     Parcel::Up => engine.up(now, *link),
                     Parcel::Bytes(bytes) => engine.received(now, *link, bytes),
                     Parcel::Ended(how) => engine.ended(now, *link, (*how).into()),
--- a/crates/scale/src/planners/worker.rs
+++ b/crates/scale/src/planners/worker.rs
@@ -1,7 +1,7 @@
 //! A hollow worker: it holds tasks and says what a worker says of them, and runs nothing.
 
 use super::settings::{WORKER_CORES, WORKER_MEMORY};
-use mulleinhub_interface::Room;
+use mulleinhub_interface::Resources;
 use mulleinhub_protocol::{Ending, Held as HeldFrame, Shape};
 use mulleinhub_seam::Link;
 
@@ -34,8 +34,8 @@
 }
 
 impl Held {
-    fn room(&self) -> Room {
-        Room::new(self.shape.cores, self.shape.memory)
+    fn room(&self) -> Resources {
+        Resources::new(self.shape.cores, self.shape.memory)
     }
 
     fn is_accepted(&self) -> bool {
@@ -62,19 +62,19 @@
     pub links: Vec<Option<Link>>,
     held: Vec<Held>,
     /// Cores and memory of all that it accepted.
-    asked: Room,
+    asked: Resources,
     /// It tells how its tasks fare, at its own next instant for that.
     pub tells: bool,
 }
 
 impl Worker {
     pub fn new(schedulers: usize) -> Self {
-        Self { links: vec![None; schedulers], held: Vec::new(), asked: Room::NONE, tells: false }
+        Self { links: vec![None; schedulers], held: Vec::new(), asked: Resources::NONE, tells: false }
     }
 
     /// Cores and memory that nobody asked for.
-    pub fn left(&self) -> Room {
-        Room::new(WORKER_CORES, WORKER_MEMORY) - self.asked
+    pub fn left(&self) -> Resources {
+        Resources::new(WORKER_CORES, WORKER_MEMORY) - self.asked
     }
 
     pub fn offered(&mut self, id: SendId, shape: Shape, owner: &str) {
--- a/crates/scale/src/profile.rs
+++ b/crates/scale/src/profile.rs
@@ -25,16 +25,16 @@
 //! ```
 
 use crate::results::{Host, Size};
-use mulleinhub_interface::Span;
+use mulleinhub_interface::Duration;
 use mulleinhub_settings::{Args, Directive, Faults, Name, Place, Scope, Value, Word, parse_text, suggest};
 
 /// The longest span that a profile may measure or cut.
-const MOST_SPAN: Span = Span::from_secs(24 * 3600);
+const MOST_SPAN: Duration = Duration::from_secs(24 * 3600);
 const MOST_REPLICAS: u32 = 8;
-const DEFAULT_WARM_UP: Span = Span::from_secs(10);
-const ROUND_TRIP_ZONE: Span = Span::from_nanos(500_000);
-const ROUND_TRIP_REGION: Span = Span::from_nanos(2_000_000);
-const ROUND_TRIP_BETWEEN_REGIONS: Span = Span::from_nanos(100_000_000);
+const DEFAULT_WARM_UP: Duration = Duration::from_secs(10);
+const ROUND_TRIP_ZONE: Duration = Duration::from_nanos(500_000);
+const ROUND_TRIP_REGION: Duration = Duration::from_nanos(2_000_000);
+const ROUND_TRIP_BETWEEN_REGIONS: Duration = Duration::from_nanos(100_000_000);
 
 /// What a profile may change from run to run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -150,9 +150,9 @@
 /// Between two schedulers, there and back.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RoundTrips {
-    pub zone: Span,
-    pub region: Span,
-    pub between_regions: Span,
+    pub zone: Duration,
+    pub region: Duration,
+    pub between_regions: Duration,
 }
 
 /// A region that the others can't reach for a while.
@@ -161,14 +161,14 @@
     /// Counted from 1, as in the file.
     pub region: u32,
     /// From the end of the warm-up.
-    pub from: Span,
-    pub length: Span,
+    pub from: Duration,
+    pub length: Duration,
 }
 
 impl Cut {
     /// When it is healed, from the end of the warm-up.
     #[must_use]
-    pub fn until(&self) -> Span {
+    pub fn until(&self) -> Duration {
         self.from + self.length
     }
 }
@@ -190,8 +190,8 @@
     pub host: Host,
     pub seed: u64,
     /// Measured, after the warm-up.
-    pub length: Span,
-    pub warm_up: Span,
+    pub length: Duration,
+    pub warm_up: Duration,
     /// What holds for all runs, but for the variable that is changed.
     pub size: Size,
     pub round_trips: RoundTrips,
@@ -216,9 +216,9 @@
 impl RunPlan {
     /// How long a task runs, where tasks start at all.
     #[must_use]
-    pub fn task_life(&self) -> Option<Span> {
+    pub fn task_life(&self) -> Option<Duration> {
         let seconds = f64::from(self.size.running) / self.size.starts;
-        (self.size.starts > 0.0).then(|| Span::from_secs(1) * seconds)
+        (self.size.starts > 0.0).then(|| Duration::from_secs(1) * seconds)
     }
 }
 
@@ -318,9 +318,9 @@
         Some(profile)
     }
 
-    fn length(&mut self) -> Option<Span> {
-        let length: Span = self.scope.must("length", self.faults)?;
-        if length == Span::ZERO || length > MOST_SPAN {
+    fn length(&mut self) -> Option<Duration> {
+        let length: Duration = self.scope.must("length", self.faults)?;
+        if length == Duration::ZERO || length > MOST_SPAN {
             let place = self.place_of("length");
             self.faults.add(&place, "length is more than nothing and a day at the most");
             return None;
@@ -363,7 +363,7 @@
                 let words = format!("round-trip {} stands here for the second time", kinds[at]);
                 self.faults.add(&directive.place, words);
             }
-            read[at] = args.next::<Span>(self.faults).or(read[at]);
+            read[at] = args.next::<Duration>(self.faults).or(read[at]);
             args.finish(self.faults);
         }
         let [zone, region, between_regions] = read;
@@ -383,7 +383,7 @@
         drops
     }
 
-    fn cuts(&mut self, length: Option<Span>) -> Vec<(Cut, Place)> {
+    fn cuts(&mut self, length: Option<Duration>) -> Vec<(Cut, Place)> {
         let directives = self.scope.each("cut");
         let cuts = directives.into_iter().filter_map(|directive| {
             let cut = self.cut(directive)?;
@@ -404,7 +404,12 @@
         Some(Cut { region, from, length })
     }
 
-    fn span_after(&mut self, word: &'static str, args: &mut Args<'a>, directive: &Directive) -> Option<Span> {
+    fn span_after(
+        &mut self,
+        word: &'static str,
+        args: &mut Args<'a>,
+        directive: &Directive,
+    ) -> Option<Duration> {
         if !args.takes(word) {
             let place = args.peek().map_or(&directive.place, |word| &word.place);
             self.faults.add(place, format!("{word} and a span of time are wanted"));
--- a/crates/scale/src/targets.rs
+++ b/crates/scale/src/targets.rs
@@ -2,7 +2,7 @@
 
 use crate::profile::Variable;
 use crate::results::{Metric, Size};
-use mulleinhub_interface::Span;
+use mulleinhub_interface::Duration;
 use mulleinhub_settings::{Args, Bytes, Directive, Faults, Place, Scope, Share, Value, parse_text};
 use std::path::Path;
 
@@ -155,8 +155,8 @@
     let machine_failures_a_day = scope.must("machine-failures-a-day", faults);
     let restarts_a_day = scope.must("restarts-a-day", faults);
     let control_machines = positive(&mut scope, "control-machines", faults);
-    let urgent_start = positive::<Span>(&mut scope, "urgent-start", faults);
-    let in_force = positive::<Span>(&mut scope, "in-force", faults);
+    let urgent_start = positive::<Duration>(&mut scope, "urgent-start", faults);
+    let in_force = positive::<Duration>(&mut scope, "in-force", faults);
     let cores = positive::<Share>(&mut scope, "core-part", faults);
     let memory = positive::<Bytes>(&mut scope, "memory", faults);
     let bytes = positive::<Bytes>(&mut scope, "bytes-a-second", faults);
@@ -182,8 +182,8 @@
         machine_failures_a_day: machine_failures_a_day?,
         restarts_a_day: restarts_a_day?,
         control_machines: control_machines?,
-        urgent_start_seconds: urgent_start?.over(Span::from_secs(1)),
-        in_force_seconds: in_force?.over(Span::from_secs(1)),
+        urgent_start_seconds: urgent_start?.over(Duration::from_secs(1)),
+        in_force_seconds: in_force?.over(Duration::from_secs(1)),
         budget: Budget { cores: cores?.0, memory_bytes: memory?.0 as f64, bytes_a_second: bytes?.0 as f64 },
     })
 }
@@ -205,7 +205,7 @@
     }
 }
 
-impl Figure for Span {
+impl Figure for Duration {
     fn is_zero(self) -> bool {
         self == Self::ZERO
     }
--- a/crates/scale/tests/ledgers.rs
+++ b/crates/scale/tests/ledgers.rs
@@ -1,6 +1,6 @@
 //! Fleets of hollow ledgers: counts that follow from the seed, counts that agree, and faults that heal.
 
-use mulleinhub_interface::Time;
+use mulleinhub_interface::Timestamp;
 use mulleinhub_scale::ledgers::fleet::{Counts, Fleet};
 use mulleinhub_scale::ledgers::load::Load;
 use mulleinhub_scale::ledgers::{Outcome, play};
@@ -46,7 +46,7 @@
     let plan = profile.runs()[0];
     let mut fleet = Fleet::new(&profile, &plan);
     let mut load = Load::new(&profile, &plan, &mut fleet);
-    let end = Time::from_nanos(20_000_000_000);
+    let end = Timestamp::from_nanos(20_000_000_000);
     while let Some(now) = fleet.next().filter(|now| *now < end) {
         for cue in fleet.deliver(now) {
             load.act(cue, &mut fleet);
--- a/crates/scale/tests/profile.rs
+++ b/crates/scale/tests/profile.rs
@@ -1,6 +1,6 @@
 //! Profiles are read whole, and what is wrong with one is told all at once, with place and cause.
 
-use mulleinhub_interface::Span;
+use mulleinhub_interface::Duration;
 use mulleinhub_scale::limits;
 use mulleinhub_scale::profile::{Cut, Variable, parse};
 use mulleinhub_scale::results::Host;
@@ -38,10 +38,10 @@
 fn a_whole_profile_gives_a_run_for_each_value_and_the_held_out_one_last() {
     let profile = parse("test.profile", WHOLE).expect("is a profile");
     assert_eq!((profile.name.as_str(), profile.host, profile.seed), ("ledger-teams", Host::HollowLedgers, 7));
-    assert_eq!((profile.length, profile.warm_up), (Span::from_secs(30), Span::from_secs(20)));
-    assert_eq!(profile.round_trips.region, Span::from_nanos(3_000_000));
+    assert_eq!((profile.length, profile.warm_up), (Duration::from_secs(30), Duration::from_secs(20)));
+    assert_eq!(profile.round_trips.region, Duration::from_nanos(3_000_000));
     assert_eq!((profile.drops, profile.replicas), (0.001, Some(2)));
-    let second = Cut { region: 5, from: Span::from_secs(20), length: Span::from_secs(10) };
+    let second = Cut { region: 5, from: Duration::from_secs(20), length: Duration::from_secs(10) };
     assert_eq!(profile.cuts[1], second);
     assert_eq!(profile.vary.as_ref().map(|vary| vary.variable), Some(Variable::Teams));
     let runs = profile.runs();
@@ -50,7 +50,7 @@
         [(10, 10.0, false), (30, 30.0, false), (100, 100.0, false), (300, 300.0, false), (450, 450.0, true)];
     assert_eq!(told, wanted);
     assert!(runs.iter().all(|run| run.size.schedulers == 30 && run.size.failures == 2.0));
-    assert_eq!(runs[0].task_life(), Some(Span::from_secs(30)));
+    assert_eq!(runs[0].task_life(), Some(Duration::from_secs(30)));
 }
 
 #[test]
--- a/crates/seam/src/lib.rs
+++ b/crates/seam/src/lib.rs
@@ -1,17 +1,17 @@
 //! The seam between programs and I/O.
 //!
-//! For: what each program and stand-in is made of. A [`Party`] is told bytes, ends of connections and the
-//! time, and leaves bytes, connections to open or end, and a wake time in its [`Links`]. A shell with real
+//! For: what each program and stand-in is made of. A [`StateMachine`] is told bytes, ends of connections and the
+//! time, and leaves bytes, connections to open or end, and a wake time in its [`Connections`]. A shell with real
 //! sockets and a runner in virtual time feed the same parties.
 //! May not touch: sockets, clocks, threads, files; what bytes mean.
 
 mod links;
 mod timers;
 
-pub use links::{Link, Links, Unwritten};
+pub use links::{Connections, Link, Unsent};
 pub use timers::Timers;
 
-use mulleinhub_interface::Time;
+use mulleinhub_interface::Timestamp;
 
 /// How a connection ended, as far as this side can know.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -29,7 +29,7 @@
 
 /// The way in that a connection came through; the party that listens gives it its meaning.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct Door(pub u32);
+pub struct ListenerId(pub u32);
 
 /// What a shell or a runner has to do for a party, beside carrying bytes.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -44,36 +44,36 @@
 ///
 /// A turn is: any number of `opened`, `up`, `received` and `ended`, then one `turn`. Whoever feeds it tells
 /// all that has come in before `turn`, so that a standstill is no silence of the others.
-pub trait Party {
+pub trait StateMachine {
     /// Somebody opened a connection to this party.
-    fn opened(&mut self, now: Time, link: Link, door: Door);
+    fn opened(&mut self, now: Timestamp, link: Link, door: ListenerId);
     /// A connection that this party asked for is up.
-    fn up(&mut self, now: Time, link: Link);
-    fn received(&mut self, now: Time, link: Link, bytes: &[u8]);
+    fn up(&mut self, now: Timestamp, link: Link);
+    fn received(&mut self, now: Timestamp, link: Link, bytes: &[u8]);
     /// The connection is over; the link is never named again by either side.
-    fn ended(&mut self, now: Time, link: Link, end: End);
+    fn ended(&mut self, now: Timestamp, link: Link, end: End);
     /// All that came in was told: time to act.
-    fn turn(&mut self, now: Time);
+    fn turn(&mut self, now: Timestamp);
     /// Some of what came in was told, and more lies unread: what was told may be answered, and nobody is
     /// taken for silent before `turn`.
-    fn turn_early(&mut self, _now: Time) {}
+    fn turn_early(&mut self, _now: Timestamp) {}
     /// Whether what comes on this connection is told before what comes on others, where much comes at once.
     fn is_prompt(&self, _link: Link) -> bool {
         false
     }
     /// When `turn` is wanted at the latest, if nothing comes in before.
-    fn wake(&self) -> Option<Time>;
-    fn links(&mut self) -> &mut Links;
+    fn wake(&self) -> Option<Timestamp>;
+    fn links(&mut self) -> &mut Connections;
     /// Whether a connection through this door is taken now; where not, it is refused.
-    fn listens(&self, _: Door) -> bool {
+    fn listens(&self, _: ListenerId) -> bool {
         true
     }
     /// How many more connections through this door are taken before the next turn; others wait outside.
-    fn takes(&self, _: Door) -> usize {
+    fn takes(&self, _: ListenerId) -> usize {
         usize::MAX
     }
     /// No connection can be accepted for want of descriptors.
-    fn pinched(&mut self, _now: Time) {}
+    fn pinched(&mut self, _now: Timestamp) {}
     /// What is to be kept for the party's next life, where that has changed since the last call.
     fn keep(&mut self) -> Option<Vec<u8>> {
         None
--- a/crates/seam/src/links.rs
+++ b/crates/seam/src/links.rs
@@ -9,7 +9,7 @@
 
 /// What of a marked frame may have left this process when its connection ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Unwritten {
+pub enum Unsent {
     /// Not a byte was handed to the system.
     Whole,
     /// Some bytes were, not all.
@@ -42,7 +42,7 @@
 
 /// All connections of a party. The party writes frames into it; the shell or runner takes bytes out of it.
 #[derive(Debug, Default)]
-pub struct Links {
+pub struct Connections {
     next: u64,
     open: BTreeMap<Link, Slot>,
     /// In the order of writing, so that what was written first is handed over first, on whatever connection.
@@ -54,7 +54,7 @@
     spare: Vec<Box<Outbox>>,
 }
 
-impl Links {
+impl Connections {
     /// A link for a connection that came in. For whoever feeds the party.
     pub fn fresh(&mut self) -> Link {
         let link = Link(self.next);
@@ -79,7 +79,7 @@
 
     /// Ends a connection now, and gives back the marked frames that were not wholly handed over. No `ended`
     /// follows. Harmless for a connection that is over.
-    pub fn abort(&mut self, link: Link) -> Vec<(u64, Unwritten)> {
+    pub fn abort(&mut self, link: Link) -> Vec<(u64, Unsent)> {
         if self.open.contains_key(&link) {
             self.asks.push_back(Ask::End { link, at_once: true });
         }
@@ -134,9 +134,9 @@
     }
 
     /// For the party when it is told of an end: the marked frames that were not wholly handed over.
-    pub fn forget(&mut self, link: Link) -> Vec<(u64, Unwritten)> {
+    pub fn forget(&mut self, link: Link) -> Vec<(u64, Unsent)> {
         let Some(out) = self.open.remove(&link).and_then(|slot| slot.out) else { return Vec::new() };
-        let whole = |start| if start >= out.gone { Unwritten::Whole } else { Unwritten::Part };
+        let whole = |start| if start >= out.gone { Unsent::Whole } else { Unsent::Part };
         out.marks.iter().map(|(start, _, mark)| (*mark, whole(*start))).collect()
     }
 
--- a/crates/seam/src/links/tests.rs
+++ b/crates/seam/src/links/tests.rs
@@ -2,7 +2,7 @@
 
 #[test]
 fn only_a_frame_of_which_no_byte_left_can_be_taken_back() {
-    let mut links = Links::default();
+    let mut links = Connections::default();
     let link = links.fresh();
     for mark in 1..=3 {
         links.send(link, &[mark as u8; 10], Some(mark));
@@ -13,12 +13,12 @@
     assert!(!links.take_back(link, 2), "it is out already");
     assert_eq!(links.outgoing(link), [&[1; 6][..], &[3; 10]].concat());
     links.wrote(link, 6);
-    assert_eq!(links.forget(link), [(3, Unwritten::Whole)]);
+    assert_eq!(links.forget(link), [(3, Unsent::Whole)]);
 }
 
 #[test]
 fn what_was_written_first_is_handed_over_first() {
-    let mut links = Links::default();
+    let mut links = Connections::default();
     let [one, two, three] = [(); 3].map(|()| links.fresh());
     for link in [three, one, two, three] {
         links.send(link, &[0; 4], None);
@@ -30,7 +30,7 @@
 
 #[test]
 fn a_connection_that_has_written_all_owns_no_buffer_and_a_burst_is_given_back() {
-    let mut links = Links::default();
+    let mut links = Connections::default();
     let all: Vec<Link> = (0..1_000).map(|_| links.fresh()).collect();
     for link in &all {
         links.send(*link, &[0; 1_000], None);
@@ -47,13 +47,13 @@
 
 #[test]
 fn an_end_tells_whole_from_part_and_forgets_what_was_written() {
-    let mut links = Links::default();
+    let mut links = Connections::default();
     let link = links.fresh();
     for mark in 1..=3 {
         links.send(link, &[0; 8], Some(mark));
     }
     links.wrote(link, 9);
-    assert_eq!(links.forget(link), [(2, Unwritten::Part), (3, Unwritten::Whole)]);
+    assert_eq!(links.forget(link), [(2, Unsent::Part), (3, Unsent::Whole)]);
     links.send(link, &[0; 8], Some(4));
     assert_eq!(links.unwritten(link), 0, "nothing is kept for a link that is over");
 }
--- a/crates/seam/src/timers.rs
+++ b/crates/seam/src/timers.rs
@@ -1,13 +1,13 @@
 //! Wake times of one party, in the order of their instants and then of their setting.
 
-use mulleinhub_interface::Time;
+use mulleinhub_interface::Timestamp;
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
 
 /// Things to come back to. Nothing is taken out early: whoever is woken looks whether it still matters.
 #[derive(Debug)]
 pub struct Timers<T> {
-    heap: BinaryHeap<Reverse<(Time, u64, T)>>,
+    heap: BinaryHeap<Reverse<(Timestamp, u64, T)>>,
     set: u64,
 }
 
@@ -18,17 +18,17 @@
 }
 
 impl<T: Ord> Timers<T> {
-    pub fn set(&mut self, at: Time, what: T) {
+    pub fn set(&mut self, at: Timestamp, what: T) {
         self.set += 1;
         self.heap.push(Reverse((at, self.set, what)));
     }
 
-    pub fn next(&self) -> Option<Time> {
+    pub fn next(&self) -> Option<Timestamp> {
         self.heap.peek().map(|Reverse((at, ..))| *at)
     }
 
     /// The earliest thing that is due by now.
-    pub fn due(&mut self, now: Time) -> Option<T> {
+    pub fn due(&mut self, now: Timestamp) -> Option<T> {
         if self.next()? > now {
             return None;
         }
@@ -42,7 +42,7 @@
 
     /// The earliest thing that is due by now and was set before the mark, so that what is set again for the
     /// same instant waits for the next turn.
-    pub fn due_of(&mut self, now: Time, mark: u64) -> Option<T> {
+    pub fn due_of(&mut self, now: Timestamp, mark: u64) -> Option<T> {
         let Reverse((_, set, _)) = self.heap.peek()?;
         if *set > mark { None } else { self.due(now) }
     }
--- a/crates/settings/src/value.rs
+++ b/crates/settings/src/value.rs
@@ -1,6 +1,6 @@
 //! Typed values: what an argument may be, and what is said where it is not.
 
-use mulleinhub_interface::Span;
+use mulleinhub_interface::Duration;
 
 pub trait Value: Sized {
     /// What is wanted, for messages: "a span of time, as 600ms".
@@ -22,7 +22,7 @@
     number.is_finite().then_some((number, &text[end..]))
 }
 
-impl Value for Span {
+impl Value for Duration {
     const WANTED: &'static str = "a span of time, as 600ms, 5s or 2min";
 
     fn read(text: &str) -> Result<Self, String> {
--- a/crates/settings/tests/faults.rs
+++ b/crates/settings/tests/faults.rs
@@ -1,10 +1,10 @@
 //! What a person is told about files that are wrong, and that no text can do harm.
 
-use mulleinhub_interface::Span;
+use mulleinhub_interface::Duration;
 use mulleinhub_settings::{Bytes, Faults, Range, Scope, Share, parse_text};
 use proptest::prelude::*;
 
-fn read(text: &str) -> (Option<Span>, Vec<u64>, Faults) {
+fn read(text: &str) -> (Option<Duration>, Vec<u64>, Faults) {
     let mut faults = Faults::default();
     let directives = parse_text("test.conf", text, &mut faults);
     let place = mulleinhub_settings::Place { file: 0, bytes: 0..0 };
@@ -15,7 +15,7 @@
         let mut inner = Scope::of(block);
         sizes.extend(inner.must::<Bytes>("memory", &mut faults).map(|bytes| bytes.0));
         inner.or("share", Share(0.5), &mut faults);
-        inner.maybe::<Range<Span>>("life", &mut faults);
+        inner.maybe::<Range<Duration>>("life", &mut faults);
         inner.finish(&mut faults);
     }
     scope.finish(&mut faults);
@@ -27,7 +27,7 @@
     let (reconnect, sizes, faults) =
         read("reconnect 600ms # soon\nmachine \"m 1\" {\n  memory 64GiB\n  share 50%\n  life 2s..1min\n}\n");
     assert!(faults.is_empty(), "{}", faults.render());
-    assert_eq!((reconnect, sizes), (Some(Span::from_nanos(600_000_000)), vec![64 << 30]));
+    assert_eq!((reconnect, sizes), (Some(Duration::from_nanos(600_000_000)), vec![64 << 30]));
 }
 
 #[test]
--- a/crates/shell/src/lib.rs
+++ b/crates/shell/src/lib.rs
@@ -1,20 +1,20 @@
 //! A party behind real sockets: one thread, one poll, no runtime.
 //!
-//! For: everything between mio and a [`Party`]: listening, connecting, reading, writing, waking, signals. All
+//! For: everything between mio and a [`StateMachine`]: listening, connecting, reading, writing, waking, signals. All
 //! that is readable is told before the party's turn, also after this process stood still.
 //! May not touch: what bytes mean. Addresses are loopback ones alone.
 
 use mio::net::{TcpListener, TcpStream};
 use mio::{Events, Interest, Poll, Token};
-use mulleinhub_interface::{Span, Time};
-use mulleinhub_seam::{Ask, Door, End, Link, Party};
+use mulleinhub_interface::{Duration, Timestamp};
+use mulleinhub_seam::{Ask, End, Link, ListenerId, StateMachine};
 use signal_hook_mio::v1_0::Signals;
 use socket2::{Domain, Socket, Type};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::io::{ErrorKind, Read, Write};
 use std::net::{IpAddr, Shutdown, SocketAddr};
 use std::sync::Arc;
-use std::time::{Duration, Instant};
+use std::time::{Duration as StdDuration, Instant};
 
 const SIGNALS: Token = Token(usize::MAX - 1);
 const WAKER: Token = Token(usize::MAX - 2);
@@ -32,12 +32,12 @@
 /// Polls that were full before a turn, at the most.
 const MOST_FULL_POLLS: usize = 64;
 /// After accepting failed for want of descriptors, it rests for this.
-const ACCEPT_REST: Duration = Duration::from_millis(100);
+const ACCEPT_REST: StdDuration = StdDuration::from_millis(100);
 /// And why it failed is told once in this.
-const TELL_AGAIN: Duration = Duration::from_secs(60);
+const TELL_AGAIN: StdDuration = StdDuration::from_secs(60);
 /// A connection that came in and that we end is read on for so long after our last word, so that the other
 /// side hears it: one that is closed with bytes unread is reset, and what was just written goes with it.
-const LINGER: Duration = Duration::from_millis(1000);
+const LINGER: StdDuration = StdDuration::from_millis(1000);
 /// Such connections at a time, as a part of the descriptors, and at the most; with more, the first ones are
 /// closed.
 const LINGERING_PART: usize = 64;
@@ -60,7 +60,7 @@
 
 struct Listening {
     tcp: TcpListener,
-    door: Door,
+    door: ListenerId,
     ready: bool,
     rests_until: Option<Instant>,
     told_at: Option<Instant>,
@@ -70,15 +70,15 @@
 #[derive(Clone, Copy, Debug)]
 pub struct Clock {
     began: Instant,
-    origin: Time,
+    origin: Timestamp,
 }
 
 impl Clock {
-    pub fn new(origin: Time) -> Self {
+    pub fn new(origin: Timestamp) -> Self {
         Self { began: Instant::now(), origin }
     }
 
-    pub fn now(&self) -> Time {
+    pub fn now(&self) -> Timestamp {
         self.origin + span(self.began.elapsed())
     }
 }
@@ -101,7 +101,7 @@
     Signal(i32),
 }
 
-pub struct Shell<P: Party> {
+pub struct EventLoop<P: StateMachine> {
     pub party: P,
     poll: Poll,
     events: Events,
@@ -131,7 +131,7 @@
     pub calls: u64,
 }
 
-impl<P: Party> Shell<P> {
+impl<P: StateMachine> EventLoop<P> {
     /// # Errors
     /// Where the system has no poll for us.
     pub fn new(party: P) -> std::io::Result<Self> {
@@ -145,7 +145,7 @@
             fresh: Vec::new(),
             writable: Vec::new(),
             names: BTreeMap::new(),
-            clock: Clock::new(Time::default()),
+            clock: Clock::new(Timestamp::default()),
             waker: None,
             signals: None,
             heard: VecDeque::new(),
@@ -160,7 +160,7 @@
 
     /// Counts from this instant of another clock, for parties that are told points of it.
     #[must_use]
-    pub fn from_origin(mut self, origin: Time) -> Self {
+    pub fn from_origin(mut self, origin: Timestamp) -> Self {
         self.clock.origin = origin;
         self
     }
@@ -173,7 +173,7 @@
     }
 
     /// The time since this shell began, from its origin on.
-    pub fn now(&self) -> Time {
+    pub fn now(&self) -> Timestamp {
         self.clock.now()
     }
 
@@ -194,7 +194,7 @@
     ///
     /// # Errors
     /// Where the address can't be had, or is not a loopback one.
-    pub fn listen(&mut self, at: SocketAddr, door: Door) -> std::io::Result<SocketAddr> {
+    pub fn listen(&mut self, at: SocketAddr, door: ListenerId) -> std::io::Result<SocketAddr> {
         self.listen_at(at, door, false)
     }
 
@@ -202,7 +202,12 @@
     ///
     /// # Errors
     /// As for `listen`.
-    pub fn listen_at(&mut self, at: SocketAddr, door: Door, shared: bool) -> std::io::Result<SocketAddr> {
+    pub fn listen_at(
+        &mut self,
+        at: SocketAddr,
+        door: ListenerId,
+        shared: bool,
+    ) -> std::io::Result<SocketAddr> {
         if !at.ip().is_loopback() {
             return Err(std::io::Error::new(
                 ErrorKind::InvalidInput,
@@ -243,28 +248,28 @@
     ///
     /// # Errors
     /// Where the poll itself fails. Failures of single connections are told to the party.
-    pub fn step(&mut self, at_most: Duration) -> std::io::Result<Step> {
+    pub fn step(&mut self, at_most: StdDuration) -> std::io::Result<Step> {
         let now = self.now();
         let mut wait = at_most;
         if let Some(wake) = self.party.wake() {
-            wait = wait.min(Duration::from_nanos((wake - now).nanos()));
+            wait = wait.min(StdDuration::from_nanos((wake - now).nanos()));
         }
         if let Some((until, _)) = self.lingering.front() {
             wait = wait.min(until.saturating_duration_since(Instant::now()));
         }
         if !self.heard.is_empty() {
-            wait = Duration::ZERO;
+            wait = StdDuration::ZERO;
         }
         if self.listeners.iter().any(|listening| listening.rests_until.is_some()) {
             wait = wait.min(ACCEPT_REST);
         }
         if self.listeners.iter().any(|listening| listening.ready && self.party.takes(listening.door) > 0) {
             // More was there than one turn takes.
-            wait = Duration::ZERO;
+            wait = StdDuration::ZERO;
         }
         let links = self.party.links();
         if self.readable.iter().any(|link| !links.is_paused(*link)) {
-            wait = Duration::ZERO;
+            wait = StdDuration::ZERO;
         }
         self.poll_once(Some(wait))?;
         let (mut polls, mut full) = (0, 0);
@@ -278,7 +283,7 @@
             if !self.read_all()? {
                 break;
             }
-            self.poll_once(Some(Duration::ZERO))?;
+            self.poll_once(Some(StdDuration::ZERO))?;
         }
         self.party.turn(self.now());
         self.write_to_writable();
@@ -298,7 +303,7 @@
 
     /// The end of this process: nobody is taken any more, and whoever came in hears all that was written to
     /// him, as far as he takes it within this time.
-    pub fn finish(&mut self, at_most: Duration) {
+    pub fn finish(&mut self, at_most: StdDuration) {
         let until = Instant::now() + at_most;
         self.listeners.clear();
         let links: Vec<Link> = self.streams.iter().filter(|(_, s)| s.came).map(|(link, _)| *link).collect();
@@ -323,7 +328,7 @@
         }
     }
 
-    fn poll_once(&mut self, wait: Option<Duration>) -> std::io::Result<()> {
+    fn poll_once(&mut self, wait: Option<StdDuration>) -> std::io::Result<()> {
         self.calls += 1;
         match self.poll.poll(&mut self.events, wait) {
             Err(error) if error.kind() == ErrorKind::Interrupted => return Ok(()),
@@ -398,7 +403,7 @@
         }
     }
 
-    fn came(&mut self, tcp: TcpStream, door: Door) {
+    fn came(&mut self, tcp: TcpStream, door: ListenerId) {
         if !self.party.listens(door) {
             return;
         }
@@ -433,7 +438,7 @@
             if n > 0 {
                 self.party.turn_early(self.now());
                 self.carry_out();
-                self.poll_once(Some(Duration::ZERO))?;
+                self.poll_once(Some(StdDuration::ZERO))?;
                 any |= self.read_prompt();
             }
             for link in slice {
@@ -689,6 +694,6 @@
 }
 
 /// A real span of time as the project's own.
-pub fn span(duration: Duration) -> Span {
-    Span::from_nanos(duration.as_nanos() as u64)
+pub fn span(duration: StdDuration) -> Duration {
+    Duration::from_nanos(duration.as_nanos() as u64)
 }
--- a/crates/shell/tests/descriptors.rs
+++ b/crates/shell/tests/descriptors.rs
@@ -1,8 +1,8 @@
 //! At the hard limit of descriptors, with real sockets. One test, for it lowers this process's own limit.
 
-use mulleinhub_interface::Time;
-use mulleinhub_seam::{Door, End, Link, Links, Party};
-use mulleinhub_shell::Shell;
+use mulleinhub_interface::Timestamp;
+use mulleinhub_seam::{Connections, End, Link, ListenerId, StateMachine};
+use mulleinhub_shell::EventLoop;
 use std::collections::VecDeque;
 use std::io::Read;
 use std::net::{SocketAddr, TcpStream};
@@ -11,31 +11,31 @@
 /// Takes whoever comes, and lets the oldest go where descriptors run out.
 #[derive(Default)]
 struct Host {
-    links: Links,
+    links: Connections,
     open: VecDeque<Link>,
     pinches: usize,
     ends: Vec<End>,
 }
 
-impl Party for Host {
-    fn opened(&mut self, _: Time, link: Link, _: Door) {
+impl StateMachine for Host {
+    fn opened(&mut self, _: Timestamp, link: Link, _: ListenerId) {
         self.open.push_back(link);
     }
-    fn up(&mut self, _: Time, _: Link) {}
-    fn received(&mut self, _: Time, _: Link, _: &[u8]) {}
-    fn ended(&mut self, _: Time, link: Link, end: End) {
+    fn up(&mut self, _: Timestamp, _: Link) {}
+    fn received(&mut self, _: Timestamp, _: Link, _: &[u8]) {}
+    fn ended(&mut self, _: Timestamp, link: Link, end: End) {
         self.ends.push(end);
         self.links.forget(link);
         self.open.retain(|open| *open != link);
     }
-    fn turn(&mut self, _: Time) {}
-    fn wake(&self) -> Option<Time> {
+    fn turn(&mut self, _: Timestamp) {}
+    fn wake(&self) -> Option<Timestamp> {
         None
     }
-    fn links(&mut self) -> &mut Links {
+    fn links(&mut self) -> &mut Connections {
         &mut self.links
     }
-    fn pinched(&mut self, _: Time) {
+    fn pinched(&mut self, _: Timestamp) {
         self.pinches += 1;
         for link in self.open.drain(..2) {
             self.links.send(link, b"bye", None);
@@ -47,8 +47,8 @@
 #[test]
 fn at_the_limit_accepting_rests_lets_go_with_a_word_and_goes_on() {
     use rustix::process::{Resource, Rlimit, getrlimit, setrlimit};
-    let mut shell = Shell::new(Host::default()).expect("a poll");
-    let at = shell.listen(SocketAddr::from(([127, 0, 0, 1], 0)), Door(0)).expect("a listener");
+    let mut shell = EventLoop::new(Host::default()).expect("a poll");
+    let at = shell.listen(SocketAddr::from(([127, 0, 0, 1], 0)), ListenerId(0)).expect("a listener");
     // Clients that were here before the limit is met, so that it is met by accepting alone.
     let mut clients: Vec<TcpStream> = (0..60).map(|_| TcpStream::connect(at).expect("waits")).collect();
     let used = clients.len() + 20;
--- a/crates/shell/tests/ends.rs
+++ b/crates/shell/tests/ends.rs
@@ -1,9 +1,9 @@
 //! Signals that come together, and last words to peers that are still writing. Real sockets; signals are the
 //! whole process's, so that they stand here alone.
 
-use mulleinhub_interface::Time;
-use mulleinhub_seam::{Door, End, Link, Links, Party};
-use mulleinhub_shell::{Shell, Step};
+use mulleinhub_interface::Timestamp;
+use mulleinhub_seam::{Connections, End, Link, ListenerId, StateMachine};
+use mulleinhub_shell::{EventLoop, Step};
 use rustix::process::{Pid, Signal, getpid, kill_process};
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpStream};
@@ -12,7 +12,7 @@
 /// Says a word to whoever speaks, and ends the connection.
 #[derive(Default)]
 struct Host {
-    links: Links,
+    links: Connections,
     spoke: Vec<Link>,
     ends_them: bool,
     heard: Vec<u8>,
@@ -24,10 +24,10 @@
 const WORD: &[u8] = b"refused, come again later";
 const LAST: &[u8] = b"my last words";
 
-impl Party for Host {
-    fn opened(&mut self, _: Time, _: Link, _: Door) {}
-    fn up(&mut self, _: Time, _: Link) {}
-    fn received(&mut self, _: Time, link: Link, bytes: &[u8]) {
+impl StateMachine for Host {
+    fn opened(&mut self, _: Timestamp, _: Link, _: ListenerId) {}
+    fn up(&mut self, _: Timestamp, _: Link) {}
+    fn received(&mut self, _: Timestamp, link: Link, bytes: &[u8]) {
         self.heard.extend_from_slice(bytes);
         if !self.spoke.contains(&link) {
             self.spoke.push(link);
@@ -37,11 +37,11 @@
             }
         }
     }
-    fn ended(&mut self, _: Time, link: Link, end: End) {
+    fn ended(&mut self, _: Timestamp, link: Link, end: End) {
         self.ended.push(end);
         self.links.forget(link);
     }
-    fn turn(&mut self, _: Time) {
+    fn turn(&mut self, _: Timestamp) {
         if let Some(mut peer) = self.resets.take() {
             peer.write_all(LAST).expect("is sent");
             rustix::net::sockopt::set_socket_linger(&peer, Some(Duration::ZERO)).expect("is set");
@@ -49,17 +49,17 @@
             self.links.send(self.spoke[0], WORD, None);
         }
     }
-    fn wake(&self) -> Option<Time> {
+    fn wake(&self) -> Option<Timestamp> {
         None
     }
-    fn links(&mut self) -> &mut Links {
+    fn links(&mut self) -> &mut Connections {
         &mut self.links
     }
 }
 
-fn shell(ends_them: bool) -> (Shell<Host>, SocketAddr) {
-    let mut shell = Shell::new(Host { ends_them, ..Host::default() }).expect("a poll");
-    let at = shell.listen(SocketAddr::from(([127, 0, 0, 1], 0)), Door(0)).expect("a listener");
+fn shell(ends_them: bool) -> (EventLoop<Host>, SocketAddr) {
+    let mut shell = EventLoop::new(Host { ends_them, ..Host::default() }).expect("a poll");
+    let at = shell.listen(SocketAddr::from(([127, 0, 0, 1], 0)), ListenerId(0)).expect("a listener");
     (shell, at)
 }
 
--- a/crates/site/src/lib.rs
+++ b/crates/site/src/lib.rs
@@ -5,7 +5,7 @@
 //! May not touch: any decision, any value that is not in the object.
 
 use mulleinhub::interface::*;
-use mulleinhub::{Brain, Span};
+use mulleinhub::{Duration, PlacementPolicy};
 use serde_json::Value;
 
 /// What was wrong, in words for whoever reads standard error.
@@ -16,20 +16,20 @@
 pub struct Site {
     pub use_cases: Vec<UseCase>,
     /// Sizes of the kinds of machine.
-    pub kinds: Vec<Room>,
-    pub taking: Taking,
-    pub cold: ColdRule,
-    pub listing: Listing,
-    pub home: Home,
+    pub kinds: Vec<Resources>,
+    pub taking: AcceptanceRules,
+    pub cold: SlowStart,
+    pub listing: Discovery,
+    pub home: LocalityCosts,
     pub names: Names,
     /// The names of a load report's values, and whether x0 and x1 tell room not in use (else room not asked
     /// for).
     pub report: Vec<String>,
     pub report_of_use: bool,
     /// A connection that is not up after this counts as none.
-    pub connect_within: Span,
+    pub connect_within: Duration,
     /// After so long without traffic the other side closes a connection.
-    pub idle_after: Span,
+    pub idle_after: Duration,
 }
 
 /// What use cases, kinds of machine and zones are called, each in the order of their numbers.
@@ -55,7 +55,7 @@
         Ok(Self {
             use_cases: use_cases(config, facts)?,
             kinds: kinds(facts)?,
-            taking: Taking {
+            taking: AcceptanceRules {
                 cores: number(facts, "acceptsCores")?,
                 memory: number(facts, "acceptsMemory")?,
                 yes_when_running: facts.get("yesAt").and_then(Value::as_str) == Some("running"),
@@ -63,18 +63,18 @@
                 tells_pressure: facts.get("tellsPressure").and_then(Value::as_bool) == Some(true),
                 recalls: limits.get("cancel").and_then(Value::as_bool) == Some(true),
             },
-            cold: ColdRule {
+            cold: SlowStart {
                 warm_after: span(rules, "warmAfter")?,
                 fall: span(rules, "fall")?,
                 young_limit: number(facts, "youngLimit")?,
                 schedulers: number(config, "balancers")? as u32,
                 number: number(config, "index")? as u32,
             },
-            listing: Listing {
+            listing: Discovery {
                 asked: config.get("discovery").and_then(Value::as_str) == Some("ask"),
                 ask_within: span(rules, "askWithin")?,
             },
-            home: Home {
+            home: LocalityCosts {
                 zone,
                 cross_zone_price: number(tariffs, "crossZone").unwrap_or(0.0),
                 machine_price: number(tariffs, "fleet").unwrap_or(0.0),
@@ -91,8 +91,8 @@
         })
     }
 
-    pub fn brain(&self, seed: u64) -> Brain {
-        Brain::new(
+    pub fn brain(&self, seed: u64) -> PlacementPolicy {
+        PlacementPolicy::new(
             seed,
             self.use_cases.clone(),
             self.kinds.clone(),
@@ -117,19 +117,19 @@
     part(of, key)?.as_f64().ok_or_else(|| format!("settings: {key} is no number"))
 }
 
-fn span(of: &Value, key: &str) -> Result<Span, Bad> {
+fn span(of: &Value, key: &str) -> Result<Duration, Bad> {
     let nanos = part(of, key)?.as_u64().ok_or_else(|| format!("settings: {key} is no span of time"))?;
-    Ok(Span::from_nanos(nanos))
+    Ok(Duration::from_nanos(nanos))
 }
 
 fn list<'a>(of: &'a Value, key: &str) -> Result<&'a [Value], Bad> {
     part(of, key)?.as_array().map(Vec::as_slice).ok_or_else(|| format!("settings: {key} is no list"))
 }
 
-fn kinds(facts: &Value) -> Result<Vec<Room>, Bad> {
+fn kinds(facts: &Value) -> Result<Vec<Resources>, Bad> {
     let (cores, memory) = (list(facts, "kindCores")?, list(facts, "memoryByKind")?);
-    let size = |(c, m): (&Value, &Value)| Some(Room::new(c.as_f64()?, m.as_f64()?));
-    let sizes: Option<Vec<Room>> = cores.iter().zip(memory).map(size).collect();
+    let size = |(c, m): (&Value, &Value)| Some(Resources::new(c.as_f64()?, m.as_f64()?));
+    let sizes: Option<Vec<Resources>> = cores.iter().zip(memory).map(size).collect();
     sizes.ok_or_else(|| "settings: kindCores and memoryByKind must be numbers".into())
 }
 
--- a/crates/standins/src/crowd.rs
+++ b/crates/standins/src/crowd.rs
@@ -6,9 +6,9 @@
 //! for dead. Guessed: each has one connection, to one planner.
 
 use crate::dice::Dice;
-use mulleinhub_interface::{Span, Time};
+use mulleinhub_interface::{Duration, Timestamp};
 use mulleinhub_protocol::{self as protocol, Conversation, Frames, Message, Spare};
-use mulleinhub_seam::{Door, End, Link, Links, Party, Timers};
+use mulleinhub_seam::{Connections, End, Link, ListenerId, StateMachine, Timers};
 use std::collections::BTreeMap;
 
 #[derive(Clone, Debug)]
@@ -23,7 +23,7 @@
     /// Opened in a second at the beginning.
     pub opens_a_second: f64,
     /// After an end each comes back within this, and within up to eight times that after refusals.
-    pub back_within: Span,
+    pub back_within: Duration,
 }
 
 /// What the crowd saw.
@@ -39,7 +39,7 @@
     pub spoke: u64,
     pub answered: u64,
     /// From the last storm until all were greeted again.
-    pub recovered: Option<Span>,
+    pub recovered: Option<Duration>,
 }
 
 #[derive(Debug, Default)]
@@ -48,8 +48,8 @@
     up: bool,
     frames: Frames,
     refusals: u32,
-    heard: Time,
-    silence: Option<Span>,
+    heard: Timestamp,
+    silence: Option<Duration>,
     /// A frame that it writes a byte a second of, and how far it is.
     slow: Option<usize>,
 }
@@ -62,17 +62,17 @@
 }
 
 /// Between two bytes of a slow sender.
-const A_BYTE: Span = Span::from_secs(1);
+const A_BYTE: Duration = Duration::from_secs(1);
 
 pub struct Crowd {
     settings: CrowdSettings,
     pub tally: CrowdTally,
-    links: Links,
+    links: Connections,
     all: Vec<One>,
     by_link: BTreeMap<Link, u32>,
     timers: Timers<Due>,
     up: usize,
-    storm_at: Option<Time>,
+    storm_at: Option<Timestamp>,
     dice: Dice,
     begun: bool,
     spare: Spare,
@@ -84,7 +84,7 @@
         let dice = Dice::new(seed, &settings.name);
         Self {
             tally: CrowdTally::default(),
-            links: Links::default(),
+            links: Connections::default(),
             all: (0..settings.many).map(|_| One::default()).collect(),
             by_link: BTreeMap::new(),
             timers: Timers::default(),
@@ -104,14 +104,14 @@
     }
 
     /// More of them; they open as the first did.
-    pub fn grow(&mut self, now: Time, many: usize) {
+    pub fn grow(&mut self, now: Timestamp, many: usize) {
         let before = self.all.len();
         self.all.resize_with(many.max(before), One::default);
         self.open_from(now, before);
     }
 
-    fn open_from(&mut self, now: Time, first: usize) {
-        let gap = Span::from_nanos((1e9 / self.settings.opens_a_second.max(1e-3)) as u64);
+    fn open_from(&mut self, now: Timestamp, first: usize) {
+        let gap = Duration::from_nanos((1e9 / self.settings.opens_a_second.max(1e-3)) as u64);
         for n in first..self.all.len() {
             self.timers.set(now + gap * (n - first) as f64, Due::Open(n as u32));
         }
@@ -122,13 +122,13 @@
     }
 
     /// A part of them drops its connections, and comes back within so long.
-    pub fn storm(&mut self, now: Time, part: f64, within: Span) {
+    pub fn storm(&mut self, now: Timestamp, part: f64, within: Duration) {
         (self.storm_at, self.tally.recovered) = (Some(now), None);
         for n in self.some(part) {
             if let Some(link) = self.all[n as usize].link {
                 self.links.abort(link);
                 self.gone(n);
-                let wait = self.dice.span(Span::ZERO, within);
+                let wait = self.dice.span(Duration::ZERO, within);
                 self.timers.set(now + wait, Due::Open(n));
             }
         }
@@ -145,7 +145,7 @@
     }
 
     /// A part of them begins a frame and sends a byte a second of it.
-    pub fn slow_senders(&mut self, now: Time, part: f64) {
+    pub fn slow_senders(&mut self, now: Timestamp, part: f64) {
         for n in self.some(part) {
             let one = &mut self.all[n as usize];
             if one.up && one.slow.is_none() {
@@ -206,11 +206,11 @@
         self.tally.opened += 1;
     }
 
-    fn hear(&mut self, now: Time, n: u32, message: &Message<'_>) {
+    fn hear(&mut self, now: Timestamp, n: u32, message: &Message<'_>) {
         match message {
             Message::Welcome { silence, .. } => {
                 let one = &mut self.all[n as usize];
-                one.silence = silence.map(Span::from_nanos);
+                one.silence = silence.map(Duration::from_nanos);
                 self.up += usize::from(!std::mem::replace(&mut one.up, true));
                 if let (Some(silence), Some(link)) = (one.silence, one.link) {
                     self.timers.set(now + silence * 2.0, Due::Dead(n, link));
@@ -239,7 +239,7 @@
         }
     }
 
-    fn is_due(&mut self, now: Time, due: Due) {
+    fn is_due(&mut self, now: Timestamp, due: Due) {
         match due {
             Due::Open(n) => self.open(n),
             Due::Dead(n, link) => {
@@ -261,20 +261,20 @@
         }
     }
 
-    fn comes_back(&mut self, now: Time, n: u32) {
+    fn comes_back(&mut self, now: Timestamp, n: u32) {
         let refusals = self.all[n as usize].refusals.saturating_sub(1).min(3);
         let within = self.settings.back_within * f64::from(1u32 << refusals);
-        let wait = self.dice.span(Span::ZERO, within);
+        let wait = self.dice.span(Duration::ZERO, within);
         self.timers.set(now + wait, Due::Open(n));
     }
 }
 
-impl Party for Crowd {
-    fn opened(&mut self, _: Time, link: Link, _: Door) {
+impl StateMachine for Crowd {
+    fn opened(&mut self, _: Timestamp, link: Link, _: ListenerId) {
         self.links.abort(link);
     }
 
-    fn up(&mut self, now: Time, link: Link) {
+    fn up(&mut self, now: Timestamp, link: Link) {
         let Some(n) = self.by_link.get(&link).copied() else { return };
         let tenant = n as usize % self.settings.tenants.max(1);
         let name = format!("{}-{tenant}/{n}", self.settings.name);
@@ -283,7 +283,7 @@
         self.write(n, &hello);
     }
 
-    fn received(&mut self, now: Time, link: Link, bytes: &[u8]) {
+    fn received(&mut self, now: Timestamp, link: Link, bytes: &[u8]) {
         let Some(n) = self.by_link.get(&link).copied() else { return };
         let one = &mut self.all[n as usize];
         one.heard = now;
@@ -298,7 +298,7 @@
         self.all[n as usize].frames = frames;
     }
 
-    fn ended(&mut self, now: Time, link: Link, end: End) {
+    fn ended(&mut self, now: Timestamp, link: Link, end: End) {
         let Some(n) = self.by_link.get(&link).copied() else { return };
         self.gone(n);
         if end == End::Refused {
@@ -310,7 +310,7 @@
         self.comes_back(now, n);
     }
 
-    fn turn(&mut self, now: Time) {
+    fn turn(&mut self, now: Timestamp) {
         if !std::mem::replace(&mut self.begun, true) {
             self.open_from(now, 0);
         }
@@ -320,11 +320,11 @@
         }
     }
 
-    fn wake(&self) -> Option<Time> {
-        if self.begun { self.timers.next() } else { Some(Time::default()) }
+    fn wake(&self) -> Option<Timestamp> {
+        if self.begun { self.timers.next() } else { Some(Timestamp::default()) }
     }
 
-    fn links(&mut self) -> &mut Links {
+    fn links(&mut self) -> &mut Connections {
         &mut self.links
     }
 }
--- a/crates/standins/src/dice.rs
+++ b/crates/standins/src/dice.rs
@@ -1,6 +1,6 @@
 //! Chance for stand-ins, from a seed and a name, so that one stand-in's draws never shift another's.
 
-use mulleinhub_interface::Span;
+use mulleinhub_interface::Duration;
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
@@ -29,12 +29,12 @@
     }
 
     /// A span drawn from the exponential distribution of this mean, at most eight times it.
-    pub fn wait(&mut self, mean: Span) -> Span {
+    pub fn wait(&mut self, mean: Duration) -> Duration {
         let u: f64 = self.0.random();
         mean * (-(1.0 - u).ln()).min(8.0)
     }
 
-    pub fn span(&mut self, low: Span, high: Span) -> Span {
+    pub fn span(&mut self, low: Duration, high: Duration) -> Duration {
         low + (high - low) * self.0.random::<f64>()
     }
 
--- a/crates/standins/src/list.rs
+++ b/crates/standins/src/list.rs
@@ -8,25 +8,25 @@
 //! planner that reads no pieces gets changes in several messages, and is refused where the whole list doesn't
 //! fit in one.
 
-use mulleinhub_interface::{Span, Time};
+use mulleinhub_interface::{Duration, Timestamp};
 use mulleinhub_protocol::{
     self as protocol, Bad, Conversation, Entry, Frames, ListKind, Message, Mode, Side,
 };
-use mulleinhub_seam::{Door, End, Link, Links, Party};
+use mulleinhub_seam::{Connections, End, Link, ListenerId, StateMachine};
 use std::collections::{BTreeMap, VecDeque};
 
 /// No piece is written for a planner for which so many bytes wait.
 const MOST_WAITING: usize = 128 * 1024;
 /// While pieces are still to be written it looks so often whether the planner has read.
-const PIECE_PAUSE: Span = Span::from_nanos(1_000_000);
+const PIECE_PAUSE: Duration = Duration::from_nanos(1_000_000);
 /// A telling begins so often anew with a list that changed, and is written at once then.
 const MOST_RESTARTS: u32 = 3;
 
 #[derive(Clone, Debug)]
 pub struct ListSettings {
-    pub late: Span,
+    pub late: Duration,
     /// A machine gone without a word is listed for so long.
-    pub silent_notice: Span,
+    pub silent_notice: Duration,
     /// Lines that it can tell in a second; calls that would wait for two seconds of them fail.
     pub lines_a_second: f64,
 }
@@ -42,7 +42,7 @@
     pub draining: bool,
     pub life: u64,
     /// Its last start, where that is no longer ago than a machine takes to warm.
-    pub started: Option<Time>,
+    pub started: Option<Timestamp>,
     pub cores_left: f64,
     pub memory_left: f64,
 }
@@ -51,7 +51,7 @@
 pub struct ListPlight {
     /// Tells nothing and answers nothing.
     pub silent: bool,
-    pub later: Span,
+    pub later: Duration,
 }
 
 struct Line {
@@ -59,7 +59,7 @@
     mode: Mode,
     /// The version in which it changed last.
     changed: u64,
-    gone_since: Option<Time>,
+    gone_since: Option<Timestamp>,
     /// For planners that were told no other.
     address: String,
 }
@@ -96,16 +96,16 @@
     pub plight: ListPlight,
     /// The address of each machine, as the planner of this name reaches it.
     addresses: BTreeMap<String, BTreeMap<u64, String>>,
-    seen: VecDeque<(Time, Vec<Fact>)>,
+    seen: VecDeque<(Timestamp, Vec<Fact>)>,
     lines: BTreeMap<u64, Line>,
     version: u64,
-    links: Links,
+    links: Connections,
     watchers: BTreeMap<Link, Watcher>,
     /// Lines told beyond what it can, and when that was worked out.
     backlog: f64,
-    backlog_at: Time,
+    backlog_at: Timestamp,
     pub lines_told: u64,
-    now: Time,
+    now: Timestamp,
 }
 
 impl ListService {
@@ -117,12 +117,12 @@
             seen: VecDeque::new(),
             lines: BTreeMap::new(),
             version: 0,
-            links: Links::default(),
+            links: Connections::default(),
             watchers: BTreeMap::new(),
             backlog: 0.0,
-            backlog_at: Time::default(),
+            backlog_at: Timestamp::default(),
             lines_told: 0,
-            now: Time::default(),
+            now: Timestamp::default(),
         }
     }
 
@@ -131,13 +131,13 @@
     }
 
     /// It looked at all machines; told later.
-    pub fn observe(&mut self, now: Time, facts: Vec<Fact>) {
+    pub fn observe(&mut self, now: Timestamp, facts: Vec<Fact>) {
         let at = now + self.settings.late + self.plight.later;
         self.seen.push_back((at, facts));
     }
 
     /// What was seen long enough ago is the list now.
-    fn apply(&mut self, now: Time) {
+    fn apply(&mut self, now: Timestamp) {
         while self.seen.front().is_some_and(|(at, _)| *at <= now) {
             let (_, facts) = self.seen.pop_front().expect("is there");
             for fact in facts {
@@ -146,7 +146,7 @@
         }
     }
 
-    fn apply_one(&mut self, now: Time, fact: Fact) {
+    fn apply_one(&mut self, now: Timestamp, fact: Fact) {
         let before = self.lines.get(&fact.machine);
         let gone_since = (!fact.up).then(|| before.and_then(|line| line.gone_since).unwrap_or(now));
         let is_gone = gone_since.is_some_and(|since| now - since >= self.settings.silent_notice);
@@ -170,7 +170,7 @@
         self.lines.insert(fact.machine, Line { fact, mode, changed, gone_since, address });
     }
 
-    fn tell(&mut self, now: Time) {
+    fn tell(&mut self, now: Timestamp) {
         if self.plight.silent {
             return;
         }
@@ -186,7 +186,7 @@
     }
 
     /// Begins to tell a planner what changed since it was told last: all of it, where it fits in one message.
-    fn tell_one(&mut self, now: Time, link: Link) {
+    fn tell_one(&mut self, now: Timestamp, link: Link) {
         let watcher = &self.watchers[&link];
         let Some(told) = watcher.told else { return };
         let reads_pieces = watcher.reads_pieces;
@@ -220,7 +220,7 @@
     }
 
     /// Goes on with a list that is told in pieces, as far as the planner reads.
-    fn tell_on(&mut self, now: Time, link: Link) {
+    fn tell_on(&mut self, now: Timestamp, link: Link) {
         loop {
             let Some(Watcher { told: Some(told), telling: Some(telling), .. }) = self.watchers.get(&link)
             else {
@@ -245,7 +245,7 @@
     }
 
     /// Writes the next piece. True where it was the last one.
-    fn tell_piece(&mut self, now: Time, link: Link, told: u64, telling: &mut Telling) -> bool {
+    fn tell_piece(&mut self, now: Timestamp, link: Link, told: u64, telling: &mut Telling) -> bool {
         // One entry more than a piece can have shows whether there is another.
         let entries = self.entries(now, link, told, telling.after, protocol::MOST_ENTRIES + 1);
         let piece = protocol::cut(&entries).next().unwrap_or_default().to_vec();
@@ -261,7 +261,14 @@
     }
 
     /// The entries, for the planner behind a link, of machines behind `after` that changed since a version.
-    fn entries(&self, now: Time, link: Link, told: u64, after: Option<u64>, most: usize) -> Vec<Entry<'_>> {
+    fn entries(
+        &self,
+        now: Timestamp,
+        link: Link,
+        told: u64,
+        after: Option<u64>,
+        most: usize,
+    ) -> Vec<Entry<'_>> {
         let name = self.watchers.get(&link).and_then(|watcher| watcher.name.as_deref()).unwrap_or_default();
         let addresses = self.addresses.get(name);
         let from = after.map_or(0, |machine| machine.saturating_add(1));
@@ -300,7 +307,7 @@
         self.links.end(link);
     }
 
-    fn hear(&mut self, now: Time, link: Link, message: &Message<'_>) -> Result<(), Bad> {
+    fn hear(&mut self, now: Timestamp, link: Link, message: &Message<'_>) -> Result<(), Bad> {
         if !message.belongs(Conversation::PlannerList, Side::Opener) {
             return Err(Bad("not a message for the list service".into()));
         }
@@ -334,15 +341,15 @@
     }
 }
 
-impl Party for ListService {
-    fn opened(&mut self, _: Time, link: Link, _: Door) {
+impl StateMachine for ListService {
+    fn opened(&mut self, _: Timestamp, link: Link, _: ListenerId) {
         let (frames, reads_pieces) = (Frames::default(), false);
         self.watchers.insert(link, Watcher { name: None, frames, reads_pieces, told: None, telling: None });
     }
 
-    fn up(&mut self, _: Time, _: Link) {}
+    fn up(&mut self, _: Timestamp, _: Link) {}
 
-    fn received(&mut self, now: Time, link: Link, bytes: &[u8]) {
+    fn received(&mut self, now: Timestamp, link: Link, bytes: &[u8]) {
         if self.plight.silent {
             return;
         }
@@ -366,24 +373,24 @@
         }
     }
 
-    fn ended(&mut self, _: Time, link: Link, _: End) {
+    fn ended(&mut self, _: Timestamp, link: Link, _: End) {
         self.watchers.remove(&link);
         self.links.forget(link);
     }
 
-    fn turn(&mut self, now: Time) {
+    fn turn(&mut self, now: Timestamp) {
         self.now = now;
         self.apply(now);
         self.tell(now);
     }
 
-    fn wake(&self) -> Option<Time> {
+    fn wake(&self) -> Option<Timestamp> {
         let tells = !self.plight.silent && self.watchers.values().any(|watcher| watcher.telling.is_some());
         let pieces = tells.then_some(self.now + PIECE_PAUSE);
         self.seen.front().map(|(at, _)| *at).into_iter().chain(pieces).min()
     }
 
-    fn links(&mut self) -> &mut Links {
+    fn links(&mut self) -> &mut Connections {
         &mut self.links
     }
 }
--- a/crates/standins/src/machine.rs
+++ b/crates/standins/src/machine.rs
@@ -10,8 +10,8 @@
 use crate::dice::Dice;
 use crate::plan::UseBook;
 use crate::worth::Worth;
-use mulleinhub_interface::{Reach, Room};
-use mulleinhub_interface::{Span, Time};
+use mulleinhub_interface::{Duration, Timestamp};
+use mulleinhub_interface::{Reach, Resources};
 use mulleinhub_protocol::{Ending, Reason, Shape};
 use std::collections::{BTreeMap, VecDeque};
 use std::sync::Arc;
@@ -21,7 +21,7 @@
 pub struct CaseModel {
     pub priority: u8,
     /// Work of a start with the program.
-    pub work: Span,
+    pub work: Duration,
     /// Where one copy of a key stands; nothing where copies do no harm.
     pub one_copy_in: Option<Reach>,
     pub full_up_to: f64,
@@ -36,7 +36,7 @@
     /// Tasks stay until they stop.
     Keeps,
     /// Tasks are sent away one by one, so long apart.
-    SendsAway(Span),
+    SendsAway(Duration),
 }
 
 #[derive(Clone, Debug)]
@@ -45,10 +45,10 @@
     pub kind: u32,
     pub cell: u32,
     pub zone: u32,
-    pub size: Room,
+    pub size: Resources,
     /// Multiples of the size up to which asks are accepted.
-    pub accepts: Room,
-    pub look: Span,
+    pub accepts: Resources,
+    pub look: Duration,
     pub line: usize,
     pub starts: usize,
     /// A start without the program takes so many times the work.
@@ -56,18 +56,18 @@
     pub keeps: usize,
     pub speed: f64,
     pub cold_from: f64,
-    pub cold_for: Span,
-    pub fall: Span,
+    pub cold_for: Duration,
+    pub fall: Duration,
     pub tip: f64,
     pub young_limit: u32,
     pub yes_when_running: bool,
     pub displaces: bool,
     pub tells_use: bool,
     pub tells_pressure: bool,
-    pub note_every: Span,
+    pub note_every: Duration,
     pub drain: Drain,
     /// A copy that nobody holds is ended after this.
-    pub claim_within: Span,
+    pub claim_within: Duration,
     /// What tasks use, where that is known beforehand.
     pub uses: Arc<UseBook>,
 }
@@ -97,8 +97,8 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) enum Stage {
     Waits,
-    Starts { until: Time, fails: bool },
-    Runs { since: Time },
+    Starts { until: Timestamp, fails: bool },
+    Runs { since: Timestamp },
 }
 
 /// An accepted task.
@@ -110,12 +110,12 @@
     pub shape: Shape,
     pub owner: String,
     pub stage: Stage,
-    pub unclaimed_until: Option<Time>,
-    mean_use: Room,
+    pub unclaimed_until: Option<Timestamp>,
+    mean_use: Resources,
     turn: f64,
-    in_use: Room,
+    in_use: Resources,
     served: f64,
-    settled: Time,
+    settled: Timestamp,
 }
 
 #[derive(Clone, Debug)]
@@ -168,26 +168,26 @@
     pub settings: MachineSettings,
     pub plight: Plight,
     pub life: u64,
-    pub up_since: Time,
+    pub up_since: Timestamp,
     pub draining: bool,
     pub down: bool,
     cold_at_birth: bool,
     pub(crate) line: VecDeque<Offer>,
-    looking: Option<(Time, Offer)>,
+    looking: Option<(Timestamp, Offer)>,
     pub(crate) held: Vec<Held>,
     kept: VecDeque<u64>,
-    arrivals: VecDeque<(Time, f64)>,
-    next_note: Time,
-    next_sent_away: Option<Time>,
+    arrivals: VecDeque<(Timestamp, f64)>,
+    next_note: Timestamp,
+    next_sent_away: Option<Timestamp>,
     /// Worth of the service given, by the key of the task.
     pub earned: BTreeMap<u64, f64>,
     /// Cores and memory asked for, of all that is accepted.
-    pub asked: Room,
+    pub asked: Resources,
     dice: Dice,
 }
 
 impl Machine {
-    pub fn new(settings: MachineSettings, life: u64, now: Time, cold: bool, seed: u64) -> Self {
+    pub fn new(settings: MachineSettings, life: u64, now: Timestamp, cold: bool, seed: u64) -> Self {
         let dice = Dice::new(seed, &format!("machine {} {life}", settings.id));
         Self {
             settings,
@@ -205,17 +205,17 @@
             next_note: now,
             next_sent_away: None,
             earned: BTreeMap::new(),
-            asked: Room::NONE,
+            asked: Resources::NONE,
             dice,
         }
     }
 
-    pub fn is_cold(&self, now: Time) -> bool {
+    pub fn is_cold(&self, now: Timestamp) -> bool {
         self.cold_at_birth && now - self.up_since < self.settings.cold_for
     }
 
     /// The part of its usual pace at which it starts tasks now.
-    fn pace(&self, now: Time) -> f64 {
+    fn pace(&self, now: Timestamp) -> f64 {
         if !self.is_cold(now) {
             return 1.0;
         }
@@ -223,12 +223,18 @@
         self.settings.cold_from + (1.0 - self.settings.cold_from) * warmth
     }
 
-    pub fn left(&self) -> Room {
+    pub fn left(&self) -> Resources {
         self.settings.size - self.asked
     }
 
     /// An offer has arrived. Every one pushes a cold machine, whatever becomes of it.
-    pub(crate) fn offered(&mut self, now: Time, offer: Offer, cases: &[CaseModel], out: &mut Vec<Happened>) {
+    pub(crate) fn offered(
+        &mut self,
+        now: Timestamp,
+        offer: Offer,
+        cases: &[CaseModel],
+        out: &mut Vec<Happened>,
+    ) {
         if self.is_cold(now) && self.is_pushed_over(now, offer.shape.use_case, cases) {
             self.goes_down();
             out.push(Happened::FellOver);
@@ -251,7 +257,7 @@
         self.look_next(now);
     }
 
-    fn is_pushed_over(&mut self, now: Time, case: u32, cases: &[CaseModel]) -> bool {
+    fn is_pushed_over(&mut self, now: Timestamp, case: u32, cases: &[CaseModel]) -> bool {
         let mean = cases.iter().map(|c| c.work.nanos() as f64).sum::<f64>() / cases.len().max(1) as f64;
         let weight = cases.get(case as usize).map_or(1.0, |c| c.work.nanos() as f64 / mean.max(1.0));
         self.arrivals.push_back((now, weight));
@@ -269,11 +275,11 @@
         self.line.clear();
         self.looking = None;
         self.held.clear();
-        self.asked = Room::NONE;
+        self.asked = Resources::NONE;
     }
 
     /// Takes up the next offer in line, where none is looked at.
-    pub(crate) fn look_next(&mut self, now: Time) {
+    pub(crate) fn look_next(&mut self, now: Timestamp) {
         if self.looking.is_none()
             && let Some(offer) = self.line.pop_front()
         {
@@ -282,7 +288,7 @@
     }
 
     /// The planner doesn't wait any more: true where the offer had not been accepted and is dropped.
-    pub(crate) fn recall(&mut self, now: Time, planner: &str, task: u64, send: u32) -> bool {
+    pub(crate) fn recall(&mut self, now: Timestamp, planner: &str, task: u64, send: u32) -> bool {
         let is = |offer: &Offer| offer.planner == planner && (offer.task, offer.send) == (task, send);
         if self.looking.as_ref().is_some_and(|(_, offer)| is(offer)) {
             self.looking = None;
@@ -295,7 +301,7 @@
     }
 
     /// The planner's connection is over: what it had in line can't be answered.
-    pub(crate) fn forget_line(&mut self, now: Time, planner: &str) {
+    pub(crate) fn forget_line(&mut self, now: Timestamp, planner: &str) {
         self.line.retain(|offer| offer.planner != planner);
         if self.looking.as_ref().is_some_and(|(_, offer)| offer.planner == planner) {
             self.looking = None;
@@ -311,10 +317,10 @@
     }
 
     /// Takes a copy off the machine; its program may be kept.
-    pub(crate) fn end(&mut self, now: Time, at: usize, worth: &Worth) -> Held {
+    pub(crate) fn end(&mut self, now: Timestamp, at: usize, worth: &Worth) -> Held {
         self.settle(now, worth);
         let held = self.held.remove(at);
-        self.asked -= Room::new(held.shape.cores, held.shape.memory);
+        self.asked -= Resources::new(held.shape.cores, held.shape.memory);
         let service = held.shape.service;
         if matches!(held.stage, Stage::Runs { .. }) && !self.held.iter().any(|h| h.shape.service == service) {
             self.kept.retain(|kept| *kept != service);
@@ -327,7 +333,7 @@
     }
 
     /// Books the service since the last change.
-    fn settle(&mut self, now: Time, worth: &Worth) {
+    fn settle(&mut self, now: Timestamp, worth: &Worth) {
         for held in &mut self.held {
             if matches!(held.stage, Stage::Runs { .. }) && held.planner.is_some() {
                 let seconds = (now - held.settled).nanos() as f64 / 1e9;
@@ -338,7 +344,7 @@
         }
     }
 
-    pub(crate) fn wake(&self) -> Option<Time> {
+    pub(crate) fn wake(&self) -> Option<Timestamp> {
         if self.down || self.plight.hangs {
             return None;
         }
@@ -352,7 +358,7 @@
     }
 
     /// The offer that is due to be decided on now, if any.
-    pub(crate) fn looked_at(&mut self, now: Time) -> Option<Offer> {
+    pub(crate) fn looked_at(&mut self, now: Timestamp) -> Option<Offer> {
         if self.looking.as_ref().is_none_or(|(at, _)| *at > now) {
             return None;
         }
@@ -363,7 +369,7 @@
     /// Decides on an offer, for which no copy of its key stands in the way.
     pub(crate) fn decide(
         &mut self,
-        now: Time,
+        now: Timestamp,
         offer: Offer,
         cases: &[CaseModel],
         worth: &Worth,
@@ -374,7 +380,7 @@
             out.push(closed(offer, Ending::Nacked, Reason::NotHere));
             return;
         }
-        let ask = Room::new(offer.shape.cores, offer.shape.memory);
+        let ask = Resources::new(offer.shape.cores, offer.shape.memory);
         let most = self.settings.size.times(self.settings.accepts.cores, self.settings.accepts.memory);
         if !(most - self.asked).fits(ask) && !self.push_out_for(now, &offer, most, cases, worth, out) {
             let reason =
@@ -408,7 +414,7 @@
             unclaimed_until: None,
             mean_use,
             turn: self.dice.between(0.0, 1.0),
-            in_use: Room::NONE,
+            in_use: Resources::NONE,
             served: 1.0,
             settled: now,
         });
@@ -419,9 +425,9 @@
     /// enough.
     fn push_out_for(
         &mut self,
-        now: Time,
+        now: Timestamp,
         offer: &Offer,
-        most: Room,
+        most: Resources,
         cases: &[CaseModel],
         worth: &Worth,
         out: &mut Vec<Happened>,
@@ -431,7 +437,7 @@
         if !self.settings.displaces {
             return false;
         }
-        let ask = Room::new(offer.shape.cores, offer.shape.memory);
+        let ask = Resources::new(offer.shape.cores, offer.shape.memory);
         let mut lower: Vec<usize> =
             (0..self.held.len()).filter(|at| of(&self.held[*at]) < priority).collect();
         lower.sort_by_key(|at| (of(&self.held[*at]), std::cmp::Reverse(*at)));
@@ -441,7 +447,7 @@
             if room.fits(ask) {
                 break;
             }
-            room += Room::new(self.held[at].shape.cores, self.held[at].shape.memory);
+            room += Resources::new(self.held[at].shape.cores, self.held[at].shape.memory);
             going.push(at);
         }
         if !room.fits(ask) {
@@ -455,7 +461,7 @@
         true
     }
 
-    fn start_next(&mut self, now: Time, cases: &[CaseModel]) {
+    fn start_next(&mut self, now: Timestamp, cases: &[CaseModel]) {
         let starting = |held: &Held| matches!(held.stage, Stage::Starts { .. });
         while self.held.iter().filter(|held| starting(held)).count() < self.settings.starts {
             let Some(at) = self.held.iter().position(|held| held.stage == Stage::Waits) else { return };
@@ -474,7 +480,13 @@
 
     /// Brings everything up to now: starts that are done, notes, evictions, tasks sent away, copies
     /// unclaimed.
-    pub(crate) fn turn(&mut self, now: Time, cases: &[CaseModel], worth: &Worth, out: &mut Vec<Happened>) {
+    pub(crate) fn turn(
+        &mut self,
+        now: Timestamp,
+        cases: &[CaseModel],
+        worth: &Worth,
+        out: &mut Vec<Happened>,
+    ) {
         let mut at = 0;
         let mut started = false;
         while at < self.held.len() {
@@ -526,13 +538,13 @@
     }
 
     /// What the tasks on it ask for, what they use, and how many they are.
-    pub fn load(&self) -> (Room, Room, usize) {
-        let used = self.held.iter().fold(Room::NONE, |sum, held| sum + held.in_use);
+    pub fn load(&self) -> (Resources, Resources, usize) {
+        let used = self.held.iter().fold(Resources::NONE, |sum, held| sum + held.in_use);
         (self.asked, used, self.held.len())
     }
 
     /// From now on it takes nothing new.
-    pub fn drains(&mut self, now: Time) {
+    pub fn drains(&mut self, now: Timestamp) {
         self.draining = true;
         if matches!(self.settings.drain, Drain::SendsAway(_)) {
             self.next_sent_away = Some(now);
@@ -540,7 +552,7 @@
     }
 
     /// Works out use and service anew, and evicts where memory has run out.
-    fn measure(&mut self, now: Time, cases: &[CaseModel], worth: &Worth, out: &mut Vec<Happened>) {
+    fn measure(&mut self, now: Timestamp, cases: &[CaseModel], worth: &Worth, out: &mut Vec<Happened>) {
         self.settle(now, worth);
         let seconds = now.nanos() as f64 / 1e9;
         let heavy = self.plight.heavy;
@@ -551,9 +563,9 @@
             let is_heavy =
                 |(case, part, _): &(u32, f64, f64)| held.shape.use_case == *case && held.turn < *part;
             let more = heavy.filter(is_heavy).map_or(1.0, |(.., by)| by);
-            let cap = Room::new(held.shape.cores, held.shape.memory).times(1.5, 1.3);
+            let cap = Resources::new(held.shape.cores, held.shape.memory).times(1.5, 1.3);
             held.in_use = match self.settings.uses.at(held.shape.key, now - since) {
-                Some(part) => Room::new(held.shape.cores, held.shape.memory)
+                Some(part) => Resources::new(held.shape.cores, held.shape.memory)
                     .times(part.cores * more, part.memory * more)
                     .at_most(cap),
                 None => held.mean_use.times(swing * more, grown * more).at_most(cap),
@@ -602,8 +614,8 @@
     }
 
     /// Cores and memory not in use, for a probe.
-    pub fn unused(&self) -> Room {
-        let used = self.held.iter().fold(Room::NONE, |sum, held| sum + held.in_use);
+    pub fn unused(&self) -> Resources {
+        let used = self.held.iter().fold(Resources::NONE, |sum, held| sum + held.in_use);
         self.settings.size - used
     }
 
@@ -627,7 +639,7 @@
     }
 
     /// Books all service up to now; for the end of a day.
-    pub fn book(&mut self, now: Time, worth: &Worth) {
+    pub fn book(&mut self, now: Timestamp, worth: &Worth) {
         self.settle(now, worth);
     }
 }
--- a/crates/standins/src/owner.rs
+++ b/crates/standins/src/owner.rs
@@ -8,9 +8,9 @@
 use crate::dice::Dice;
 use crate::plan::{Planned, planned_key};
 use crate::worth::{Tally, Worth};
-use mulleinhub_interface::{Span, Time};
+use mulleinhub_interface::{Duration, Timestamp};
 use mulleinhub_protocol::{self as protocol, Bad, Conversation, Ending, Frames, Message, Shape};
-use mulleinhub_seam::{Door, End, Link, Links, Party, Timers};
+use mulleinhub_seam::{Connections, End, Link, ListenerId, StateMachine, Timers};
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
@@ -19,13 +19,13 @@
 pub struct ServiceCase {
     /// Of all services, so much have this use case.
     pub share: f64,
-    pub soft_limit: Span,
-    pub client_timeout: Span,
+    pub soft_limit: Duration,
+    pub client_timeout: Duration,
     /// A second start could do harm.
     pub harms: bool,
     /// Cores and memory that a task may ask for.
     pub asks: Vec<(f64, f64)>,
-    pub lives: (Span, Span),
+    pub lives: (Duration, Duration),
     /// Tasks that a service asks for at once.
     pub batch: (usize, usize),
 }
@@ -40,12 +40,12 @@
     /// Tasks a second that it wants anew.
     pub rate: f64,
     /// It wants nothing new from then on.
-    pub until: Time,
+    pub until: Timestamp,
     /// After a nack, an error or an eviction it waits at least so long, and at most.
-    pub again: (Span, Span),
+    pub again: (Duration, Duration),
     /// Where a send may have run and a second start could do harm.
-    pub settle: Span,
-    pub reconnect: Span,
+    pub settle: Duration,
+    pub reconnect: Duration,
     /// In the order of their instants; an owner that has some wants nothing else.
     pub planned: Arc<Vec<Planned>>,
 }
@@ -86,12 +86,12 @@
     Asking {
         id: u64,
         planner: usize,
-        until: Time,
+        until: Timestamp,
     },
     HandingOver {
         id: u64,
         planner: usize,
-        until: Time,
+        until: Timestamp,
     },
     Placed {
         id: u64,
@@ -99,7 +99,7 @@
     },
     /// Comes again then.
     Waiting {
-        at: Time,
+        at: Timestamp,
     },
     /// Withdrawn; its end is still to come.
     Ending {
@@ -111,13 +111,13 @@
 
 struct Want {
     shape: Shape,
-    since: Time,
-    until: Time,
+    since: Timestamp,
+    until: Timestamp,
     state: State,
     failures: u32,
     started: bool,
     /// When its wanted seconds were booked last, and what they are worth so far.
-    booked: Time,
+    booked: Timestamp,
     asked: f64,
 }
 
@@ -140,7 +140,7 @@
     pub load: Load,
     pub tally: OwnerTally,
     worth: Worth,
-    links: Links,
+    links: Connections,
     desks: Vec<Desk>,
     wants: BTreeMap<u64, Want>,
     by_id: BTreeMap<u64, u64>,
@@ -166,7 +166,7 @@
             load: Load::default(),
             tally: OwnerTally::default(),
             worth,
-            links: Links::default(),
+            links: Connections::default(),
             desks,
             wants: BTreeMap::new(),
             by_id: BTreeMap::new(),
@@ -189,7 +189,7 @@
     }
 
     /// A task of this key runs for the first time on some machine.
-    pub fn started(&mut self, now: Time, key: u64) {
+    pub fn started(&mut self, now: Timestamp, key: u64) {
         let Some(want) = self.wants.get_mut(&key) else { return };
         if std::mem::replace(&mut want.started, true) {
             return;
@@ -204,7 +204,7 @@
     }
 
     /// Books what is wanted up to now.
-    pub fn book(&mut self, now: Time) {
+    pub fn book(&mut self, now: Timestamp) {
         for want in self.wants.values_mut() {
             book_one(&mut self.tally, &self.worth, want, now);
         }
@@ -217,17 +217,17 @@
     }
 
     /// Drops all connections; they come again within a moment.
-    pub fn drops_connections(&mut self, now: Time) {
+    pub fn drops_connections(&mut self, now: Timestamp) {
         for planner in 0..self.desks.len() {
             if let Some(link) = self.desks[planner].link.take() {
                 self.links.abort(link);
-                self.gone(now, planner, Span::ZERO);
+                self.gone(now, planner, Duration::ZERO);
             }
         }
     }
 
     /// Stops this part of its services and asks for all their tasks again.
-    pub fn asks_again(&mut self, now: Time, share: f64) {
+    pub fn asks_again(&mut self, now: Timestamp, share: f64) {
         let services: Vec<u64> = self.wants.values().map(|want| want.shape.service).collect();
         let mut chosen = BTreeMap::new();
         for service in services {
@@ -268,12 +268,12 @@
         }
     }
 
-    fn gone(&mut self, now: Time, planner: usize, after: Span) {
+    fn gone(&mut self, now: Timestamp, planner: usize, after: Duration) {
         self.desks[planner] = Desk { link: None, up: false, frames: Frames::default() };
         self.timers.set(now + after, Due::Reconnect(planner));
     }
 
-    fn new_service(&mut self, now: Time) {
+    fn new_service(&mut self, now: Timestamp) {
         let draw = self.dice.between(0.0, self.settings.cases.iter().map(|case| case.share).sum());
         let mut sum = 0.0;
         let mut chosen = self.settings.cases.len() - 1;
@@ -303,14 +303,14 @@
             self.settings.cases.iter().map(|c| c.share * (c.batch.0 + c.batch.1) as f64 / 2.0).sum::<f64>()
                 / self.settings.cases.iter().map(|c| c.share).sum::<f64>();
         let rate = (self.settings.rate * self.load.rate).max(1e-6);
-        let wait = self.dice.wait(Span::from_nanos((mean / rate * 1e9) as u64));
+        let wait = self.dice.wait(Duration::from_nanos((mean / rate * 1e9) as u64));
         if now + wait < self.settings.until {
             self.timers.set(now + wait, Due::NewService);
         }
     }
 
     /// Asks for all that is planned up to now.
-    fn planned(&mut self, now: Time, first: usize) {
+    fn planned(&mut self, now: Timestamp, first: usize) {
         let planned = self.settings.planned.clone();
         for (n, task) in planned.iter().enumerate().skip(first) {
             if task.at > now {
@@ -328,7 +328,7 @@
         }
     }
 
-    fn want(&mut self, now: Time, shape: Shape, until: Time) {
+    fn want(&mut self, now: Timestamp, shape: Shape, until: Timestamp) {
         let key = shape.key;
         let state = State::Waiting { at: now };
         let want =
@@ -347,7 +347,7 @@
     }
 
     /// Asks one of the planners that are up, in turn; waits a moment where none is.
-    fn ask(&mut self, now: Time, key: u64) {
+    fn ask(&mut self, now: Timestamp, key: u64) {
         let all = self.desks.len();
         let next = (0..all).map(|n| (self.turn_of + n) % all).find(|n| self.desks[*n].up);
         self.turn_of = (self.turn_of + 1) % all.max(1);
@@ -372,7 +372,7 @@
     }
 
     /// The last ask came to nothing: it comes again, unless its time is over.
-    fn comes_again(&mut self, now: Time, key: u64, wait: Span) {
+    fn comes_again(&mut self, now: Timestamp, key: u64, wait: Duration) {
         let Some(want) = self.wants.get_mut(&key) else { return };
         want.shape.again = true;
         want.failures += 1;
@@ -386,20 +386,20 @@
     }
 
     /// Longer after many failures.
-    fn patience(&mut self, key: u64) -> Span {
+    fn patience(&mut self, key: u64) -> Duration {
         let (low, high) = self.settings.again;
         let failures = self.wants.get(&key).map_or(0, |want| want.failures);
         self.dice.span(low, high) * f64::from(1 + failures.min(4)) * 0.5 + low * 0.5
     }
 
-    fn may_run(&mut self, now: Time, key: u64) {
+    fn may_run(&mut self, now: Timestamp, key: u64) {
         let Some(want) = self.wants.get(&key) else { return };
         let harms = self.settings.cases[want.shape.use_case as usize].harms;
         let wait = if harms { self.settings.settle } else { self.patience(key) };
         self.comes_again(now, key, wait);
     }
 
-    fn no_longer_wanted(&mut self, now: Time, key: u64) {
+    fn no_longer_wanted(&mut self, now: Timestamp, key: u64) {
         let Some(want) = self.wants.get_mut(&key) else { return };
         book_one(&mut self.tally, &self.worth, want, now);
         want.until = want.until.min(now);
@@ -414,7 +414,7 @@
         }
     }
 
-    fn look(&mut self, now: Time, key: u64) {
+    fn look(&mut self, now: Timestamp, key: u64) {
         let Some(want) = self.wants.get(&key) else { return };
         if want.until <= now {
             return self.no_longer_wanted(now, key);
@@ -428,12 +428,12 @@
                     self.may_run(now, key);
                 }
             }
-            State::HandingOver { until, .. } if until <= now => self.comes_again(now, key, Span::ZERO),
+            State::HandingOver { until, .. } if until <= now => self.comes_again(now, key, Duration::ZERO),
             _ => {}
         }
     }
 
-    fn hear(&mut self, now: Time, planner: usize, message: &Message<'_>) -> Result<(), Bad> {
+    fn hear(&mut self, now: Timestamp, planner: usize, message: &Message<'_>) -> Result<(), Bad> {
         match message {
             Message::Welcome { .. } => {
                 self.desks[planner].up = true;
@@ -445,7 +445,7 @@
             Message::Nacked { task, stay_away } => {
                 if let Some(key) = self.awaited(*task) {
                     self.tally.nacked += 1;
-                    let wait = self.patience(key).max(Span::from_nanos(*stay_away));
+                    let wait = self.patience(key).max(Duration::from_nanos(*stay_away));
                     self.comes_again(now, key, wait);
                 }
             }
@@ -467,7 +467,7 @@
                         State::Ending { .. } => {
                             self.wants.get_mut(&key).expect("is there").state = State::Over
                         }
-                        State::HandingOver { .. } => self.comes_again(now, key, Span::ZERO),
+                        State::HandingOver { .. } => self.comes_again(now, key, Duration::ZERO),
                         _ => self.may_run(now, key),
                     }
                 }
@@ -516,7 +516,7 @@
         }
     }
 
-    fn placed(&mut self, now: Time, planner: usize, id: u64) {
+    fn placed(&mut self, now: Timestamp, planner: usize, id: u64) {
         let Some(key) = self.current(id) else {
             // An answer to an ask that was given up: nobody wants that copy.
             if self.by_id.contains_key(&id) {
@@ -537,7 +537,7 @@
         }
     }
 
-    fn ends(&mut self, now: Time, key: u64, ending: Ending) {
+    fn ends(&mut self, now: Timestamp, key: u64, ending: Ending) {
         let want = self.wants.get_mut(&key).expect("is there");
         if matches!(want.state, State::Ending { .. }) {
             want.state = State::Over;
@@ -547,14 +547,14 @@
             Ending::Lost => {
                 self.tally.lost += 1;
                 let harms = self.settings.cases[want.shape.use_case as usize].harms;
-                let wait = if harms { self.settings.settle } else { Span::ZERO };
+                let wait = if harms { self.settings.settle } else { Duration::ZERO };
                 self.comes_again(now, key, wait);
             }
             Ending::Evicted | Ending::Errored => {
                 let wait = self.patience(key);
                 self.comes_again(now, key, wait);
             }
-            _ => self.comes_again(now, key, Span::ZERO),
+            _ => self.comes_again(now, key, Duration::ZERO),
         }
     }
 
@@ -607,7 +607,7 @@
     counts[case] += 1;
 }
 
-fn book_one(tally: &mut OwnerTally, worth: &Worth, want: &mut Want, now: Time) {
+fn book_one(tally: &mut OwnerTally, worth: &Worth, want: &mut Want, now: Timestamp) {
     let until = now.min(want.until);
     let seconds = (until - want.booked).nanos() as f64 / 1e9;
     want.booked = want.booked.max(until);
@@ -616,12 +616,12 @@
     tally.asked.add(want.shape.use_case, seconds * second);
 }
 
-impl Party for Owner {
-    fn opened(&mut self, _: Time, link: Link, _: Door) {
+impl StateMachine for Owner {
+    fn opened(&mut self, _: Timestamp, link: Link, _: ListenerId) {
         self.links.abort(link);
     }
 
-    fn up(&mut self, now: Time, link: Link) {
+    fn up(&mut self, now: Timestamp, link: Link) {
         if let Some(planner) = self.desks.iter().position(|desk| desk.link == Some(link)) {
             let name = self.settings.name.clone();
             let out = |want: &Want| match want.state {
@@ -642,7 +642,7 @@
         }
     }
 
-    fn received(&mut self, now: Time, link: Link, bytes: &[u8]) {
+    fn received(&mut self, now: Timestamp, link: Link, bytes: &[u8]) {
         let Some(planner) = self.desks.iter().position(|desk| desk.link == Some(link)) else { return };
         let mut frames = std::mem::take(&mut self.desks[planner].frames);
         frames.take(bytes);
@@ -663,19 +663,19 @@
         }
     }
 
-    fn ended(&mut self, now: Time, link: Link, _: End) {
+    fn ended(&mut self, now: Timestamp, link: Link, _: End) {
         self.links.forget(link);
         if let Some(planner) = self.desks.iter().position(|desk| desk.link == Some(link)) {
             self.gone(now, planner, self.settings.reconnect);
         }
     }
 
-    fn turn(&mut self, now: Time) {
+    fn turn(&mut self, now: Timestamp) {
         if !std::mem::replace(&mut self.begun, true) {
             for planner in 0..self.desks.len() {
                 self.open(planner);
             }
-            let first = self.dice.span(Span::ZERO, Span::from_secs(1));
+            let first = self.dice.span(Duration::ZERO, Duration::from_secs(1));
             match self.settings.planned.first() {
                 None => self.timers.set(now + first, Due::NewService),
                 Some(planned) => self.timers.set(planned.at, Due::Planned(0)),
@@ -691,11 +691,11 @@
         }
     }
 
-    fn wake(&self) -> Option<Time> {
-        if self.begun { self.timers.next() } else { Some(Time::default()) }
+    fn wake(&self) -> Option<Timestamp> {
+        if self.begun { self.timers.next() } else { Some(Timestamp::default()) }
     }
 
-    fn links(&mut self) -> &mut Links {
+    fn links(&mut self) -> &mut Connections {
         &mut self.links
     }
 }
--- a/crates/standins/src/plan.rs
+++ b/crates/standins/src/plan.rs
@@ -1,13 +1,13 @@
 //! Work that is known beforehand, as a trace tells it: what an owner wants when, and what it will use.
 
-use mulleinhub_interface::{Span, Time};
+use mulleinhub_interface::{Duration, Timestamp};
 use std::collections::BTreeMap;
 
 /// A task that an owner wants from an instant to another.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Planned {
-    pub at: Time,
-    pub until: Time,
+    pub at: Timestamp,
+    pub until: Timestamp,
     pub use_case: u32,
     pub service: u64,
     pub cores: f64,
@@ -17,7 +17,7 @@
 /// From so long after its start on, parts of its ask in cores and memory.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct UsePart {
-    pub after: Span,
+    pub after: Duration,
     pub cores: f64,
     pub memory: f64,
 }
@@ -28,7 +28,7 @@
 
 impl UseBook {
     /// What a task uses so long after its start; nothing where the book doesn't know it.
-    pub fn at(&self, key: u64, since: Span) -> Option<UsePart> {
+    pub fn at(&self, key: u64, since: Duration) -> Option<UsePart> {
         let parts = self.0.get(&key)?;
         let next = parts.partition_point(|part| part.after <= since);
         parts.get(next.max(1) - 1).copied()
--- a/crates/standins/src/rack.rs
+++ b/crates/standins/src/rack.rs
@@ -6,9 +6,9 @@
 
 use crate::machine::{CaseModel, Happened, Held, Machine, Offer, Stage, told_end};
 use crate::worth::Worth;
-use mulleinhub_interface::Time;
+use mulleinhub_interface::Timestamp;
 use mulleinhub_protocol::{self as protocol, Bad, Conversation, Ending, Frames, Message, Reason, Side};
-use mulleinhub_seam::{Door, End, Link, Links, Party};
+use mulleinhub_seam::{Connections, End, Link, ListenerId, StateMachine};
 use std::collections::BTreeMap;
 
 /// A connection of a planner to one of the machines.
@@ -33,14 +33,14 @@
     pub machines: Vec<Machine>,
     cases: Vec<CaseModel>,
     worth: Worth,
-    links: Links,
+    links: Connections,
     callers: BTreeMap<Link, Caller>,
     /// What came to a machine while it hung, in order.
     kept_in: Vec<(Link, Vec<u8>)>,
     untold: Vec<Untold>,
     happened: Vec<Happened>,
     /// For the day: starts of keys, machines that fell over.
-    pub started: Vec<(Time, u64)>,
+    pub started: Vec<(Timestamp, u64)>,
     pub fell_over: Vec<u64>,
     scratch: Vec<u8>,
 }
@@ -51,7 +51,7 @@
             machines,
             cases,
             worth,
-            links: Links::default(),
+            links: Connections::default(),
             callers: BTreeMap::new(),
             kept_in: Vec::new(),
             untold: Vec::new(),
@@ -63,7 +63,7 @@
     }
 
     /// Whether somebody listens behind this door.
-    pub fn listens(&self, door: Door) -> bool {
+    pub fn listens(&self, door: ListenerId) -> bool {
         self.machines.get(door.0 as usize).is_some_and(|machine| !machine.down)
     }
 
@@ -81,7 +81,7 @@
     }
 
     /// A new life of the machine, cold, under the same id.
-    pub fn comes_up(&mut self, at: usize, now: Time, life: u64, seed: u64) {
+    pub fn comes_up(&mut self, at: usize, now: Timestamp, life: u64, seed: u64) {
         let before = &self.machines[at];
         let (settings, earned) = (before.settings.clone(), before.earned.clone());
         self.machines[at] = Machine::new(settings, life, now, true, seed);
@@ -89,7 +89,7 @@
     }
 
     /// Books all service up to now.
-    pub fn book(&mut self, now: Time) {
+    pub fn book(&mut self, now: Timestamp) {
         for machine in &mut self.machines {
             machine.book(now, &self.worth);
         }
@@ -106,7 +106,7 @@
         self.callers.iter().find(|(_, caller)| is(caller)).map(|(link, _)| *link)
     }
 
-    fn hear(&mut self, now: Time, link: Link, bytes: &[u8]) {
+    fn hear(&mut self, now: Timestamp, link: Link, bytes: &[u8]) {
         let Some(caller) = self.callers.get_mut(&link) else { return };
         let mut frames = std::mem::take(&mut caller.frames);
         frames.take(bytes);
@@ -132,7 +132,7 @@
         }
     }
 
-    fn hear_one(&mut self, now: Time, link: Link, message: &Message<'_>) -> Result<(), Bad> {
+    fn hear_one(&mut self, now: Timestamp, link: Link, message: &Message<'_>) -> Result<(), Bad> {
         if !message.belongs(Conversation::PlannerMachine, Side::Opener) {
             return Err(Bad("not a message for a machine".into()));
         }
@@ -220,7 +220,7 @@
     }
 
     /// A planner greets: an older connection of its is over, and with it all that it had in line.
-    fn greet(&mut self, now: Time, link: Link, at: usize, planner: &str) {
+    fn greet(&mut self, now: Timestamp, link: Link, at: usize, planner: &str) {
         if let Some(old) = self.link_of(at, planner) {
             self.callers.remove(&old);
             self.kept_in.retain(|(kept, _)| *kept != old);
@@ -276,7 +276,7 @@
     }
 
     /// Decides on offers whose look is done; a repeat of a referenced task meets the copy that stands.
-    fn decide(&mut self, now: Time, at: usize) {
+    fn decide(&mut self, now: Timestamp, at: usize) {
         while let Some(offer) = self.machines[at].looked_at(now) {
             let one_copy = self.cases[offer.shape.use_case as usize].one_copy_in.is_some();
             if one_copy && let Some((other, place)) = self.standing(offer.shape.key) {
@@ -298,7 +298,7 @@
     }
 
     /// Tells what happened to whom it concerns; ends are kept until they were heard.
-    fn tell(&mut self, now: Time, at: usize) {
+    fn tell(&mut self, now: Timestamp, at: usize) {
         for happened in std::mem::take(&mut self.happened) {
             match happened {
                 Happened::Accepted { planner, task, send } => {
@@ -344,8 +344,8 @@
     }
 }
 
-impl Party for Rack {
-    fn opened(&mut self, _: Time, link: Link, door: Door) {
+impl StateMachine for Rack {
+    fn opened(&mut self, _: Timestamp, link: Link, door: ListenerId) {
         let machine = door.0 as usize;
         if self.listens(door) {
             self.callers.insert(link, Caller { machine, name: None, frames: Frames::default() });
@@ -354,9 +354,9 @@
         }
     }
 
-    fn up(&mut self, _: Time, _: Link) {}
+    fn up(&mut self, _: Timestamp, _: Link) {}
 
-    fn received(&mut self, now: Time, link: Link, bytes: &[u8]) {
+    fn received(&mut self, now: Timestamp, link: Link, bytes: &[u8]) {
         let Some(caller) = self.callers.get(&link) else { return };
         let at = caller.machine;
         if self.machines[at].plight.hangs {
@@ -367,14 +367,14 @@
         self.tell(now, at);
     }
 
-    fn ended(&mut self, now: Time, link: Link, _: End) {
+    fn ended(&mut self, now: Timestamp, link: Link, _: End) {
         self.links.forget(link);
         if let Some(Caller { machine, name: Some(planner), .. }) = self.callers.remove(&link) {
             self.machines[machine].forget_line(now, &planner);
         }
     }
 
-    fn turn(&mut self, now: Time) {
+    fn turn(&mut self, now: Timestamp) {
         // What lay waiting while a machine hung is heard first.
         let kept = std::mem::take(&mut self.kept_in);
         for (link, bytes) in kept {
@@ -392,11 +392,11 @@
         }
     }
 
-    fn wake(&self) -> Option<Time> {
+    fn wake(&self) -> Option<Timestamp> {
         self.machines.iter().filter_map(Machine::wake).min()
     }
 
-    fn links(&mut self) -> &mut Links {
+    fn links(&mut self) -> &mut Connections {
         &mut self.links
     }
 }
--- a/crates/standins/tests/list.rs
+++ b/crates/standins/tests/list.rs
@@ -1,8 +1,8 @@
 //! The list service at the size of a large fleet, beside planners that read pieces and older ones.
 
-use mulleinhub_interface::{Span, Time};
+use mulleinhub_interface::{Duration, Timestamp};
 use mulleinhub_protocol::{self as protocol, Conversation, Frames, ListKind, ListReader, Message, WholeList};
-use mulleinhub_seam::{Ask, Door, Link, Party};
+use mulleinhub_seam::{Ask, Link, ListenerId, StateMachine};
 use mulleinhub_standins::{Fact, ListService, ListSettings};
 
 const FLEET: u64 = 10_000;
@@ -10,7 +10,7 @@
 const MOST_WAITING: usize = 256 * 1024;
 
 fn service() -> ListService {
-    let (late, silent_notice) = (Span::ZERO, Span::from_secs(10));
+    let (late, silent_notice) = (Duration::ZERO, Duration::from_secs(10));
     ListService::new(ListSettings { late, silent_notice, lines_a_second: 1e9 })
 }
 
@@ -45,11 +45,11 @@
 impl Planner {
     fn watches(service: &mut ListService, features: u64) -> Self {
         let link = service.links().fresh();
-        service.opened(Time::default(), link, Door(0));
+        service.opened(Timestamp::default(), link, ListenerId(0));
         let mut bytes = Vec::new();
         protocol::encode(&Message::hello(Conversation::PlannerList, features, "p", 1, 0), &mut bytes);
         protocol::encode(&Message::Watch {}, &mut bytes);
-        service.received(Time::default(), link, &bytes);
+        service.received(Timestamp::default(), link, &bytes);
         let (frames, reader) = (Frames::default(), ListReader::default());
         Self { link, frames, reader, lists: Vec::new(), messages: Vec::new(), byes: Vec::new() }
     }
@@ -76,7 +76,7 @@
     }
 
     /// Reads for so long, as much at a time as there is; the service has a turn whenever it wants one.
-    fn reads_on(&mut self, service: &mut ListService, now: &mut Time) {
+    fn reads_on(&mut self, service: &mut ListService, now: &mut Timestamp) {
         while let Some(at) = service.wake() {
             self.reads(service, usize::MAX);
             *now = at;
@@ -88,7 +88,7 @@
 
 #[test]
 fn ten_thousand_machines_are_told_a_few_pieces_at_a_time() {
-    let (mut service, mut now) = (service(), Time::default());
+    let (mut service, mut now) = (service(), Timestamp::default());
     let mut planner = Planner::watches(&mut service, protocol::LIST_PIECES);
     service.observe(now, facts(FLEET, 1.0));
     service.turn(now);
@@ -114,7 +114,7 @@
 
 #[test]
 fn a_planner_that_reads_nothing_is_owed_a_bounded_number_of_bytes() {
-    let (mut service, mut now) = (service(), Time::default());
+    let (mut service, mut now) = (service(), Timestamp::default());
     let planner = Planner::watches(&mut service, protocol::LIST_PIECES);
     service.observe(now, facts(FLEET, 1.0));
     for _ in 0..1_000 {
@@ -126,13 +126,13 @@
 
 #[test]
 fn a_list_that_changes_while_it_is_told_is_told_anew_and_comes_whole_after_a_few_changes() {
-    let (mut service, mut now) = (service(), Time::default());
+    let (mut service, mut now) = (service(), Timestamp::default());
     let mut planner = Planner::watches(&mut service, protocol::LIST_PIECES);
     for cores in 1..20u32 {
         service.observe(now, facts(FLEET, cores.into()));
         service.turn(now);
         planner.reads(&mut service, 20_000);
-        now = now + Span::from_nanos(2_000_000);
+        now = now + Duration::from_nanos(2_000_000);
     }
     planner.reads_on(&mut service, &mut now);
     let first = &planner.lists[0];
@@ -149,7 +149,7 @@
 
 #[test]
 fn an_older_planner_gets_the_list_in_one_message_and_its_changes_in_several() {
-    let (mut service, mut now) = (service(), Time::default());
+    let (mut service, mut now) = (service(), Timestamp::default());
     let mut planner = Planner::watches(&mut service, 0);
     service.observe(now, facts(2_000, 1.0));
     service.turn(now);
@@ -166,7 +166,7 @@
 
 #[test]
 fn an_older_planner_is_refused_in_words_where_the_list_is_too_long_for_it() {
-    let (mut service, mut now) = (service(), Time::default());
+    let (mut service, mut now) = (service(), Timestamp::default());
     let mut planner = Planner::watches(&mut service, 0);
     service.observe(now, facts(2_500, 1.0));
     service.turn(now);
--- a/crates/terms/src/books.rs
+++ b/crates/terms/src/books.rs
@@ -1,7 +1,7 @@
 //! The books, as planners and days state them: prices, teams with their caps, and how shares are kept.
 
 use crate::show_span;
-use mulleinhub_interface::Span;
+use mulleinhub_interface::Duration;
 use mulleinhub_settings::{Args, Directive, Faults, Name, Scope, Share};
 use std::collections::BTreeMap;
 
@@ -48,8 +48,8 @@
     pub memory_second: u64,
     /// The part of a cap that new workers may use, in millionths.
     pub near: u32,
-    pub stretch: Span,
-    pub catch_up: Span,
+    pub stretch: Duration,
+    pub catch_up: Duration,
     /// So many other members copy a scheduler's ordinary work; nothing where all do.
     pub replicas: Option<usize>,
     /// Where schedulers run, of those of which it is said.
@@ -97,8 +97,8 @@
     if near.0 <= 0.0 {
         faults.add(&directive.place, "near 0: no new worker could ever be added");
     }
-    let stretch = scope.or("stretch", Span::from_secs(60), faults);
-    if stretch == Span::ZERO {
+    let stretch = scope.or("stretch", Duration::from_secs(60), faults);
+    if stretch == Duration::ZERO {
         faults.add(&directive.place, "stretch must be more than no time");
     }
     let replicas = scope.maybe("replicas", faults);
@@ -112,7 +112,7 @@
         memory_second: scope.or("memory-second", 0, faults),
         near: (near.0 * 1e6) as u32,
         stretch,
-        catch_up: scope.or("catch-up", Span::from_secs(10), faults),
+        catch_up: scope.or("catch-up", Duration::from_secs(10), faults),
         replicas,
         sites: BTreeMap::new(),
         teams,
--- a/crates/terms/src/lib.rs
+++ b/crates/terms/src/lib.rs
@@ -8,8 +8,8 @@
 pub use books::{BooksTerms, SiteTerms, TeamTerms, read_books};
 
 use garde::Validate;
-use mulleinhub_interface::Span;
-use mulleinhub_interface::{Effect, KindId, Reach, Room, UseCase};
+use mulleinhub_interface::Duration;
+use mulleinhub_interface::{Effect, KindId, Reach, Resources, UseCase};
 use mulleinhub_settings::{Args, Bytes, Cores, Directive, Faults, Name, Place, Range, Scope, suggest};
 use std::collections::BTreeMap;
 
@@ -18,9 +18,9 @@
 #[garde(allow_unvalidated)]
 pub struct Case {
     pub name: String,
-    pub soft_limit: Span,
+    pub soft_limit: Duration,
     #[garde(custom(some_time))]
-    pub client_timeout: Span,
+    pub client_timeout: Duration,
     pub effect: Effect,
     #[garde(range(min = 0.0, max = 1e9))]
     pub earnings: f64,
@@ -40,30 +40,30 @@
 #[derive(Clone, Debug)]
 pub struct Kind {
     pub name: String,
-    pub size: Room,
+    pub size: Resources,
 }
 
 /// The figures of the five rules.
 #[derive(Clone, Debug, Validate)]
 #[garde(allow_unvalidated)]
 pub struct Rules {
-    pub drain_grace: Span,
-    pub answer_slack: Span,
+    pub drain_grace: Duration,
+    pub answer_slack: Duration,
     #[garde(custom(some_time))]
-    pub warm_after: Span,
+    pub warm_after: Duration,
     #[garde(custom(some_time))]
-    pub fall: Span,
+    pub fall: Duration,
     #[garde(range(min = 1, max = 10_000))]
     pub young_limit: u32,
     #[garde(range(min = 1, max = 100))]
     pub most_sends: u32,
     /// A list that must be asked for and was not for so long counts as told.
     #[garde(custom(some_time))]
-    pub ask_within: Span,
+    pub ask_within: Duration,
 }
 
-fn some_time(span: &Span, (): &()) -> garde::Result {
-    if *span > Span::ZERO { Ok(()) } else { Err(garde::Error::new("more than no time is wanted")) }
+fn some_time(span: &Duration, (): &()) -> garde::Result {
+    if *span > Duration::ZERO { Ok(()) } else { Err(garde::Error::new("more than no time is wanted")) }
 }
 
 /// Checks a value by its own bounds; each fault is shown where its directive stands, else at `place`.
@@ -123,7 +123,7 @@
         Some("single-use") => Some(Effect::SingleUse),
         Some("referenced") => {
             let group = reach(&mut args, faults);
-            let window = args.next::<Span>(faults);
+            let window = args.next::<Duration>(faults);
             group.zip(window).map(|(group, window)| Effect::Referenced { group, window })
         }
         other => {
@@ -150,8 +150,8 @@
         args.finish(faults);
         reach.zip(most)
     });
-    let soft_limit = scope.must::<Span>("soft-limit", faults);
-    let client_timeout = scope.must::<Span>("client-timeout", faults);
+    let soft_limit = scope.must::<Duration>("soft-limit", faults);
+    let client_timeout = scope.must::<Duration>("client-timeout", faults);
     let effect = effect(scope.once("effect", faults), &directive.place, faults);
     let earnings = scope.or("earnings", 1.0, faults);
     let start_seconds = scope.or("start-seconds", 0.0, faults);
@@ -190,7 +190,7 @@
     let cores = scope.must::<Cores>("cores", faults);
     let memory = scope.must::<Bytes>("memory", faults);
     scope.finish(faults);
-    Some(Kind { name: name?.0, size: Room::new(cores?.0, gib(memory?)) })
+    Some(Kind { name: name?.0, size: Resources::new(cores?.0, gib(memory?)) })
 }
 
 /// Memory is counted in GiB, where it is no longer bytes.
@@ -204,13 +204,13 @@
     let place = directive.map_or(&none, |d| &d.place);
     let mut scope = Scope::new(block, place.clone());
     let rules = Rules {
-        drain_grace: scope.or("drain-grace", Span::from_secs(2), faults),
-        answer_slack: scope.or("answer-slack", Span::from_nanos(250_000_000), faults),
-        warm_after: scope.or("warm-after", Span::from_secs(14), faults),
-        fall: scope.or("fall", Span::from_secs(1), faults),
+        drain_grace: scope.or("drain-grace", Duration::from_secs(2), faults),
+        answer_slack: scope.or("answer-slack", Duration::from_nanos(250_000_000), faults),
+        warm_after: scope.or("warm-after", Duration::from_secs(14), faults),
+        fall: scope.or("fall", Duration::from_secs(1), faults),
         young_limit: scope.or("young-limit", 9, faults),
         most_sends: scope.or("most-sends", 4, faults),
-        ask_within: scope.or("ask-within", Span::from_secs(10), faults),
+        ask_within: scope.or("ask-within", Duration::from_secs(10), faults),
     };
     scope.finish(faults);
     check(&rules, &places(block), place, faults);
@@ -218,7 +218,7 @@
 }
 
 /// A span as settings files state it: the largest unit in which it is a whole number.
-pub fn show_span(span: Span) -> String {
+pub fn show_span(span: Duration) -> String {
     let nanos = span.nanos();
     for (unit, name) in [(1_000_000_000, "s"), (1_000_000, "ms"), (1_000, "us")] {
         if nanos.is_multiple_of(unit) {
--- a/crates/trace/src/map.rs
+++ b/crates/trace/src/map.rs
@@ -1,7 +1,7 @@
 //! The mapping file: which class of a trace is which use case, and what is done about faults.
 
 use crate::fault::{Fault, Policies, Policy};
-use mulleinhub_interface::Span;
+use mulleinhub_interface::Duration;
 use mulleinhub_settings::{Args, Bytes, Directive, Faults, Range, suggest};
 
 /// Tasks of these classes and priorities are of this use case; the first rule that fits counts.
@@ -16,7 +16,7 @@
 pub struct Mapping {
     pub rules: Vec<ClassRule>,
     pub policies: Policies,
-    pub window: Span,
+    pub window: Duration,
     /// Cores and GiB of the greatest machine, where the trace tells parts of it alone.
     pub whole: (f64, f64),
 }
@@ -26,7 +26,7 @@
         Self {
             rules: Vec::new(),
             policies: Policies::default(),
-            window: Span::from_secs(300),
+            window: Duration::from_secs(300),
             whole: (48.0, 96.0),
         }
     }
--- a/crates/trace/src/work.rs
+++ b/crates/trace/src/work.rs
@@ -6,14 +6,14 @@
 use crate::map::Mapping;
 use crate::read::{Progress, Reader, Summary};
 use crate::sample::Sample;
-use mulleinhub_interface::{Span, Time};
+use mulleinhub_interface::{Duration, Timestamp};
 use std::collections::BTreeMap;
 
 /// What was used from an instant on, in parts of the ask.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Use {
     /// After the task was wanted.
-    pub after: Span,
+    pub after: Duration,
     pub cores: f64,
     pub memory: f64,
 }
@@ -25,8 +25,8 @@
     pub service: u64,
     pub class: u32,
     pub priority: u32,
-    pub at: Time,
-    pub until: Time,
+    pub at: Timestamp,
+    pub until: Timestamp,
     pub cores: f64,
     pub memory: f64,
     /// In the order of their instants; none where the trace tells none.
@@ -39,7 +39,7 @@
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct FleetChange {
-    pub at: Time,
+    pub at: Timestamp,
     pub up: bool,
 }
 
@@ -60,7 +60,7 @@
     /// In the order of being wanted.
     pub tasks: Vec<Task>,
     /// The slice's length, after compression.
-    pub length: Span,
+    pub length: Duration,
     pub summary: Summary,
     /// What the whole of the slice asks for, and what the sample of it does.
     pub source: Mix,
@@ -299,9 +299,9 @@
     let end = sample.to.unwrap_or(drafts.latest + 1).max(begin + 1);
     let clock = |at: u64| {
         let since = at.clamp(begin, end) - begin;
-        Time::from_nanos((since as f64 * 1_000.0 / sample.compress) as u64)
+        Timestamp::from_nanos((since as f64 * 1_000.0 / sample.compress) as u64)
     };
-    let length = clock(end) - Time::default();
+    let length = clock(end) - Timestamp::default();
     let mut work =
         Work { length, summary, source, sampled, share, too_many: drafts.too_many, ..Work::default() };
     let declared: Vec<u64> = drafts.machines.keys().copied().collect();
@@ -339,7 +339,7 @@
         if is_early {
             early += 1;
             // Evenly, by the golden ratio: any part of them is spread as the whole is.
-            at = Time::default() + ramp * (early as f64 * 0.618_033_988_749_895).fract();
+            at = Timestamp::default() + ramp * (early as f64 * 0.618_033_988_749_895).fract();
         }
         // One that has no end lives on after the slice.
         let until = ended.filter(|ended| *ended <= end).map_or(clock(end) + length, clock);
--- a/crates/trace/tests/traces.rs
+++ b/crates/trace/tests/traces.rs
@@ -1,6 +1,6 @@
 //! Made traces read back: faults counted as they were put in, order, ends, samples.
 
-use mulleinhub_interface::Time;
+use mulleinhub_interface::Timestamp;
 use mulleinhub_trace::*;
 use std::path::Path;
 
@@ -72,7 +72,7 @@
     let work = whole(folder.path());
     assert_eq!(work.summary.after, 1);
     assert!(work.length.nanos() <= model.length * 2 * 1_000_000_000, "{:?}", work.length);
-    assert!(work.machines.iter().all(|m| m.changes[0].at >= Time::default()));
+    assert!(work.machines.iter().all(|m| m.changes[0].at >= Timestamp::default()));
 }
 
 #[test]
--- a/crates/versions/src/play.rs
+++ b/crates/versions/src/play.rs
@@ -2,7 +2,7 @@
 
 use crate::build::{program, root, tree, versions};
 use mulleinhub_day::{Day, parse_day};
-use mulleinhub_interface::Time;
+use mulleinhub_interface::Timestamp;
 use mulleinhub_settings::{Faults, parse};
 use mulleinhub_verdict::{Verdict, judge};
 use std::io::BufReader;
@@ -22,7 +22,7 @@
 }
 
 impl Fleet {
-    fn is_new(self, planner: usize, now: Time, half: Time) -> bool {
+    fn is_new(self, planner: usize, now: Timestamp, half: Timestamp) -> bool {
         match self {
             Self::New(many) => planner < many,
             Self::RolledUp => now >= half,
@@ -124,10 +124,10 @@
 
 fn play(script: &Path, at: usize, fleet: Fleet, seed: u64, old: &Path, new: &Path) -> Result<Played, String> {
     let day = read(script, seed)?;
-    let half = Time::default() + day.length * 0.5;
+    let half = Timestamp::default() + day.length * 0.5;
     let folder = std::env::temp_dir().join(format!("mulleinhub-versions-{}-{at}-{seed}", std::process::id()));
     let capture = folder.join("capture");
-    let programs = |planner: usize, now: Time| -> Option<PathBuf> {
+    let programs = |planner: usize, now: Timestamp| -> Option<PathBuf> {
         Some(if fleet.is_new(planner, now, half) { new } else { old }.to_owned())
     };
     let played = mulleinhub_load::play_over_sockets(day, &folder, &capture, &programs, |_, _| ());
--- a/src/brain.rs
+++ b/src/brain.rs
@@ -17,7 +17,7 @@
 use std::collections::VecDeque;
 
 // The design's figures.
-const PEAK_WINDOW: Span = Span::from_secs(30);
+const PEAK_WINDOW: Duration = Duration::from_secs(30);
 const CORES_WEIGHT: f64 = 0.38;
 const MEMORY_WEIGHT: f64 = 0.62;
 const TIE: f64 = 0.05;
@@ -49,12 +49,12 @@
 /// Met: 120 that had lost a machine or the list together sent again in the same ten milliseconds.
 const DRAWN: f64 = 0.25;
 /// How old a view may be when it comes: our sends younger than this are not in it.
-const VIEW_AGE: Span = Span::from_nanos(800_000_000);
+const VIEW_AGE: Duration = Duration::from_nanos(800_000_000);
 /// A list that tells nothing is trusted for this part of the longest silence that the rules allow.
 const NEWS_SHARE: f64 = 0.25;
 /// Service under this is poor; a machine noted so counts as pressed for so long unless a better note comes.
 const SERVED_WELL: f64 = 0.95;
-const PRESSED: Span = Span::from_secs(3);
+const PRESSED: Duration = Duration::from_secs(3);
 /// Machines keep programs for a while; so many services whose tasks of ours ended last are taken to be kept.
 const KEPT: usize = 8;
 /// What a machine without the service's program must be emptier by, as a share of its size, for each place it
@@ -79,7 +79,7 @@
 impl Dealing {
     /// Twice as long each time, up to a bound. What ends while it rests was sent before: the same trouble.
     /// Met: one hang with many sends out, each of which doubled the rest, and a machine idle for a minute.
-    fn bar(&mut self, now: Time, rest: Span) {
+    fn bar(&mut self, now: Timestamp, rest: Duration) {
         if now < self.barred_until {
             return;
         }
@@ -89,13 +89,13 @@
 }
 
 /// Whether a start that takes so long is far slower than usual, where usual is known.
-fn is_slow(took: Span, usual: Span) -> bool {
-    usual > Span::ZERO && took > usual * SLOW
+fn is_slow(took: Duration, usual: Duration) -> bool {
+    usual > Duration::ZERO && took > usual * SLOW
 }
 
 /// A pressed machine comes last, whoever causes it: neighbours, surges, our guess. A better note of the same
 /// kind ends it. Met: one that had just evicted took tasks again, as cores were calm there.
-fn pressed(now: Time, is: bool) -> Time {
+fn pressed(now: Timestamp, is: bool) -> Timestamp {
     if is { now + PRESSED } else { now }
 }
 
@@ -103,23 +103,23 @@
 /// and how it departs from the ordinary path.
 type Fit = (usize, f64, u64, bool, usize);
 
-pub struct Brain {
+pub struct PlacementPolicy {
     use_cases: Vec<UseCase>,
-    kinds: Vec<Room>,
-    taking: Taking,
-    cold: ColdRule,
-    listing: Listing,
-    home: Home,
+    kinds: Vec<Resources>,
+    taking: AcceptanceRules,
+    cold: SlowStart,
+    listing: Discovery,
+    home: LocalityCosts,
     low: u8,
     /// How long a start usually takes, on a machine with and without the program.
-    usual_start: [Span; 2],
+    usual_start: [Duration; 2],
     chance: Pcg,
     /// When this life of the scheduler began.
-    begun: Time,
+    begun: Timestamp,
     pub(crate) tasks: Slab<TaskId, Task>,
     pub(crate) machines: Slab<MachineId, Machine>,
     pub(crate) pending: Vec<usize>,
-    moved: VecDeque<(TaskKey, Room)>,
+    moved: VecDeque<(TaskKey, Resources)>,
     fits: Vec<Fit>,
     /// Where tasks of the service that is placed now are, and how many.
     held: Vec<(Spot, usize)>,
@@ -128,26 +128,26 @@
     pub(crate) starting: usize,
     watch_failures: u32,
     /// When the list last told anything, and the mean share that it showed as left.
-    news_at: Time,
-    mean_left: Room,
+    news_at: Timestamp,
+    mean_left: Resources,
 }
 
 /// One round: what came in is told to it, and it ends with the placing.
-pub struct Round<'a, W: Writer> {
-    b: &'a mut Brain,
-    now: Time,
+pub struct SchedulingRound<'a, W: Dispatch> {
+    b: &'a mut PlacementPolicy,
+    now: Timestamp,
     out: &'a mut W,
 }
 
-impl Brain {
+impl PlacementPolicy {
     pub fn new(
         seed: u64,
         use_cases: Vec<UseCase>,
-        kinds: Vec<Room>,
-        taking: Taking,
-        cold: ColdRule,
-        listing: Listing,
-        home: Home,
+        kinds: Vec<Resources>,
+        taking: AcceptanceRules,
+        cold: SlowStart,
+        listing: Discovery,
+        home: LocalityCosts,
     ) -> Self {
         let low = use_cases.iter().map(|u| u.priority).min().unwrap_or(0);
         Self {
@@ -158,9 +158,9 @@
             listing,
             home,
             low,
-            usual_start: [Span::ZERO; 2],
+            usual_start: [Duration::ZERO; 2],
             chance: Pcg::new(seed),
-            begun: Time::default(),
+            begun: Timestamp::default(),
             tasks: Slab::with_capacity(4096),
             machines: Slab::with_capacity(64),
             pending: Vec::with_capacity(1024),
@@ -170,18 +170,18 @@
             tick_set: false,
             starting: 0,
             watch_failures: 0,
-            news_at: Time::default(),
-            mean_left: Room::NONE,
+            news_at: Timestamp::default(),
+            mean_left: Resources::NONE,
         }
     }
 
-    pub fn round<W: Writer, T>(
+    pub fn round<W: Dispatch, T>(
         &mut self,
-        now: Time,
+        now: Timestamp,
         out: &mut W,
-        tell: impl FnOnce(&mut Round<'_, W>) -> T,
+        tell: impl FnOnce(&mut SchedulingRound<'_, W>) -> T,
     ) -> T {
-        let mut round = Round { b: self, now, out };
+        let mut round = SchedulingRound { b: self, now, out };
         let told = tell(&mut round);
         round.place_pending();
         told
@@ -196,40 +196,40 @@
     }
 
     /// The shortest wait that makes sense: a small part of the tightest soft limit.
-    fn retry_after(&self) -> Span {
-        let tightest = self.use_cases.iter().map(|u| u.soft_limit).min().unwrap_or(Span::from_secs(1));
-        tightest * RETRY_SHARE + Span::from_nanos(1)
+    fn retry_after(&self) -> Duration {
+        let tightest = self.use_cases.iter().map(|u| u.soft_limit).min().unwrap_or(Duration::from_secs(1));
+        tightest * RETRY_SHARE + Duration::from_nanos(1)
     }
 
     /// The wait, and a part of it more that is drawn.
-    fn drawn(&mut self, wait: Span) -> Span {
+    fn drawn(&mut self, wait: Duration) -> Duration {
         wait * (1.0 + DRAWN * self.chance.part())
     }
 
     /// A view without news fades to the mean of all machines, or whoever gets none fills those once empty.
-    fn fade(&self, now: Time) -> f64 {
+    fn fade(&self, now: Timestamp) -> f64 {
         let silence = (now - self.news_at).over(self.listing.ask_within * NEWS_SHARE);
         1.0 - 1.0 / silence.max(1.0)
     }
 
     /// What nobody asked for of a machine.
-    fn free(&self, m: &Machine, fade: f64) -> Room {
+    fn free(&self, m: &Machine, fade: f64) -> Resources {
         let mean = m.size.times(self.mean_left.cores, self.mean_left.memory);
         m.free() + (mean - m.left).times(fade, fade)
     }
 
     /// Not warm yet, if it started then.
-    fn is_fresh(&self, start: Option<Time>, now: Time) -> bool {
+    fn is_fresh(&self, start: Option<Timestamp>, now: Timestamp) -> bool {
         start.is_some_and(|at| now - at < self.cold.warm_after)
     }
 
     /// Started lately, or lost: what was lost comes back cold, long before the list tells of its start.
-    fn is_cold(&self, m: &Machine, now: Time) -> bool {
+    fn is_cold(&self, m: &Machine, now: Timestamp) -> bool {
         self.is_fresh(m.since, now) || self.is_fresh(m.lost_at, now)
     }
 }
 
-impl<W: Writer> Round<'_, W> {
+impl<W: Dispatch> SchedulingRound<'_, W> {
     pub fn start(&mut self) {
         self.b.begun = self.now;
         self.woken(WATCH);
@@ -307,7 +307,7 @@
         let m = &mut self.b.machines[at];
         m.used += task.last_use - before;
         if high {
-            let slack = (ask - task.peak(now)).at_least(Room::NONE);
+            let slack = (ask - task.peak(now)).at_least(Resources::NONE);
             m.slack += slack - task.slack;
             task.slack = slack;
         }
@@ -382,25 +382,27 @@
             Ending::TimedOut | Ending::Recalled
                 if state != State::Sent || m.dealings[case].answered_at > task.sent_at => {}
             // Let it rest, longer each time.
-            Ending::NoConnection | Ending::Broken(Loss::Untold) | Ending::Nacked(Nack::QueueFull) => {
+            Ending::NoConnection
+            | Ending::Broken(FailureCause::Untold)
+            | Ending::Nacked(Rejection::QueueFull) => {
                 m.dealings.iter_mut().for_each(|dealing| dealing.bar(now, rest));
             }
             // Where another machine erred on it too, it is the task. Met: set-ups that no machine could use,
             // each of which had four machines rest.
             Ending::Errored if std::mem::replace(&mut task.erred, true) => {}
             // Errors, silence, or a nack without a reason: it may be this use case alone that suffers.
-            Ending::Errored | Ending::TimedOut | Ending::Recalled | Ending::Nacked(Nack::Untold) => {
+            Ending::Errored | Ending::TimedOut | Ending::Recalled | Ending::Nacked(Rejection::Untold) => {
                 m.dealings[case].bar(now, rest);
             }
             // The machine knows its room: for as long as a view may be stale, there is less than this ask.
-            Ending::Nacked(nack @ (Nack::NoCores | Nack::NoMemory)) => {
+            Ending::Nacked(nack @ (Rejection::NoCores | Rejection::NoMemory)) => {
                 let beyond = self.b.taking.beyond(m.size);
-                let less = (ask.times(0.99, 0.99) - beyond - m.free()).at_most(Room::NONE);
-                let cores = nack == Nack::NoCores;
+                let less = (ask.times(0.99, 0.99) - beyond - m.free()).at_most(Resources::NONE);
+                let cores = nack == Rejection::NoCores;
                 m.changes(now, less.times(f64::from(cores), f64::from(!cores)));
             }
             // Out of memory, whoever used it up.
-            Ending::Broken(Loss::Evicted) | Ending::Nacked(Nack::HandedBack) => {
+            Ending::Broken(FailureCause::Evicted) | Ending::Nacked(Rejection::HandedBack) => {
                 m.pressed.memory = now + PRESSED;
                 m.poor.note(now, 1.0);
             }
@@ -410,7 +412,7 @@
         if !never_ran && state == State::Sent && task.may_run.is_none() {
             task.may_run = Some((task.sent_at, m.spot()));
         }
-        task.slack = Room::NONE;
+        task.slack = Resources::NONE;
         task.turned_down = Some(at);
         let machine = m.id;
         if over || state != State::Sent {
@@ -420,7 +422,7 @@
             (task.state, task.waited) = (State::Pending, false);
             self.b.pending.push(place);
         }
-        if matches!(ending, Ending::NoConnection | Ending::Broken(Loss::Untold)) {
+        if matches!(ending, Ending::NoConnection | Ending::Broken(FailureCause::Untold)) {
             self.b.machines[at].lost_at = Some(now);
         }
         self.probed(machine, report);
@@ -444,7 +446,7 @@
     }
 
     /// Whoever is to end owes its answers by then. Met: waits longer than the time that is left to it.
-    pub fn ends_by(&mut self, at: Time) {
+    pub fn ends_by(&mut self, at: Timestamp) {
         self.b.tasks.iter_mut().for_each(|(_, task)| task.order.deadline = task.order.deadline.min(at));
     }
 
@@ -475,7 +477,7 @@
         }
         for entry in entries {
             let at = self.machine(entry.id);
-            let size = self.b.kinds.get(entry.kind.0).copied().unwrap_or(Room::NONE);
+            let size = self.b.kinds.get(entry.kind.0).copied().unwrap_or(Resources::NONE);
             let fresh_start = self.b.is_fresh(entry.since, now);
             let m = &mut self.b.machines[at];
             (m.kind, m.cell, m.zone, m.size) = (entry.kind, entry.cell, entry.zone, size);
@@ -493,7 +495,7 @@
         over.and_then(|at| self.b.machines.remove(at));
         // Whoever is not named has not changed: its view is as fresh as the named ones'.
         self.b.news_at = now;
-        let (mut left, mut size) = (Room::NONE, Room::NONE);
+        let (mut left, mut size) = (Resources::NONE, Resources::NONE);
         for (_, m) in self.b.machines.iter_mut() {
             m.seen(now, VIEW_AGE);
             if m.mode == Mode::Active {
@@ -517,7 +519,8 @@
     fn shed(&mut self, at: usize) {
         let now = self.now;
         let m = &mut self.b.machines[at];
-        let peak = Room::new(m.use_cores.peak(now).unwrap_or(0.0), m.use_memory.peak(now).unwrap_or(0.0));
+        let peak =
+            Resources::new(m.use_cores.peak(now).unwrap_or(0.0), m.use_memory.peak(now).unwrap_or(0.0));
         let total = peak.times(m.size.cores, m.size.memory);
         let most = m.size.times(HOT, HOT);
         if most.fits(total) {
@@ -527,19 +530,19 @@
         m.use_memory.forget();
         // What is being stopped, by us or its owner, is over soon. Met: one heat, and two tasks gone for it.
         let stops = m.tasks.iter().map(|(place, _)| &self.b.tasks[*place]).filter(|t| t.state == State::Over);
-        let stops = stops.fold(Room::NONE, |sum, task| sum + task.last_use);
+        let stops = stops.fold(Resources::NONE, |sum, task| sum + task.last_use);
         let (total, used) = (total - stops, m.used - stops);
         if most.fits(total) {
             return;
         }
         // Others see the heat too: ours to shed is our part of the use.
-        let ours = Room::new(used.cores / total.cores.max(1e-9), used.memory / total.memory.max(1e-9));
+        let ours = Resources::new(used.cores / total.cores.max(1e-9), used.memory / total.memory.max(1e-9));
         let mut over = (total - most).times(ours.cores.min(1.0), ours.memory.min(1.0));
         for n in (0..self.b.machines[at].tasks.len()).rev() {
             let (place, _) = self.b.machines[at].tasks[n];
             let task = &self.b.tasks[place];
             // One that came again stays: moving it on would only pass the heat around.
-            let stays = task.order.again || task.state != State::Placed || task.last_use == Room::NONE;
+            let stays = task.order.again || task.state != State::Placed || task.last_use == Resources::NONE;
             if stays || !self.b.is_low(place) || !self.has_calm_room(place) {
                 continue;
             }
@@ -608,7 +611,7 @@
         let anywhere =
             matches!(use_case.effect, Effect::Replayable | Effect::Referenced { group: Reach::All, .. });
         if anywhere || task.may_run.is_none() {
-            self.out.nack(task.order.id, Span::ZERO);
+            self.out.nack(task.order.id, Duration::ZERO);
         } else {
             self.out.error(task.order.id);
         }
@@ -683,7 +686,7 @@
         m.tasks.push((place, task.order.service));
         m.starting += 1;
         self.b.starting += 1;
-        m.changes(now, Room::NONE - task.order.ask);
+        m.changes(now, Resources::NONE - task.order.ask);
         if cold {
             m.sent_cold(now, self.b.cold.fall * FALL_STRETCH);
         }
@@ -801,7 +804,7 @@
     /// What a cold machine always bears is dealt out one by one over all schedulers, from a seat that its id
     /// gives: the sum holds whoever stalls or dies, and some may send where a share is under one.
     fn dealt(&self, m: &Machine) -> usize {
-        let ColdRule { young_limit, schedulers, number, .. } = self.b.cold;
+        let SlowStart { young_limit, schedulers, number, .. } = self.b.cold;
         let (limit, all) = (young_limit as u64, u64::from(schedulers.max(1)));
         let first = mix(m.id.0, limit) % all;
         let seat = (u64::from(number) + all - first) % all;
@@ -809,8 +812,8 @@
     }
 
     /// Room asked, plus predicted slack for low-priority tasks, as far as the machine accepts.
-    fn has_room(&self, task: &Task, low: bool, m: &Machine, free: Room) -> bool {
-        let slack = if low { m.slack } else { Room::NONE };
+    fn has_room(&self, task: &Task, low: bool, m: &Machine, free: Resources) -> bool {
+        let slack = if low { m.slack } else { Resources::NONE };
         (free + slack).fits(task.size) && (free + self.b.taking.beyond(m.size)).fits(task.order.ask)
     }
 }
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -9,6 +9,6 @@
 mod slab;
 mod state;
 
-pub use brain::{Brain, Round};
+pub use brain::{PlacementPolicy, SchedulingRound};
 pub use mulleinhub_interface as interface;
-pub use mulleinhub_interface::{Pcg, Span, Time, mix};
+pub use mulleinhub_interface::{Duration, Pcg, Timestamp, mix};
--- a/src/mind.rs
+++ b/src/mind.rs
@@ -1,9 +1,9 @@
 //! The module behind the traits of the interface, for those who may also call another mind.
 
-use crate::brain::{Brain, Round};
+use crate::brain::{PlacementPolicy, SchedulingRound};
 use crate::interface::*;
 
-impl<W: Writer> Ears for Round<'_, W> {
+impl<W: Dispatch> PolicyEvents for SchedulingRound<'_, W> {
     fn start(&mut self) {
         self.start();
     }
@@ -40,7 +40,7 @@
     fn abandoned(&mut self, task: TaskId) {
         self.abandoned(task);
     }
-    fn ends_by(&mut self, at: Time) {
+    fn ends_by(&mut self, at: Timestamp) {
         self.ends_by(at);
     }
     fn woken(&mut self, token: u64) {
@@ -54,8 +54,13 @@
     }
 }
 
-impl Mind for Brain {
-    fn round(&mut self, now: Time, mut out: &mut dyn Writer, tell: &mut dyn FnMut(&mut dyn Ears)) {
+impl Policy for PlacementPolicy {
+    fn round(
+        &mut self,
+        now: Timestamp,
+        mut out: &mut dyn Dispatch,
+        tell: &mut dyn FnMut(&mut dyn PolicyEvents),
+    ) {
         Self::round(self, now, &mut out, |round| tell(round));
     }
 }
--- a/src/properties.rs
+++ b/src/properties.rs
@@ -3,7 +3,7 @@
 //! tested in `crates/engine`; here are endings that no wire of ours tells, and the sum over schedulers.
 
 use crate::interface::*;
-use crate::{Brain, Span, Time};
+use crate::{Duration, PlacementPolicy, Timestamp};
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
 use std::collections::{BTreeMap, BTreeSet};
@@ -60,16 +60,16 @@
     let endings = vec![
         Ending::Ok,
         Ending::Errored,
-        Ending::Nacked(Nack::Untold),
-        Ending::Nacked(Nack::HandedBack),
-        Ending::Nacked(Nack::NoCores),
-        Ending::Nacked(Nack::NoMemory),
-        Ending::Nacked(Nack::QueueFull),
-        Ending::Nacked(Nack::NotHere),
+        Ending::Nacked(Rejection::Untold),
+        Ending::Nacked(Rejection::HandedBack),
+        Ending::Nacked(Rejection::NoCores),
+        Ending::Nacked(Rejection::NoMemory),
+        Ending::Nacked(Rejection::QueueFull),
+        Ending::Nacked(Rejection::NotHere),
         Ending::TimedOut,
         Ending::NoConnection,
-        Ending::Broken(Loss::Untold),
-        Ending::Broken(Loss::Evicted),
+        Ending::Broken(FailureCause::Untold),
+        Ending::Broken(FailureCause::Evicted),
         Ending::Recalled,
         Ending::NotSent,
     ];
@@ -117,7 +117,7 @@
 #[derive(Clone, Copy, Debug)]
 enum Said {
     Send(u64, u64, u64),
-    Nack(u64),
+    Rejection(u64),
     Error(u64),
     Move(u64),
     Recall(u64),
@@ -127,15 +127,15 @@
 #[derive(Default)]
 struct Notebook(Vec<Said>);
 
-impl Writer for Notebook {
-    fn send(&mut self, task: TaskId, machine: MachineId, time_out: Span) {
+impl Dispatch for Notebook {
+    fn send(&mut self, task: TaskId, machine: MachineId, time_out: Duration) {
         self.0.push(Said::Send(task.0, machine.0, time_out.nanos()));
     }
     fn recall(&mut self, task: TaskId, _: u32) {
         self.0.push(Said::Recall(task.0));
     }
-    fn nack(&mut self, task: TaskId, _: Span) {
-        self.0.push(Said::Nack(task.0));
+    fn nack(&mut self, task: TaskId, _: Duration) {
+        self.0.push(Said::Rejection(task.0));
     }
     fn error(&mut self, task: TaskId) {
         self.0.push(Said::Error(task.0));
@@ -143,7 +143,7 @@
     fn move_off(&mut self, task: TaskId) {
         self.0.push(Said::Move(task.0));
     }
-    fn wake_at(&mut self, token: u64, at: Time) {
+    fn wake_at(&mut self, token: u64, at: Timestamp) {
         self.0.push(Said::Wake(token, at.nanos()));
     }
     fn watch_list(&mut self) {}
@@ -176,7 +176,7 @@
 /// What one scheduler was told, and what it said.
 struct Scheduler {
     /// Taken out for a round, so that events can be drawn on the world.
-    brain: Option<Brain>,
+    brain: Option<PlacementPolicy>,
     tasks: BTreeMap<u64, Task>,
     wakes: BTreeSet<(u64, u64)>,
     listed: Vec<Option<Mode>>,
@@ -206,10 +206,10 @@
 }
 
 fn use_cases() -> Vec<UseCase> {
-    let window = Span::from_secs(5);
+    let window = Duration::from_secs(5);
     let case = |effect, priority, spread| UseCase {
-        soft_limit: Span::from_secs(1),
-        client_timeout: Span::from_secs(8),
+        soft_limit: Duration::from_secs(1),
+        client_timeout: Duration::from_secs(8),
         effect,
         earnings: f64::from(priority) + 1.0,
         priority,
@@ -233,15 +233,15 @@
         cell: CellId(m as u32 / 2),
         zone: ZoneId(0),
         mode,
-        since: since.map(Time::from_nanos),
-        left: Some(Room::new(10.0, 10.0)),
+        since: since.map(Timestamp::from_nanos),
+        left: Some(Resources::new(10.0, 10.0)),
     }
 }
 
 impl World {
     fn new(seed: u64) -> Self {
         let scheduler = |number| {
-            let taking = Taking {
+            let taking = AcceptanceRules {
                 cores: 2.0,
                 memory: 2.0,
                 yes_when_running: seed.is_multiple_of(2),
@@ -249,19 +249,19 @@
                 tells_pressure: true,
                 recalls: true,
             };
-            let cold = ColdRule {
-                warm_after: Span::from_nanos(WARM),
-                fall: Span::from_nanos(FALL),
+            let cold = SlowStart {
+                warm_after: Duration::from_nanos(WARM),
+                fall: Duration::from_nanos(FALL),
                 young_limit: YOUNG_LIMIT as f64,
                 schedulers: SCHEDULERS as u32,
                 number,
             };
-            let listing = Listing { asked: true, ask_within: Span::from_secs(10) };
-            let home = Home { zone: ZoneId(0), cross_zone_price: 0.0, machine_price: 0.1 };
-            let kinds = vec![Room::new(10.0, 10.0)];
+            let listing = Discovery { asked: true, ask_within: Duration::from_secs(10) };
+            let home = LocalityCosts { zone: ZoneId(0), cross_zone_price: 0.0, machine_price: 0.1 };
+            let kinds = vec![Resources::new(10.0, 10.0)];
             let seed = seed + u64::from(number);
             Scheduler {
-                brain: Some(Brain::new(seed, use_cases(), kinds, taking, cold, listing, home)),
+                brain: Some(PlacementPolicy::new(seed, use_cases(), kinds, taking, cold, listing, home)),
                 tasks: BTreeMap::new(),
                 wakes: BTreeSet::new(),
                 listed: vec![None; MACHINES],
@@ -293,7 +293,7 @@
     /// One round of one scheduler, and what it says.
     fn round(&mut self, s: usize, events: &[Event]) {
         let mut book = Notebook::default();
-        let now = Time::from_nanos(self.now);
+        let now = Timestamp::from_nanos(self.now);
         let mut brain = self.schedulers[s].brain.take().expect("is back after each round");
         brain.round(now, &mut book, |round| {
             let due: Vec<(u64, u64)> =
@@ -323,7 +323,7 @@
         }
     }
 
-    fn tell(&mut self, s: usize, event: &Event, round: &mut crate::Round<'_, Notebook>) {
+    fn tell(&mut self, s: usize, event: &Event, round: &mut crate::SchedulingRound<'_, Notebook>) {
         match *event {
             Event::New { case, service, ask, patience } => {
                 let deadline = self.now + patience * MS;
@@ -391,7 +391,7 @@
                     0 => round.accepted(id),
                     1 => round.runs(id),
                     2 => round.abandoned(id),
-                    _ => round.closed(id, Ending::Broken(Loss::Untold), true, Report::default()),
+                    _ => round.closed(id, Ending::Broken(FailureCause::Untold), true, Report::default()),
                 }
             }
             Event::Listed(m, mode, fresh) => {
@@ -439,8 +439,8 @@
             key: TaskKey(id),
             use_case: UseCaseId(case),
             service: ServiceId(service),
-            ask: Room::new(ask, ask),
-            deadline: Time::from_nanos(deadline),
+            ask: Resources::new(ask, ask),
+            deadline: Timestamp::from_nanos(deadline),
             again: id.is_multiple_of(5),
         }
     }
@@ -459,16 +459,16 @@
     }
 
     /// The send that is out, or the task that runs, ends.
-    fn close(&mut self, s: usize, id: u64, ending: Ending, round: &mut crate::Round<'_, Notebook>) {
+    fn close(&mut self, s: usize, id: u64, ending: Ending, round: &mut crate::SchedulingRound<'_, Notebook>) {
         let task = self.schedulers[s].tasks.get_mut(&id).expect("is open");
         let sent = task.sends.last_mut().expect("is open");
-        let (m, handed_back) = (sent.machine, ending == Ending::Nacked(Nack::HandedBack));
+        let (m, handed_back) = (sent.machine, ending == Ending::Nacked(Rejection::HandedBack));
         sent.over = true;
         sent.never_ran = matches!(ending, Ending::Nacked(_) | Ending::NoConnection | Ending::NotSent)
             && (!task.placed || handed_back);
         let over = task.placed || task.abandoned;
         task.over |= over;
-        if matches!(ending, Ending::NoConnection | Ending::Broken(Loss::Untold)) {
+        if matches!(ending, Ending::NoConnection | Ending::Broken(FailureCause::Untold)) {
             self.is_cold(s, m, self.now);
         }
         round.closed(TaskId(id), ending, over, Report::default());
@@ -490,14 +490,14 @@
                 assert_eq!(cases[task.case].priority, 0, "only low-priority tasks are moved");
                 self.met.moves += 1;
             }
-            Said::Nack(id) | Said::Error(id) => {
+            Said::Rejection(id) | Said::Error(id) => {
                 let task = self.schedulers[s].tasks.get_mut(&id).expect("a task of ours");
                 assert!(!task.over && !task.placed, "rule 1: task {id} is answered twice");
                 assert!(!task.abandoned, "task {id} is answered though nobody waits");
                 assert!(task.sends.iter().all(|sent| sent.over), "rule 2: {id} is answered with a send out");
                 let may_run = task.sends.iter().any(|sent| !sent.never_ran);
                 let harmless = !may_run || cases[task.case].effect == Effect::Replayable;
-                let nack = matches!(said, Said::Nack(_));
+                let nack = matches!(said, Said::Rejection(_));
                 assert!(!nack || harmless, "rule 2: task {id} is nacked though it may have run");
                 task.over = true;
                 self.met.answers += 1;
--- a/src/state.rs
+++ b/src/state.rs
@@ -19,9 +19,9 @@
 pub struct Task {
     pub order: Order,
     pub state: State,
-    pub came: Time,
+    pub came: Timestamp,
     /// What it is sized at: its ask, or its peak use where we moved it off.
-    pub size: Room,
+    pub size: Resources,
     /// Found no machine the last time that it was looked at.
     pub waited: bool,
     /// Sent, and not known to run yet.
@@ -31,30 +31,30 @@
     pub bare: bool,
     /// Where its open send went, and when.
     pub machine: usize,
-    pub sent_at: Time,
+    pub sent_at: Timestamp,
     /// The first send that may have run: when, and to which machine's places.
-    pub may_run: Option<(Time, Spot)>,
+    pub may_run: Option<(Timestamp, Spot)>,
     pub turned_down: Option<usize>,
     /// A machine erred on it.
     pub erred: bool,
     pub cores: Peak,
     pub memory: Peak,
-    pub last_use: Room,
-    pub slack: Room,
+    pub last_use: Resources,
+    pub slack: Resources,
 }
 
 /// When a machine last answered a use case, until when it is taken not to, and how often in a row.
 #[derive(Clone, Copy)]
 pub struct Dealing {
-    pub answered_at: Time,
-    pub barred_until: Time,
+    pub answered_at: Timestamp,
+    pub barred_until: Timestamp,
     pub times: u32,
 }
 
 /// Bad service, or short memory, was noted, with no better note of its kind since; trusted until then.
 pub struct Pressed {
-    pub cores: Time,
-    pub memory: Time,
+    pub cores: Timestamp,
+    pub memory: Timestamp,
 }
 
 pub struct Machine {
@@ -62,21 +62,21 @@
     pub kind: KindId,
     pub cell: CellId,
     pub zone: ZoneId,
-    pub size: Room,
+    pub size: Resources,
     /// As the list has it; one that no list names has left.
     pub mode: Mode,
-    pub since: Option<Time>,
-    pub left: Room,
+    pub since: Option<Timestamp>,
+    pub left: Resources,
     /// Our own asks (below nought) and ends (above) that the view may not show yet.
-    unseen: VecDeque<(Time, Room)>,
-    unseen_sum: Room,
+    unseen: VecDeque<(Timestamp, Resources)>,
+    unseen_sum: Resources,
     /// Places of our tasks whose last send has not ended, oldest first, and their services.
     pub tasks: Vec<(usize, ServiceId)>,
     /// What those of them use that a use was noted of.
-    pub used: Room,
+    pub used: Resources,
     /// Services of our tasks that ended here last, oldest first.
     pub lately: VecDeque<ServiceId>,
-    pub slack: Room,
+    pub slack: Resources,
     pub use_cores: Peak,
     pub use_memory: Peak,
     /// The worst share of service missed within the window.
@@ -85,14 +85,14 @@
     pub starting: usize,
     pub cap: f64,
     /// When a send or a task was last lost with it.
-    pub lost_at: Option<Time>,
+    pub lost_at: Option<Timestamp>,
     /// By use case, as it may be one alone that the machine leaves unanswered or turns away.
     pub dealings: Vec<Dealing>,
-    pub cold_sends: VecDeque<Time>,
+    pub cold_sends: VecDeque<Timestamp>,
 }
 
 impl Task {
-    pub fn new(order: Order, state: State, window: Span, now: Time) -> Self {
+    pub fn new(order: Order, state: State, window: Duration, now: Timestamp) -> Self {
         Self {
             order,
             state,
@@ -109,35 +109,35 @@
             erred: false,
             cores: Peak::new(window),
             memory: Peak::new(window),
-            last_use: Room::NONE,
-            slack: Room::NONE,
+            last_use: Resources::NONE,
+            slack: Resources::NONE,
         }
     }
 
     /// The most it used within the window; its ask where nothing was noted.
-    pub fn peak(&self, now: Time) -> Room {
+    pub fn peak(&self, now: Timestamp) -> Resources {
         let ask = self.order.ask;
-        Room::new(self.cores.peak(now).unwrap_or(ask.cores), self.memory.peak(now).unwrap_or(ask.memory))
+        Resources::new(self.cores.peak(now).unwrap_or(ask.cores), self.memory.peak(now).unwrap_or(ask.memory))
     }
 }
 
 impl Machine {
-    pub fn new(id: MachineId, window: Span, cap: f64, use_cases: usize, now: Time) -> Self {
+    pub fn new(id: MachineId, window: Duration, cap: f64, use_cases: usize, now: Timestamp) -> Self {
         Self {
             id,
             kind: KindId(usize::MAX),
             cell: CellId(u32::MAX),
             zone: ZoneId(u32::MAX),
-            size: Room::NONE,
+            size: Resources::NONE,
             mode: Mode::Left,
             since: None,
-            left: Room::NONE,
+            left: Resources::NONE,
             unseen: VecDeque::with_capacity(16),
-            unseen_sum: Room::NONE,
+            unseen_sum: Resources::NONE,
             tasks: Vec::with_capacity(32),
-            used: Room::NONE,
+            used: Resources::NONE,
             lately: VecDeque::with_capacity(16),
-            slack: Room::NONE,
+            slack: Resources::NONE,
             use_cores: Peak::new(window),
             use_memory: Peak::new(window),
             poor: Peak::new(window),
@@ -154,7 +154,7 @@
         (self.id, self.cell, self.zone)
     }
 
-    pub fn is_calm(&self, now: Time) -> bool {
+    pub fn is_calm(&self, now: Timestamp) -> bool {
         self.pressed.cores <= now && self.pressed.memory <= now
     }
 
@@ -177,7 +177,7 @@
     }
 
     /// Notes a change of our own asks that views can't show yet. A long list without a new view is merged.
-    pub fn changes(&mut self, now: Time, change: Room) {
+    pub fn changes(&mut self, now: Timestamp, change: Resources) {
         if self.unseen.len() >= 64 {
             let (_, oldest) = self.unseen.pop_front().expect("is long");
             self.unseen.front_mut().expect("is long").1 += oldest;
@@ -187,15 +187,15 @@
     }
 
     /// Forgets the changes that are older than a view.
-    pub fn seen(&mut self, now: Time, view_age: Span) {
+    pub fn seen(&mut self, now: Timestamp, view_age: Duration) {
         while self.unseen.front().is_some_and(|(at, _)| now - *at > view_age) {
             self.unseen.pop_front();
         }
-        self.unseen_sum = self.unseen.iter().fold(Room::NONE, |sum, (_, change)| sum + *change);
+        self.unseen_sum = self.unseen.iter().fold(Resources::NONE, |sum, (_, change)| sum + *change);
     }
 
     /// Notes a send to this cold machine, and forgets those of long ago.
-    pub fn sent_cold(&mut self, now: Time, forget: Span) {
+    pub fn sent_cold(&mut self, now: Timestamp, forget: Duration) {
         self.cold_sends.retain(|sent| now - *sent <= forget);
         self.cold_sends.push_back(now);
     }
@@ -210,7 +210,7 @@
     }
 
     /// What the view shows as left, less our own asks and plus our own ends that it can't show yet.
-    pub fn free(&self) -> Room {
+    pub fn free(&self) -> Resources {
         self.left + self.unseen_sum
     }
 }
--- a/tests/host/mod.rs
+++ b/tests/host/mod.rs
@@ -1,12 +1,12 @@
 //! A tiny fake host: it takes down what one brain answers, and tells it what the story says.
 
 use mulleinhub::interface::*;
-use mulleinhub::{Brain, Round, Span, Time};
+use mulleinhub::{Duration, PlacementPolicy, SchedulingRound, Timestamp};
 
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Said {
     Send(u64, u64),
-    Nack(u64),
+    Rejection(u64),
     Error(u64),
     Move(u64),
     Recall(u64, u32),
@@ -18,15 +18,15 @@
 #[derive(Default)]
 pub struct Notebook(pub Vec<Said>);
 
-impl Writer for Notebook {
-    fn send(&mut self, task: TaskId, machine: MachineId, _: Span) {
+impl Dispatch for Notebook {
+    fn send(&mut self, task: TaskId, machine: MachineId, _: Duration) {
         self.0.push(Said::Send(task.0, machine.0));
     }
     fn recall(&mut self, task: TaskId, send: u32) {
         self.0.push(Said::Recall(task.0, send));
     }
-    fn nack(&mut self, task: TaskId, _: Span) {
-        self.0.push(Said::Nack(task.0));
+    fn nack(&mut self, task: TaskId, _: Duration) {
+        self.0.push(Said::Rejection(task.0));
     }
     fn error(&mut self, task: TaskId) {
         self.0.push(Said::Error(task.0));
@@ -34,7 +34,7 @@
     fn move_off(&mut self, task: TaskId) {
         self.0.push(Said::Move(task.0));
     }
-    fn wake_at(&mut self, token: u64, at: Time) {
+    fn wake_at(&mut self, token: u64, at: Timestamp) {
         if token == 1 {
             self.0.push(Said::WatchAt(at.nanos() / 1_000_000));
         }
@@ -57,14 +57,14 @@
     pub number: u32,
     pub seed: u64,
     pub millis: u64,
-    pub brain: Option<Brain>,
+    pub brain: Option<PlacementPolicy>,
 }
 
 pub const HIGH: usize = 0;
 pub const LOW: usize = 1;
 
-pub fn secs(n: u64) -> Span {
-    Span::from_secs(n)
+pub fn secs(n: u64) -> Duration {
+    Duration::from_secs(n)
 }
 
 impl Host {
@@ -104,11 +104,11 @@
 
     /// A new life: all that the last one knew is gone.
     pub fn restart(&mut self) {
-        self.brain = Some(Brain::new(
+        self.brain = Some(PlacementPolicy::new(
             self.seed,
             self.use_cases.clone(),
-            vec![Room::new(10.0, 10.0), Room::new(20.0, 20.0)],
-            Taking {
+            vec![Resources::new(10.0, 10.0), Resources::new(20.0, 20.0)],
+            AcceptanceRules {
                 cores: self.accepts,
                 memory: self.accepts,
                 yes_when_running: false,
@@ -116,24 +116,24 @@
                 tells_pressure: self.tells_pressure,
                 recalls: true,
             },
-            ColdRule {
+            SlowStart {
                 warm_after: secs(10),
                 fall: secs(1),
                 young_limit: self.young_limit,
                 schedulers: self.schedulers,
                 number: self.number,
             },
-            Listing { asked: self.asked, ask_within: secs(10) },
-            Home { zone: ZoneId(0), cross_zone_price: 0.1, machine_price: self.machine_price },
+            Discovery { asked: self.asked, ask_within: secs(10) },
+            LocalityCosts { zone: ZoneId(0), cross_zone_price: 0.1, machine_price: self.machine_price },
         ));
     }
 
-    pub fn now(&self) -> Time {
-        Time::from_nanos(self.millis * 1_000_000)
+    pub fn now(&self) -> Timestamp {
+        Timestamp::from_nanos(self.millis * 1_000_000)
     }
 
     /// One round; gives back what was said in it.
-    pub fn tell<T>(&mut self, story: impl FnOnce(&mut Round<'_, Notebook>) -> T) -> Vec<Said> {
+    pub fn tell<T>(&mut self, story: impl FnOnce(&mut SchedulingRound<'_, Notebook>) -> T) -> Vec<Said> {
         let mut notebook = Notebook::default();
         let now = self.now();
         self.brain.as_mut().expect("is up").round(now, &mut notebook, story);
@@ -152,7 +152,7 @@
             key: TaskKey(id),
             use_case: UseCaseId(use_case),
             service: ServiceId(id),
-            ask: Room::new(ask, ask),
+            ask: Resources::new(ask, ask),
             deadline: self.now() + self.use_cases[use_case].client_timeout,
             again: false,
         }
@@ -182,7 +182,7 @@
         zone: ZoneId(0),
         mode: Mode::Active,
         since: None,
-        left: Some(Room::new(left, left)),
+        left: Some(Resources::new(left, left)),
     }
 }
 
--- a/tests/stories.rs
+++ b/tests/stories.rs
@@ -4,14 +4,14 @@
 
 use host::*;
 use mulleinhub::interface::*;
-use mulleinhub::{Span, Time};
+use mulleinhub::{Duration, Timestamp};
 
 // The ordinary path.
 
 #[test]
 fn the_least_asked_machine_gets_the_task_and_memory_weighs_more_than_cores() {
     let mut roomy = [machine(1, 0.0), machine(2, 0.0)];
-    (roomy[0].left, roomy[1].left) = (Some(Room::new(9.5, 1.0)), Some(Room::new(1.0, 9.5)));
+    (roomy[0].left, roomy[1].left) = (Some(Resources::new(9.5, 1.0)), Some(Resources::new(1.0, 9.5)));
     assert_eq!(Host::new().up(&roomy).ask(1, HIGH, 1.0), [Said::Send(1, 2)]);
     let mut host = Host::new().up(&[machine(1, 1.0), machine(2, 9.9), machine(3, 2.0)]);
     assert_eq!(host.ask(1, HIGH, 1.0), [Said::Send(1, 2)]);
@@ -124,7 +124,7 @@
     assert_eq!(host.tell(|r| r.machine_memory(TaskId(3), 1.2)), [Said::Move(4)], "2.5 too much: one goes");
     assert_eq!(host.after(100), [], "no more before the next report");
     assert_eq!(host.tell(|r| r.machine_memory(TaskId(3), 1.2)), [], "the first is not off yet");
-    host.ends(4, Ending::Broken(Loss::SentAway));
+    host.ends(4, Ending::Broken(FailureCause::SentAway));
     host.runs_on(5, HIGH, 1.0, 1);
     host.tell(|r| (r.uses(TaskId(5), Some(2.5), None), r.uses(TaskId(5), None, Some(2.5))));
     assert_eq!(host.tell(|r| r.machine_memory(TaskId(3), 1.2)), [Said::Move(2)]);
@@ -191,7 +191,7 @@
         assert!(host.now() < deadline);
         said = host.after(50);
     }
-    assert_eq!(said, [Said::Nack(1)]);
+    assert_eq!(said, [Said::Rejection(1)]);
     assert_eq!(host.after(50), []);
 }
 
@@ -204,7 +204,7 @@
     assert_eq!(host.after(60), [Said::Send(1, 1)]);
     host.ask(2, HIGH, 9.0);
     host.millis += 940;
-    assert_eq!(host.ends(1, Ending::TimedOut), [Said::Nack(1)], "no tick came in between");
+    assert_eq!(host.ends(1, Ending::TimedOut), [Said::Rejection(1)], "no tick came in between");
 }
 
 #[test]
@@ -213,7 +213,7 @@
     host.ask(1, HIGH, 1.0);
     assert!(sent_to(&host.ends(1, Ending::Errored)).is_some());
     assert!(sent_to(&host.ends(1, Ending::Errored)).is_some());
-    assert_eq!(host.ends(1, Ending::Errored), [Said::Nack(1)], "three sends are all that it has");
+    assert_eq!(host.ends(1, Ending::Errored), [Said::Rejection(1)], "three sends are all that it has");
 }
 
 #[test]
@@ -234,7 +234,7 @@
     (far.cell, far.zone) = (CellId(1), ZoneId(0));
     let mut host = host.up(&[machine(1, 9.5), far]);
     let said = host.tell(|r| {
-        let order = Order { deadline: Time::from_nanos(u64::MAX), ..order() };
+        let order = Order { deadline: Timestamp::from_nanos(u64::MAX), ..order() };
         r.new_task(order);
     });
     assert_eq!(sent_to(&said), Some(1));
@@ -249,7 +249,10 @@
 fn a_single_use_task_that_may_have_run_is_errored_and_one_that_did_not_goes_on() {
     assert_eq!(with_effect(Effect::SingleUse).ends(1, Ending::TimedOut), [Said::Error(1)]);
     assert_eq!(with_effect(Effect::SingleUse).ends(1, Ending::Errored), [Said::Error(1)]);
-    assert_eq!(with_effect(Effect::SingleUse).ends(1, Ending::Nacked(Nack::QueueFull)), [Said::Send(1, 2)]);
+    assert_eq!(
+        with_effect(Effect::SingleUse).ends(1, Ending::Nacked(Rejection::QueueFull)),
+        [Said::Send(1, 2)]
+    );
     assert_eq!(with_effect(Effect::SingleUse).ends(1, Ending::NoConnection), [Said::Send(1, 2)]);
 }
 
@@ -268,7 +271,7 @@
 
 #[test]
 fn after_the_window_a_referenced_task_is_nacked_only_where_all_machines_drop_repeats() {
-    for (group, answer) in [(Reach::Cell, Said::Error(1)), (Reach::All, Said::Nack(1))] {
+    for (group, answer) in [(Reach::Cell, Said::Error(1)), (Reach::All, Said::Rejection(1))] {
         let mut host = with_effect(Effect::Referenced { group, window: secs(5) });
         host.millis += 4_600;
         assert_eq!(host.ends(1, Ending::TimedOut), [answer], "a send now might arrive too late");
@@ -281,8 +284,8 @@
     host.millis += 1_000;
     assert_eq!(host.ends(1, Ending::TimedOut), [Said::Send(1, 2)]);
     host.millis += 3_700;
-    let said = host.ends(1, Ending::Nacked(Nack::QueueFull));
-    assert_eq!(said, [Said::Nack(1)], "the window runs from the first send that may have run");
+    let said = host.ends(1, Ending::Nacked(Rejection::QueueFull));
+    assert_eq!(said, [Said::Rejection(1)], "the window runs from the first send that may have run");
 }
 
 // Rule 3: drains.
@@ -411,7 +414,7 @@
     poor.tell(|r| (r.served(TaskId(1), 0.5), r.machine_memory(TaskId(1), 0.5)));
     assert!(!calm(&mut poor), "it serves poorly, whatever memory is left");
     let mut evicts = host();
-    evicts.tell(|r| r.closed(TaskId(2), Ending::Broken(Loss::Evicted), true, Report::default()));
+    evicts.tell(|r| r.closed(TaskId(2), Ending::Broken(FailureCause::Evicted), true, Report::default()));
     evicts.tell(|r| r.served(TaskId(1), 1.0));
     assert!(!calm(&mut evicts), "it has just evicted, however well it serves");
     evicts.tell(|r| r.machine_memory(TaskId(1), 0.5));
@@ -422,7 +425,7 @@
 fn a_nack_for_room_outlives_the_next_stale_view() {
     let mut host = Host::new().up(&[machine(1, 9.0), machine(2, 3.0)]);
     host.ask(1, HIGH, 2.0);
-    assert_eq!(host.ends(1, Ending::Nacked(Nack::NoMemory)), [Said::Send(1, 2)]);
+    assert_eq!(host.ends(1, Ending::Nacked(Rejection::NoMemory)), [Said::Send(1, 2)]);
     host.tell(|r| r.list(ListKind::Changes, &[machine(1, 9.0)]));
     assert_ne!(sent_to(&host.ask(2, HIGH, 2.0)), Some(1));
 }
@@ -490,8 +493,8 @@
     host.tell(|r| r.list(ListKind::Whole, &[]));
     assert_eq!(host.ask(3, LOW, 0.1), [], "the empty list leaves no machine");
     host.millis += 3_600_000;
-    assert!(host.after(0).contains(&Said::Nack(3)));
-    assert_eq!(secs(1) - secs(2), Span::ZERO);
+    assert!(host.after(0).contains(&Said::Rejection(3)));
+    assert_eq!(secs(1) - secs(2), Duration::ZERO);
 }
 
 #[test]
@@ -513,7 +516,7 @@
         let mut host = Host::new().up(&[machine(1, 8.0), machine(2, 8.9)]);
         host.runs_on(100, HIGH, 0.1, 1);
         if evicts {
-            host.ends(100, Ending::Broken(Loss::Evicted));
+            host.ends(100, Ending::Broken(FailureCause::Evicted));
         } else {
             host.tell(|r| (r.served(TaskId(100), 0.0), r.served(TaskId(100), 1.0)));
         }
@@ -549,7 +552,7 @@
             host.tell(|r| r.list(ListKind::Changes, &[cold]));
             for id in 0..20 {
                 sent += host.ask(id, LOW, 0.1).len();
-                host.ends(id, Ending::Nacked(Nack::NotHere));
+                host.ends(id, Ending::Nacked(Rejection::NotHere));
                 host.millis += 10;
             }
         }
@@ -565,7 +568,7 @@
     host.tell(|r| r.list(ListKind::Changes, &[cold]));
     for id in 1..=4 {
         assert_eq!(host.ask(id, HIGH, 1.0), [Said::Send(id, 1)], "it is dealt four of twelve");
-        host.ends(id, Ending::Nacked(Nack::NotHere));
+        host.ends(id, Ending::Nacked(Rejection::NotHere));
     }
     host.tell(|r| r.list(ListKind::Changes, &[drains]));
     host.tell(|r| r.list(ListKind::Changes, &[cold]));
@@ -589,7 +592,7 @@
 fn a_machine_with_a_full_queue_is_left_alone_for_a_while() {
     let mut host = Host::new().up(&[machine(1, 9.0), machine(2, 4.0)]);
     host.ask(1, LOW, 0.1);
-    assert_eq!(host.ends(1, Ending::Nacked(Nack::QueueFull)), [Said::Send(1, 2)]);
+    assert_eq!(host.ends(1, Ending::Nacked(Rejection::QueueFull)), [Said::Send(1, 2)]);
     host.millis += 500;
     assert_eq!(sent_to(&host.ask(2, LOW, 0.1)), Some(2));
     host.millis += 3_100;
@@ -598,7 +601,7 @@
 
 #[test]
 fn a_use_case_left_unanswered_or_turned_away_leaves_the_machine_and_the_other_stays() {
-    for ending in [Ending::Recalled, Ending::Errored, Ending::Nacked(Nack::Untold)] {
+    for ending in [Ending::Recalled, Ending::Errored, Ending::Nacked(Rejection::Untold)] {
         let mut host = Host::new().up(&[machine(1, 9.0), machine(2, 4.0)]);
         host.ask(1, LOW, 0.1);
         host.millis += 2_000;
@@ -627,7 +630,7 @@
 fn a_machine_that_was_lost_counts_as_cold_before_the_list_tells_of_its_start() {
     let mut host = Host::new().up(&[machine(1, 9.0)]);
     host.runs_on(100, HIGH, 0.1, 1);
-    host.ends(100, Ending::Broken(Loss::Untold));
+    host.ends(100, Ending::Broken(FailureCause::Untold));
     host.millis += 3_600;
     let sent: usize = (0..20).map(|id| host.ask(id, LOW, 0.1).len()).sum();
     assert_eq!(sent, 4, "a third of twelve");
@@ -662,10 +665,10 @@
 fn whoever_is_to_end_answers_by_then() {
     let mut host = Host::new().up(&[machine(1, 0.0)]);
     assert_eq!(host.ask(1, LOW, 0.1), []);
-    let by = host.now() + Span::from_nanos(2_000_000_000);
+    let by = host.now() + Duration::from_nanos(2_000_000_000);
     host.tell(|r| r.ends_by(by));
     assert_eq!(host.after(1_500), []);
-    assert_eq!(host.after(400), [Said::Nack(1)], "six seconds before its client timeout");
+    assert_eq!(host.after(400), [Said::Rejection(1)], "six seconds before its client timeout");
 }
 
 #[test]
