--- a/crates/baselines/src/lib.rs
+++ b/crates/baselines/src/lib.rs
@@ -32,7 +32,7 @@
 }
 
 struct Task {
-    order: Order,
+    order: TaskSpec,
     state: State,
     machine: Option<MachineId>,
     sent_at: Timestamp,
@@ -42,7 +42,7 @@
 }
 
 struct Machine {
-    entry: Entry,
+    entry: MachineEntry,
     left: Resources,
     cold_sends: Vec<Timestamp>,
 }
@@ -82,30 +82,30 @@
         ((self.chance >> 33) % below.max(1) as u64) as usize
     }
 
-    fn is_within(&self, reach: Reach, one: MachineId, other: MachineId) -> bool {
+    fn is_within(&self, reach: FailureDomain, one: MachineId, other: MachineId) -> bool {
         let (Some(a), Some(b)) = (self.machines.get(&one), self.machines.get(&other)) else {
             return one == other;
         };
         match reach {
-            Reach::Machine => one == other,
-            Reach::Cell => a.entry.cell == b.entry.cell,
-            Reach::Zone => a.entry.zone == b.entry.zone,
-            Reach::All => true,
+            FailureDomain::Machine => one == other,
+            FailureDomain::Cell => a.entry.cell == b.entry.cell,
+            FailureDomain::Zone => a.entry.zone == b.entry.zone,
+            FailureDomain::All => true,
         }
     }
 
     fn may_go(&self, now: Timestamp, task: &Task, to: MachineId, machine: &Machine) -> bool {
         let case = &self.use_cases[task.order.use_case.0];
-        let size = self.kinds.get(machine.entry.kind.0).copied().unwrap_or(Resources::NONE);
+        let size = self.kinds.get(machine.entry.kind.0).copied().unwrap_or(Resources::ZERO);
         let fits = (machine.left + self.taking.beyond(size)).fits(task.order.ask);
-        if machine.entry.mode != Mode::Active || !fits || task.last == Some(to) {
+        if machine.entry.mode != MachineState::Active || !fits || task.last == Some(to) {
             return false;
         }
         if case.kind.is_some_and(|kind| kind != machine.entry.kind) {
             return false;
         }
-        if let (Effect::Referenced { group, .. }, Some((_, first))) = (case.effect, task.may_run)
-            && !self.is_within(group, first, to)
+        if let (Idempotency::Keyed { domain, .. }, Some((_, first))) = (case.effect, task.may_run)
+            && !self.is_within(domain, first, to)
         {
             return false;
         }
@@ -152,13 +152,15 @@
         let case = &self.use_cases[task.order.use_case.0];
         let left = task.order.deadline - now;
         let barred = match (case.effect, task.may_run) {
-            (_, None) | (Effect::Replayable, _) => false,
-            (Effect::SingleUse, _) => true,
-            (Effect::Referenced { window, .. }, Some((first, _))) => now - first >= window * 0.9,
+            (_, None) | (Idempotency::Idempotent, _) => false,
+            (Idempotency::NonIdempotent, _) => true,
+            (Idempotency::Keyed { window, .. }, Some((first, _))) => now - first >= window * 0.9,
         };
         if barred || task.sends >= self.taking.max_sends || left <= case.client_timeout * GIVE_UP {
-            let anywhere =
-                matches!(case.effect, Effect::Replayable | Effect::Referenced { group: Reach::All, .. });
+            let anywhere = matches!(
+                case.effect,
+                Idempotency::Idempotent | Idempotency::Keyed { domain: FailureDomain::All, .. }
+            );
             if anywhere || task.may_run.is_none() {
                 out.nack(id, Duration::ZERO);
             } else {
@@ -195,14 +197,14 @@
         }
     }
 
-    fn new_task(&mut self, order: Order) {
+    fn new_task(&mut self, order: TaskSpec) {
         let state = State::Pending;
         let task =
             Task { order, state, machine: None, sent_at: self.now, sends: 0, may_run: None, last: None };
         self.b.tasks.insert(order.id, task);
     }
 
-    fn running(&mut self, order: Order, machine: MachineId) {
+    fn running(&mut self, order: TaskSpec, machine: MachineId) {
         let (state, machine) = (State::Placed, Some(machine));
         self.b.tasks.insert(
             order.id,
@@ -216,10 +218,10 @@
         }
     }
 
-    fn closed(&mut self, id: TaskId, ending: Ending, over: bool, _: Report) {
+    fn closed(&mut self, id: TaskId, ending: Outcome, over: bool, _: LoadReport) {
         let Some(task) = self.b.tasks.get_mut(&id) else { return };
         let Some(machine) = task.machine.take() else { return };
-        let never_ran = matches!(ending, Ending::Nacked(_) | Ending::NoConnection | Ending::NotSent);
+        let never_ran = matches!(ending, Outcome::Rejected(_) | Outcome::NoConnection | Outcome::NotSent);
         if !never_ran && task.may_run.is_none() {
             task.may_run = Some((task.sent_at, machine));
         }
@@ -255,12 +257,12 @@
         self.out.wake_at(1, self.now + Duration::from_secs(1));
     }
 
-    fn list(&mut self, kind: ListKind, entries: &[Entry]) {
-        if kind != ListKind::Changes {
-            self.b.machines.values_mut().for_each(|machine| machine.entry.mode = Mode::Left);
+    fn list(&mut self, kind: ListKind, entries: &[MachineEntry]) {
+        if kind != ListKind::Delta {
+            self.b.machines.values_mut().for_each(|machine| machine.entry.mode = MachineState::Removed);
         }
         for entry in entries {
-            let left = entry.left.unwrap_or(Resources::NONE);
+            let left = entry.left.unwrap_or(Resources::ZERO);
             let machine = self.b.machines.entry(entry.id).or_insert(Machine {
                 entry: *entry,
                 left,
@@ -280,7 +282,7 @@
     fn uses(&mut self, _: TaskId, _: Option<f64>, _: Option<f64>) {}
     fn served(&mut self, _: TaskId, _: f64) {}
     fn machine_memory(&mut self, _: TaskId, _: f64) {}
-    fn probed(&mut self, _: MachineId, _: Report) {}
+    fn probed(&mut self, _: MachineId, _: LoadReport) {}
 }
 
 impl Policy for Baseline {
--- a/crates/benchlink/src/batch.rs
+++ b/crates/benchlink/src/batch.rs
@@ -10,7 +10,7 @@
 
 /// The numbered lists of the process; a new one takes the place of the last of its number.
 #[derive(Default)]
-pub struct Rosters([Option<Rc<[Entry]>>; 16]);
+pub struct Rosters([Option<Rc<[MachineEntry]>>; 16]);
 
 /// The text of a batch, and where in it each scheduler's lines stand.
 #[derive(Default)]
@@ -24,7 +24,7 @@
     instance: u64,
     at: Range<usize>,
     /// The list that a `TARGETS` line named when it was read.
-    roster: Option<Rc<[Entry]>>,
+    roster: Option<Rc<[MachineEntry]>>,
 }
 
 impl Batch {
@@ -45,7 +45,7 @@
                 "OVER_TO_YOU" => break,
                 "REGISTER" => {
                     let (number, items) = (values.must::<usize>("rosterId")?, values.must::<usize>("items")?);
-                    let entries: Result<Rc<[Entry]>, Bad> = (0..items)
+                    let entries: Result<Rc<[MachineEntry]>, Bad> = (0..items)
                         .map(|_| {
                             let at = self.read_line(input)?.ok_or("the input ended inside a list")?;
                             entry(&mut Values::of(&self.text[at]))
@@ -105,9 +105,9 @@
         match v.name {
             "TARGETS" => {
                 let kind = match v.text("kind")? {
-                    "INCREMENTAL" => ListKind::Changes,
-                    "FULL" => ListKind::Whole,
-                    "SAVED" => ListKind::Saved,
+                    "INCREMENTAL" => ListKind::Delta,
+                    "FULL" => ListKind::Snapshot,
+                    "SAVED" => ListKind::Cached,
                     "FAILED" => {
                         round.list_failed();
                         return Ok(());
@@ -125,7 +125,7 @@
                 let service = ServiceId(v.hex("app")?);
                 let ask = Resources::new(v.amount("cpus")?, v.amount("mem")?);
                 let bits: u64 = v.maybe("stateBits")?.unwrap_or(0);
-                round.new_task(Order {
+                round.new_task(TaskSpec {
                     id,
                     key,
                     use_case: class,
@@ -148,7 +148,7 @@
                 let service = ServiceId(v.hex("app")?);
                 let key = TaskKey(v.hex("taskName")?);
                 let again = bits & 16 != 0;
-                round.running(Order { id, key, use_case: class, service, ask, deadline, again }, machine);
+                round.running(TaskSpec { id, key, use_case: class, service, ask, deadline, again }, machine);
             }
             "ACCEPTED" => round.accepted(TaskId(v.must("rid")?)),
             "NOTE" => {
@@ -190,33 +190,33 @@
     }
 }
 
-fn ending(reason: &str, detail: u64) -> Result<Ending, Bad> {
+fn ending(reason: &str, detail: u64) -> Result<Outcome, Bad> {
     Ok(match reason {
-        "Ok" => Ending::Ok,
-        "Failed" => Ending::Errored,
-        "QueueFull" => Ending::Nacked(match detail {
-            1 => Rejection::NoCores,
-            2 => Rejection::NoMemory,
+        "Ok" => Outcome::Ok,
+        "Failed" => Outcome::Failed,
+        "QueueFull" => Outcome::Rejected(match detail {
+            1 => Rejection::InsufficientCores,
+            2 => Rejection::InsufficientMemory,
             3 => Rejection::QueueFull,
             4 => Rejection::NotHere,
-            5..=7 => Rejection::HandedBack,
-            _ => Rejection::Untold,
+            5..=7 => Rejection::Returned,
+            _ => Rejection::Unspecified,
         }),
-        "TimedOut" => Ending::TimedOut,
-        "ConnectError" => Ending::NoConnection,
-        "ResetByPeer" => Ending::Broken(match detail {
+        "TimedOut" => Outcome::TimedOut,
+        "ConnectError" => Outcome::NoConnection,
+        "ResetByPeer" => Outcome::Lost(match detail {
             5 => FailureCause::Evicted,
-            6 => FailureCause::PushedOut,
+            6 => FailureCause::Preempted,
             7 => FailureCause::SentAway,
-            _ => FailureCause::Untold,
+            _ => FailureCause::Unspecified,
         }),
-        "Canceled" => Ending::Recalled,
-        "Ignored" => Ending::NotSent,
+        "Canceled" => Outcome::Cancelled,
+        "Ignored" => Outcome::NotSent,
         other => return Err(format!("CLOSED_ATTEMPT: unknown reason {other:?}")),
     })
 }
 
-fn entry(v: &mut Values<'_>) -> Result<Entry, Bad> {
+fn entry(v: &mut Values<'_>) -> Result<MachineEntry, Bad> {
     if v.name != "ROW" {
         return Err(format!("expected ROW, got {:?}", v.name));
     }
@@ -226,9 +226,9 @@
     let kind = KindId(v.must("hw")?);
     let since: Option<u64> = v.maybe("since")?;
     let mode = match v.text("mode")? {
-        "active" => Mode::Active,
-        "leaving" => Mode::Leaving,
-        "left" => Mode::Left,
+        "active" => MachineState::Active,
+        "leaving" => MachineState::Draining,
+        "left" => MachineState::Removed,
         other => return Err(format!("ROW: unknown mode {other:?}")),
     };
     let id = MachineId(v.must("node")?);
@@ -236,5 +236,5 @@
     let zone = ZoneId(v.must("site")?);
     let left = cores.zip(memory).map(|(cores, memory)| Resources::new(cores, memory));
     let since = since.filter(|since| *since > 0).map(Timestamp::from_nanos);
-    Ok(Entry { id, kind, cell, zone, mode, since, left })
+    Ok(MachineEntry { id, kind, cell, zone, mode, since, left })
 }
--- a/crates/benchlink/src/reporting.rs
+++ b/crates/benchlink/src/reporting.rs
@@ -17,8 +17,8 @@
         if number < self.use_cases { Ok(UseCaseId(number)) } else { Err(format!("no class {number}")) }
     }
 
-    pub fn read(&self, row: &str) -> Result<Report, Bad> {
-        let mut report = Report::default();
+    pub fn read(&self, row: &str) -> Result<LoadReport, Bad> {
+        let mut report = LoadReport::default();
         if row == "-" {
             return Ok(report);
         }
--- a/crates/day/src/script.rs
+++ b/crates/day/src/script.rs
@@ -3,7 +3,7 @@
 use crate::stage::{MOST_MACHINES, MOST_PLANNERS};
 use crate::trouble::Trouble;
 use garde::Validate;
-use mulleinhub_interface::Effect;
+use mulleinhub_interface::Idempotency;
 use mulleinhub_interface::{Duration, Timestamp};
 use mulleinhub_settings::{Args, Directive, Faults, Place, Range, Scope, Value};
 use mulleinhub_standins::{Planned, UseBook, Worth};
@@ -420,9 +420,11 @@
     /// The widest group in which one copy of a task stands: machines of different racks must know of each
     /// other where it is wider than a rack.
     pub(crate) fn groups_are_wide(&self) -> bool {
-        use mulleinhub_interface::Reach;
+        use mulleinhub_interface::FailureDomain;
         let wide = |case: &CaseDay| match case.case.effect {
-            Effect::Referenced { group, .. } => matches!(group, Reach::Zone | Reach::All),
+            Idempotency::Keyed { domain: group, .. } => {
+                matches!(group, FailureDomain::Zone | FailureDomain::All)
+            }
             _ => false,
         };
         self.cases.iter().any(wide)
@@ -459,9 +461,9 @@
         }
         for case in &self.cases {
             let effect = match case.case.effect {
-                Effect::Replayable => "may run again".to_owned(),
-                Effect::SingleUse => "must never run twice".to_owned(),
-                Effect::Referenced { window, .. } => {
+                Idempotency::Idempotent => "may run again".to_owned(),
+                Idempotency::NonIdempotent => "must never run twice".to_owned(),
+                Idempotency::Keyed { window, .. } => {
                     format!(
                         "one copy stands in its group, and it may be sent there again for {}",
                         span(window)
--- a/crates/day/src/stage.rs
+++ b/crates/day/src/stage.rs
@@ -5,8 +5,8 @@
 use crate::trouble::{Far, Store, Struck, Target, Trouble, What};
 use mulleinhub_capture::{self as capture, Deed, Record, Recorder, Side};
 use mulleinhub_interface::{Duration, Timestamp};
-use mulleinhub_interface::{Effect, Reach, Resources};
-use mulleinhub_seam::{Ask, Connections, End, Link, ListenerId, StateMachine};
+use mulleinhub_interface::{FailureDomain, Idempotency, Resources};
+use mulleinhub_seam::{CloseReason, Command, ConnectionId, Connections, ListenerId, StateMachine};
 use mulleinhub_settings::Range;
 use mulleinhub_standins::{
     CaseModel, Crowd, CrowdSettings, CrowdTally, Dice, Drain, Fact, ListPlight, ListService, ListSettings,
@@ -172,7 +172,7 @@
     owner_nodes: Vec<usize>,
     pipes: BTreeMap<u32, Pipe>,
     next_pipe: u32,
-    by_end: BTreeMap<(At, Link), (u32, usize)>,
+    by_end: BTreeMap<(At, ConnectionId), (u32, usize)>,
     /// The next parcel of each way that may be handed on.
     due: BTreeSet<(Timestamp, u32, usize)>,
     touched: BTreeSet<usize>,
@@ -194,12 +194,12 @@
     now: Timestamp,
 }
 
-fn to_reach(reach: Reach) -> capture::Reach {
+fn to_reach(reach: FailureDomain) -> capture::Reach {
     match reach {
-        Reach::Machine => capture::Reach::Machine,
-        Reach::Cell => capture::Reach::Cell,
-        Reach::Zone => capture::Reach::Zone,
-        Reach::All => capture::Reach::All,
+        FailureDomain::Machine => capture::Reach::Machine,
+        FailureDomain::Cell => capture::Reach::Cell,
+        FailureDomain::Zone => capture::Reach::Zone,
+        FailureDomain::All => capture::Reach::All,
     }
 }
 
@@ -266,7 +266,7 @@
                 priority: case.case.priority,
                 work: self.dice.span(case.work.low, case.work.high),
                 one_copy_in: match case.case.effect {
-                    Effect::Referenced { group, .. } => Some(group),
+                    Idempotency::Keyed { domain: group, .. } => Some(group),
                     _ => None,
                 },
                 full_up_to: case.case.full_up_to,
@@ -315,7 +315,7 @@
                 share: case.share,
                 soft_limit: case.case.soft_limit,
                 client_timeout: case.case.client_timeout,
-                harms: case.case.effect != Effect::Replayable,
+                harms: case.case.effect != Idempotency::Idempotent,
                 asks: case.asks.clone(),
                 lives: (case.lives.low, case.lives.high),
                 batch: (case.batch.low, case.batch.high),
@@ -415,9 +415,15 @@
             .iter()
             .map(|CaseDay { case, work, .. }| {
                 let (effect, group, window) = match case.effect {
-                    Effect::Replayable => (capture::Effect::Replayable, Reach::All, Duration::ZERO),
-                    Effect::SingleUse => (capture::Effect::SingleUse, Reach::All, Duration::ZERO),
-                    Effect::Referenced { group, window } => (capture::Effect::Referenced, group, window),
+                    Idempotency::Idempotent => {
+                        (capture::Effect::Replayable, FailureDomain::All, Duration::ZERO)
+                    }
+                    Idempotency::NonIdempotent => {
+                        (capture::Effect::SingleUse, FailureDomain::All, Duration::ZERO)
+                    }
+                    Idempotency::Keyed { domain: group, window } => {
+                        (capture::Effect::Referenced, group, window)
+                    }
                 };
                 capture::CaseTerms {
                     name: case.name.clone(),
@@ -1116,11 +1122,11 @@
                 self.hand_bytes(now, at, link, &bytes[..bytes.len() / 2]);
             }
             self.by_end.remove(&(at, link));
-            self.hand_end(now, at, link, End::Broken);
+            self.hand_end(now, at, link, CloseReason::Broken);
         }
     }
 
-    fn hand_bytes(&mut self, now: Timestamp, at: At, link: Link, bytes: &[u8]) {
+    fn hand_bytes(&mut self, now: Timestamp, at: At, link: ConnectionId, bytes: &[u8]) {
         match at {
             At::Node(node) => {
                 self.nodes[node].party().received(now, link, bytes);
@@ -1130,13 +1136,13 @@
         }
     }
 
-    fn hand_end(&mut self, now: Timestamp, at: At, link: Link, end: End) {
+    fn hand_end(&mut self, now: Timestamp, at: At, link: ConnectionId, end: CloseReason) {
         match at {
             At::Node(node) => {
                 self.nodes[node].party().ended(now, link, end);
                 self.touched.insert(node);
             }
-            At::Outside if end == End::Broken => {
+            At::Outside if end == CloseReason::Broken => {
                 self.outside.abort(link);
             }
             At::Outside => self.outside.end(link),
@@ -1154,7 +1160,7 @@
     fn new_pipe(
         &mut self,
         now: Timestamp,
-        opener: (At, Link),
+        opener: (At, ConnectionId),
         opener_name: String,
         opened_name: String,
         to: To,
@@ -1216,17 +1222,17 @@
     }
 
     /// The party of this side is done with the connection.
-    fn leave(&mut self, now: Timestamp, id: u32, side: usize, end: End) {
+    fn leave(&mut self, now: Timestamp, id: u32, side: usize, end: CloseReason) {
         let delay = self.delay(id);
         let Some(pipe) = self.pipes.get_mut(&id) else { return };
         if let Some(end) = pipe.ends[side].take() {
             self.by_end.remove(&end);
         }
         let how = match end {
-            End::Refused => "refused",
-            End::Untried => "untried",
-            End::Closed => "closed",
-            End::Broken => "broken",
+            CloseReason::Refused => "refused",
+            CloseReason::Untried => "untried",
+            CloseReason::Closed => "closed",
+            CloseReason::Broken => "broken",
         };
         self.recorder.record(now, Record::Ended { link: id, how });
         if pipe.ends[1 - side].is_none() && pipe.ways[side].due().is_none() {
@@ -1341,7 +1347,7 @@
     fn refuse(&mut self, now: Timestamp, id: u32) {
         let delay = self.delay(id);
         self.recorder.record(now, Record::Ended { link: id, how: "refused" });
-        self.put(now, id, 1, now + delay, Parcel::End(End::Refused));
+        self.put(now, id, 1, now + delay, Parcel::End(CloseReason::Refused));
     }
 
     /// Carries out what the nodes that were touched ask for.
@@ -1375,21 +1381,26 @@
             }
             let Some(ask) = links.next_ask() else { break };
             match ask {
-                Ask::Open(link, address) => {
+                Command::Open(link, address) => {
                     let planner =
                         address.rsplit('-').next().and_then(|n| n.parse::<usize>().ok()).unwrap_or(1);
                     let name = self.names[node].clone();
                     let to = To::Outside(address.clone());
                     self.new_pipe(now, (At::Node(node), link), name, address, to, planner - 1, None);
                 }
-                Ask::End { link, at_once } => {
+                Command::End { link, at_once } => {
                     if let Some((id, side)) = self.by_end.get(&(At::Node(node), link)).copied() {
                         if !at_once {
                             let bytes = self.nodes[node].party().links().outgoing(link).to_vec();
                             self.enter(now, id, side, &bytes);
                         }
                         self.nodes[node].party().links().drop_link(link);
-                        self.leave(now, id, side, if at_once { End::Broken } else { End::Closed });
+                        self.leave(
+                            now,
+                            id,
+                            side,
+                            if at_once { CloseReason::Broken } else { CloseReason::Closed },
+                        );
                     }
                 }
             }
@@ -1446,7 +1457,7 @@
 }
 
 impl<W: Write> StateMachine for Stage<W> {
-    fn opened(&mut self, now: Timestamp, link: Link, door: ListenerId) {
+    fn opened(&mut self, now: Timestamp, link: ConnectionId, door: ListenerId) {
         let now = now.max(self.now);
         let (planner, n) = ((door.0 / DOORS) as usize, door.0 % DOORS);
         if (BOOKS_DOORS..LIST_DOOR).contains(&n) {
@@ -1464,7 +1475,7 @@
         self.new_pipe(now, (At::Outside, link), format!("planner-{}", planner + 1), name, to, planner, None);
     }
 
-    fn up(&mut self, now: Timestamp, link: Link) {
+    fn up(&mut self, now: Timestamp, link: ConnectionId) {
         let now = now.max(self.now);
         if let Some((id, side)) = self.by_end.get(&(At::Outside, link)).copied() {
             let delay = self.delay(id);
@@ -1472,7 +1483,7 @@
         }
     }
 
-    fn received(&mut self, now: Timestamp, link: Link, bytes: &[u8]) {
+    fn received(&mut self, now: Timestamp, link: ConnectionId, bytes: &[u8]) {
         let now = now.max(self.now);
         if let Some((id, side)) = self.by_end.get(&(At::Outside, link)).copied() {
             self.enter(now, id, side, bytes);
@@ -1480,7 +1491,7 @@
         }
     }
 
-    fn ended(&mut self, now: Timestamp, link: Link, end: End) {
+    fn ended(&mut self, now: Timestamp, link: ConnectionId, end: CloseReason) {
         let now = now.max(self.now);
         self.outside.forget(link);
         if let Some((id, side)) = self.by_end.get(&(At::Outside, link)).copied() {
--- a/crates/day/src/tap.rs
+++ b/crates/day/src/tap.rs
@@ -5,7 +5,7 @@
 
 use mulleinhub_interface::{Duration, Timestamp};
 use mulleinhub_protocol::Frames;
-use mulleinhub_seam::{End, Link};
+use mulleinhub_seam::{CloseReason, ConnectionId};
 use std::collections::VecDeque;
 
 /// So many bytes a way takes in before the sender has to wait, as a socket's buffers would.
@@ -24,7 +24,7 @@
     Open,
     Up,
     Bytes { bytes: Vec<u8>, number: Option<u32> },
-    End(End),
+    End(CloseReason),
 }
 
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
@@ -94,7 +94,7 @@
     }
 
     /// The sender is gone.
-    pub fn end(&mut self, now: Timestamp, delay: Duration, end: End) {
+    pub fn end(&mut self, now: Timestamp, delay: Duration, end: CloseReason) {
         self.put(now + delay, Parcel::End(end));
     }
 
@@ -127,7 +127,7 @@
 /// One connection, from its opener (side 0) to whom it was opened (side 1).
 #[derive(Debug)]
 pub struct Pipe {
-    pub ends: [Option<(At, Link)>; 2],
+    pub ends: [Option<(At, ConnectionId)>; 2],
     pub ways: [Way; 2],
     pub weather: Weather,
     /// Which side is the planner's, and where the pipe leads: for troubles.
--- a/crates/engine/examples/idle.rs
+++ b/crates/engine/examples/idle.rs
@@ -9,7 +9,7 @@
 use mulleinhub_engine::{Engine, Settings};
 use mulleinhub_interface::*;
 use mulleinhub_protocol::{self as protocol, Conversation, Message, Shape};
-use mulleinhub_seam::{Ask, End, Link, ListenerId, StateMachine};
+use mulleinhub_seam::{CloseReason, Command, ConnectionId, ListenerId, StateMachine};
 use stats_alloc::{INSTRUMENTED_SYSTEM, Region, StatsAlloc};
 use std::alloc::System;
 use std::time::{Duration as StdDuration, Instant};
@@ -24,7 +24,7 @@
         use_cases: vec![UseCase {
             soft_limit: Duration::from_secs(1),
             client_timeout: Duration::from_secs(3600),
-            effect: Effect::Replayable,
+            effect: Idempotency::Idempotent,
             earnings: 1.0,
             priority: 0,
             kind: None,
@@ -73,7 +73,7 @@
     bytes: Vec<u8>,
     /// Links that were written a `welcome` or a `ping` in the last turn.
     welcomed: usize,
-    asked: Vec<Link>,
+    asked: Vec<ConnectionId>,
     cpu: StdDuration,
     turns: u64,
     longest: StdDuration,
@@ -85,7 +85,7 @@
 }
 
 impl Bench {
-    fn tell(&mut self, link: Link, message: &Message<'_>) {
+    fn tell(&mut self, link: ConnectionId, message: &Message<'_>) {
         self.bytes.clear();
         protocol::encode(message, &mut self.bytes);
         let began = Instant::now();
@@ -112,14 +112,14 @@
             self.engine.links().wrote(link, len);
         }
         while let Some(ask) = self.engine.links().next_ask() {
-            if let Ask::End { link, .. } = ask {
+            if let Command::End { link, .. } = ask {
                 self.engine.links().drop_link(link);
                 self.ended += 1;
             }
         }
     }
 
-    fn open(&mut self, all: usize) -> Vec<Link> {
+    fn open(&mut self, all: usize) -> Vec<ConnectionId> {
         let mut links = Vec::with_capacity(all);
         while links.len() < all {
             let room = self.engine.takes(ListenerId(0)).min(all - links.len());
@@ -143,7 +143,7 @@
     }
 
     /// A steady client asks; how long until its task is taken, with turns of so many at most.
-    fn ask(&mut self, client: Link, task: u64, turns: u32) -> StdDuration {
+    fn ask(&mut self, client: ConnectionId, task: u64, turns: u32) -> StdDuration {
         let shape = Shape { key: task, use_case: 0, service: 1, cores: 1.0, memory: 1.0, again: false };
         let before = self.engine.counts().taken;
         let began = Instant::now();
@@ -179,7 +179,9 @@
         ended: 0,
     };
     bench.engine.turn(now);
-    let Some(Ask::Open(list, _)) = bench.engine.links().next_ask() else { panic!("the list is asked for") };
+    let Some(Command::Open(list, _)) = bench.engine.links().next_ask() else {
+        panic!("the list is asked for")
+    };
     bench.engine.up(now, list);
     bench.tell(list, &Message::Welcome { version: 1, features: 0, name: "list", life: 1, silence: None });
     bench.tell(list, &Message::List { kind: protocol::ListKind::Whole, version: 1, entries: vec![] });
@@ -195,7 +197,7 @@
         change.bytes_allocated as i64 - change.bytes_deallocated as i64 + change.bytes_reallocated as i64
     };
     // What this bench itself keeps for each.
-    let own = (links.capacity() * size_of::<Link>()) as i64;
+    let own = (links.capacity() * size_of::<ConnectionId>()) as i64;
     println!("{all} connections, each of a name of its own");
     println!("opened and greeted: {:.0} a second", all as f64 / opened.as_secs_f64());
     println!("bytes a connection: {:.0}", (held(&region) - own) as f64 / all as f64);
@@ -265,7 +267,7 @@
     let began = Instant::now();
     (bench.turns, bench.longest) = (0, StdDuration::ZERO);
     for link in &links {
-        bench.engine.ended(bench.now, *link, End::Closed);
+        bench.engine.ended(bench.now, *link, CloseReason::Closed);
     }
     bench.turn();
     while bench.engine.wake().is_some_and(|at| at <= bench.now) {
--- a/crates/engine/examples/ordinary_path.rs
+++ b/crates/engine/examples/ordinary_path.rs
@@ -7,7 +7,7 @@
 use mulleinhub_engine::{Engine, Settings};
 use mulleinhub_interface::*;
 use mulleinhub_protocol::{self as protocol, Conversation, Ending, Message, Mode, Reason, Shape};
-use mulleinhub_seam::{Ask, Link, ListenerId, StateMachine};
+use mulleinhub_seam::{Command, ConnectionId, ListenerId, StateMachine};
 use stats_alloc::{INSTRUMENTED_SYSTEM, Region, StatsAlloc};
 use std::alloc::System;
 use std::collections::VecDeque;
@@ -26,7 +26,7 @@
         use_cases: vec![UseCase {
             soft_limit: Duration::from_secs(1),
             client_timeout: Duration::from_secs(8),
-            effect: Effect::Replayable,
+            effect: Idempotency::Idempotent,
             earnings: 1.0,
             priority: 0,
             kind: None,
@@ -67,15 +67,15 @@
 struct Bench {
     engine: Engine,
     now: Timestamp,
-    machines: Vec<Link>,
-    client: Link,
+    machines: Vec<ConnectionId>,
+    client: ConnectionId,
     bytes: Vec<u8>,
     /// Offers written: the machine's place and the task.
     offers: VecDeque<(usize, u64)>,
 }
 
 impl Bench {
-    fn tell(&mut self, link: Link, message: &Message<'_>) {
+    fn tell(&mut self, link: ConnectionId, message: &Message<'_>) {
         self.bytes.clear();
         protocol::encode(message, &mut self.bytes);
         self.engine.received(self.now, link, &self.bytes);
@@ -103,7 +103,7 @@
         let mut engine = Engine::new(settings(), 1, None);
         let now = Timestamp::from_nanos(1_000_000_000);
         engine.turn(now);
-        let Some(Ask::Open(list, _)) = engine.links().next_ask() else { panic!("the list is asked for") };
+        let Some(Command::Open(list, _)) = engine.links().next_ask() else { panic!("the list is asked for") };
         let client = engine.links().fresh();
         engine.opened(now, client, ListenerId(0));
         let (bytes, offers, machines) = (Vec::new(), VecDeque::new(), Vec::new());
@@ -129,7 +129,7 @@
         bench.engine.received(now, list, &frames);
         bench.turn();
         while let Some(ask) = bench.engine.links().next_ask() {
-            if let Ask::Open(link, _) = ask {
+            if let Command::Open(link, _) = ask {
                 bench.machines.push(link);
             }
         }
--- a/crates/engine/src/desk.rs
+++ b/crates/engine/src/desk.rs
@@ -5,13 +5,13 @@
 use hdrhistogram::Histogram;
 use mulleinhub::{Pcg, mix};
 use mulleinhub_interface::{
-    Dispatch, Effect, Ending, MachineId, Order, Quota, Reach as Group, TaskId, Ticket,
+    Dispatch, FailureDomain as Group, Idempotency, MachineId, Outcome, Quota, TaskId, TaskSpec, Ticket,
 };
 use mulleinhub_interface::{Duration, Timestamp};
 use mulleinhub_limits::{Act, Admission, Limits, Why};
 use mulleinhub_pacing::{HEARTBEAT, PAUSE_THRESHOLD, PauseDetector, again};
 use mulleinhub_protocol::{self as protocol, Conversation, Frames, ListReader, Message, Mode, Shape, Spare};
-use mulleinhub_seam::{Connections, End, Link, Timers, Unsent};
+use mulleinhub_seam::{CloseReason, ConnectionId, Connections, Timers, Unsent};
 use std::cell::RefCell;
 use std::collections::{BTreeMap, VecDeque};
 use std::sync::Arc;
@@ -65,7 +65,7 @@
     pub ahead: Option<i64>,
     /// That frame was not read after a standstill of ours.
     pub ahead_is_sure: bool,
-    pub end: Option<End>,
+    pub end: Option<CloseReason>,
     pub queued: bool,
     /// When the first of what waits to be heard was read, and after how many turns.
     pub since: (Timestamp, u64),
@@ -79,7 +79,7 @@
     pub number: u32,
     pub machine: MachineId,
     /// The connection that carried the offer, and its mark there. None while it waits for one.
-    pub link: Option<Link>,
+    pub link: Option<ConnectionId>,
     pub mark: u64,
     /// When the module decided on it, and when the wait for an answer ends.
     pub decided: Timestamp,
@@ -93,10 +93,10 @@
 /// A task in hand.
 #[derive(Debug)]
 pub struct Job {
-    pub order: Order,
+    pub order: TaskSpec,
     pub shape: Shape,
     pub owner: String,
-    pub owner_link: Option<Link>,
+    pub owner_link: Option<ConnectionId>,
     pub came: Timestamp,
     pub sends: u32,
     pub open: Option<Open>,
@@ -165,7 +165,7 @@
     Reconnect(MachineId),
     Lost(MachineId),
     /// For this connection alone: another one has its own.
-    Ping(MachineId, Link),
+    Ping(MachineId, ConnectionId),
     List,
     Start,
     Forget,
@@ -178,14 +178,14 @@
     pub life: u64,
     pub now: Timestamp,
     pub links: Connections,
-    pub peers: BTreeMap<Link, Box<Peer>>,
-    arrivals: VecDeque<Link>,
+    pub peers: BTreeMap<ConnectionId, Box<Peer>>,
+    arrivals: VecDeque<ConnectionId>,
     /// Connections of which more came than is heard in a turn: they stand in line from the next one on.
-    rest: Vec<Link>,
+    rest: Vec<ConnectionId>,
     /// Buffers of connections on which nothing comes in now.
     pub spare: Spare,
     pub machines: BTreeMap<MachineId, Spot>,
-    pub list_link: Option<Link>,
+    pub list_link: Option<ConnectionId>,
     /// Tries and connections that ended since it last told anything.
     pub list_failures: u32,
     pub list_version: u64,
@@ -201,14 +201,14 @@
     /// When to forget answers and closed sends, oldest first.
     pub to_forget: VecDeque<(Timestamp, TaskId, Option<u32>)>,
     /// Ends that this side made, to be told at the next chance.
-    pub closings: VecDeque<(TaskId, u32, Ending)>,
+    pub closings: VecDeque<(TaskId, u32, Outcome)>,
     pub timers: Timers<Due>,
     marks: BTreeMap<u64, (TaskId, u32)>,
     next_mark: u64,
     /// The newest connection of each client, by its name.
-    pub clients: BTreeMap<Arc<str>, Link>,
+    pub clients: BTreeMap<Arc<str>, ConnectionId>,
     /// Connections to be ended after the round, and why.
-    stuck: Vec<(Link, &'static str)>,
+    stuck: Vec<(ConnectionId, &'static str)>,
     pub limits: Limits,
     /// Knows how many final answers are owed, and to which services.
     pub admission: Admission,
@@ -291,7 +291,7 @@
 
     // What whoever feeds the planner tells.
 
-    fn add_peer(&mut self, link: Link, who: Who) {
+    fn add_peer(&mut self, link: ConnectionId, who: Who) {
         self.peers.insert(
             link,
             Box::new(Peer {
@@ -312,7 +312,7 @@
     /// beyond the quickest one of this connection. It was met when planners stood still or links stalled: an
     /// ask that had lain for seconds was given its whole patience anew, and answered after its client
     /// timeout.
-    pub fn lain(&mut self, link: Link, clock: u64) -> Duration {
+    pub fn lain(&mut self, link: ConnectionId, clock: u64) -> Duration {
         let ahead = (self.now.nanos() as i64).saturating_sub(i64::try_from(clock).unwrap_or(i64::MAX));
         let Some(peer) = self.peers.get_mut(&link) else { return Duration::ZERO };
         let lay = self.stood.lay(self.now, peer.since);
@@ -335,19 +335,19 @@
         })
     }
 
-    pub fn client_came(&mut self, now: Timestamp, link: Link) {
+    pub fn client_came(&mut self, now: Timestamp, link: ConnectionId) {
         self.now = self.now.max(now);
         self.add_peer(link, Who::Stranger);
         match self.limits.opened(self.now, link.0) {
             Ok(None) => {}
-            Ok(Some(idle)) => self.let_go(Link(idle), Why::MadeRoom.words()),
+            Ok(Some(idle)) => self.let_go(ConnectionId(idle), Why::MadeRoom.words()),
             Err(why) => self.let_go(link, why.words()),
         }
     }
 
     /// A client's connection is ended, with the reason in a frame before. What came on it and was not heard
     /// is never taken: there is no `Taken` for it.
-    pub fn let_go(&mut self, link: Link, words: &str) {
+    pub fn let_go(&mut self, link: ConnectionId, words: &str) {
         self.write(link, &Message::Bye { words });
         self.client_gone(link);
         self.peers.remove(&link);
@@ -356,7 +356,7 @@
 
     /// Its tasks stay in hand; their ends wait for it to come back. They still name its link, which nobody
     /// has again: `tell_owner` sees that it is over.
-    pub fn client_gone(&mut self, link: Link) {
+    pub fn client_gone(&mut self, link: ConnectionId) {
         self.limits.forget(link.0);
         if let Some(Who::Client(name)) = self.peers.get(&link).map(|peer| &peer.who)
             && self.clients.get(name) == Some(&link)
@@ -366,7 +366,7 @@
     }
 
     /// A task in hand is this connection's now, or no longer.
-    pub fn hand(&mut self, link: Option<Link>, more: bool) {
+    pub fn hand(&mut self, link: Option<ConnectionId>, more: bool) {
         let Some(link) = link else { return };
         let Some(peer) = self.peers.get_mut(&link) else { return };
         peer.in_hand = if more { peer.in_hand + 1 } else { peer.in_hand.saturating_sub(1) };
@@ -380,13 +380,13 @@
         let mut budget = 16;
         while let Some((conn, act)) = self.limits.due(self.now, &mut budget) {
             match act {
-                Act::AskForSign => self.write(Link(conn), &Message::Ping { nonce: conn }),
-                Act::End(why) => self.let_go(Link(conn), why.words()),
+                Act::AskForSign => self.write(ConnectionId(conn), &Message::Ping { nonce: conn }),
+                Act::End(why) => self.let_go(ConnectionId(conn), why.words()),
             }
         }
     }
 
-    pub fn is_up(&mut self, now: Timestamp, link: Link) {
+    pub fn is_up(&mut self, now: Timestamp, link: ConnectionId) {
         self.now = now;
         let conversation = match self.peers.get(&link).map(|peer| &peer.who) {
             Some(Who::Machine(_)) => Conversation::PlannerMachine,
@@ -404,7 +404,7 @@
         }
     }
 
-    pub fn came_in(&mut self, now: Timestamp, link: Link, bytes: &[u8]) {
+    pub fn came_in(&mut self, now: Timestamp, link: ConnectionId, bytes: &[u8]) {
         let Some(peer) = self.peers.get_mut(&link) else { return };
         peer.frames.take_with(bytes, &mut self.spare);
         if !peer.queued {
@@ -427,14 +427,14 @@
         self.queue(link);
     }
 
-    pub fn has_ended(&mut self, link: Link, end: End) {
+    pub fn has_ended(&mut self, link: ConnectionId, end: CloseReason) {
         if let Some(peer) = self.peers.get_mut(&link) {
             peer.end = Some(end);
             self.queue(link);
         }
     }
 
-    fn queue(&mut self, link: Link) {
+    fn queue(&mut self, link: ConnectionId) {
         let Some(peer) = self.peers.get_mut(&link) else { return };
         if std::mem::replace(&mut peer.queued, true) {
             return;
@@ -457,7 +457,7 @@
     }
 
     /// More of it was here than is heard in one turn.
-    pub fn hear_rest_later(&mut self, link: Link) {
+    pub fn hear_rest_later(&mut self, link: ConnectionId) {
         let Some(peer) = self.peers.get_mut(&link) else { return };
         if !std::mem::replace(&mut peer.queued, true) {
             self.rest.push(link);
@@ -468,7 +468,7 @@
     pub fn pinched(&mut self, now: Timestamp) {
         self.now = self.now.max(now);
         for conn in self.limits.pinched(self.now) {
-            self.let_go(Link(conn), Why::MadeRoom.words());
+            self.let_go(ConnectionId(conn), Why::MadeRoom.words());
         }
     }
 
@@ -482,11 +482,11 @@
     }
 
     /// The next connection that something came in on. Clients wait until machines told what they hold.
-    pub fn next_arrival(&mut self) -> Option<Link> {
+    pub fn next_arrival(&mut self) -> Option<ConnectionId> {
         let link = match self.arrivals.pop_front() {
             Some(link) => link,
             // Those that were silent before are heard after all others, so many in one turn.
-            None if self.hears_clients => Link(self.limits.next_heard()?),
+            None if self.hears_clients => ConnectionId(self.limits.next_heard()?),
             None => return None,
         };
         if let Some(peer) = self.peers.get_mut(&link) {
@@ -537,7 +537,7 @@
     }
 
     /// Machines, the list and clients that spoke all along are read before others, where many have bytes.
-    pub fn is_prompt(&self, link: Link) -> bool {
+    pub fn is_prompt(&self, link: ConnectionId) -> bool {
         match self.peers.get(&link).map(|peer| &peer.who) {
             None | Some(Who::Stranger) => false,
             Some(Who::Machine(_) | Who::List) => true,
@@ -559,7 +559,7 @@
     }
 
     /// Ends a connection from this side; what follows is as if it had broken.
-    pub fn end_of_ours(&mut self, link: Link) {
+    pub fn end_of_ours(&mut self, link: ConnectionId) {
         match self.peers.get(&link).map(|peer| &peer.who) {
             None => {}
             // What it sent and was not heard was never taken.
@@ -569,17 +569,17 @@
                 self.links.abort(link);
             }
             // What is unwritten must be known before it is dropped.
-            Some(Who::Machine(_) | Who::List) => self.has_ended(link, End::Broken),
+            Some(Who::Machine(_) | Who::List) => self.has_ended(link, CloseReason::Broken),
         }
     }
 
     // Writing.
 
-    pub fn write(&mut self, link: Link, message: &Message<'_>) {
+    pub fn write(&mut self, link: ConnectionId, message: &Message<'_>) {
         self.write_marked(link, message, None);
     }
 
-    fn write_marked(&mut self, link: Link, message: &Message<'_>, mark: Option<u64>) {
+    fn write_marked(&mut self, link: ConnectionId, message: &Message<'_>, mark: Option<u64>) {
         self.scratch.clear();
         if let Err(too_long) = protocol::try_encode(message, &mut self.scratch) {
             tracing::error!(link = link.0, %too_long, "a message is not sent");
@@ -616,7 +616,7 @@
     }
 
     /// Tells the owner of a task: on the connection that asked last, else on the owner's newest.
-    pub fn tell_owner(&mut self, link: Option<Link>, owner: &str, message: &Message<'_>) {
+    pub fn tell_owner(&mut self, link: Option<ConnectionId>, owner: &str, message: &Message<'_>) {
         let link = link.filter(|link| self.peers.contains_key(link));
         let link = link.or_else(|| self.clients.get(owner).copied());
         if let Some(link) = link {
@@ -625,7 +625,7 @@
     }
 
     /// Writes the offer of an open send on the machine's connection.
-    pub fn write_offer(&mut self, id: TaskId, link: Link) {
+    pub fn write_offer(&mut self, id: TaskId, link: ConnectionId) {
         let now = self.now;
         self.next_mark += 1;
         let mark = self.next_mark;
@@ -661,7 +661,7 @@
             let is_it = |open: &Open| (open.machine, open.number, open.link) == (machine, send, None);
             let Some(open) = job.open.filter(is_it) else { continue };
             if self.is_past_window(job) || self.machines[&machine].gate.is_stale(now, fall, open.decided) {
-                self.closings.push_back((id, send, Ending::NotSent));
+                self.closings.push_back((id, send, Outcome::NotSent));
             } else if shut.is_some() || open.due <= now {
                 // Its time-out is about to take it back. Met after a standstill: it went out in an early
                 // turn, with no time left, and may have run.
@@ -694,8 +694,8 @@
     /// until then.
     fn is_past_window(&self, job: &Job) -> bool {
         match self.settings.use_cases[job.order.use_case.0].effect {
-            Effect::Referenced { window, .. } => job.may_have_run.is_some_and(|at| self.now - at > window),
-            Effect::Replayable | Effect::SingleUse => false,
+            Idempotency::Keyed { window, .. } => job.may_have_run.is_some_and(|at| self.now - at > window),
+            Idempotency::Idempotent | Idempotency::NonIdempotent => false,
         }
     }
 
@@ -715,7 +715,7 @@
     }
 
     /// The offers of an ended connection that were not wholly written.
-    pub fn unwritten_offers(&mut self, link: Link) -> Vec<(TaskId, u32, Unsent)> {
+    pub fn unwritten_offers(&mut self, link: ConnectionId) -> Vec<(TaskId, u32, Unsent)> {
         let unwritten = self.links.abort(link);
         let named =
             |(mark, how): (u64, Unsent)| self.marks.get(&mark).map(|(task, send)| (*task, *send, how));
@@ -754,7 +754,7 @@
     }
 
     /// The final answer of a task that came then is given.
-    pub fn owes_less(&mut self, link: Option<Link>, came: Timestamp, service: u64) {
+    pub fn owes_less(&mut self, link: Option<ConnectionId>, came: Timestamp, service: u64) {
         self.admission.done(self.now, service);
         self.hand(link, false);
         self.times.take_to_answer.saturating_record((self.now - came).nanos() / 1000);
@@ -910,7 +910,7 @@
             Reach::Ready(link) => desk.write_offer(task, link),
             // One that has not refused since it was there last is tried at once.
             Reach::Down if spot.failures > 0 && spot.retry_at > now => {
-                desk.closings.push_back((task, number, Ending::NoConnection));
+                desk.closings.push_back((task, number, Outcome::NoConnection));
             }
             _ => {
                 desk.machines.get_mut(&machine).expect("is there").waiting.push((task.0, number));
@@ -927,13 +927,13 @@
             return;
         }
         if desk.take_back(task) {
-            desk.closings.push_back((task, send, Ending::NotSent));
+            desk.closings.push_back((task, send, Outcome::NotSent));
             return;
         }
         if let Some(link) = open.link {
             desk.write(link, &Message::Recall { task: task.0, send });
         }
-        desk.closings.push_back((task, send, Ending::Recalled));
+        desk.closings.push_back((task, send, Outcome::Cancelled));
     }
 
     fn nack(&mut self, task: TaskId, stay_away: Duration) {
@@ -941,8 +941,8 @@
         let job = &desk.jobs[&task];
         assert!(job.open.is_none(), "task {}: nacked with a send out", task.0);
         let harmless = match desk.settings.use_cases[job.order.use_case.0].effect {
-            Effect::Replayable | Effect::Referenced { group: Group::All, .. } => true,
-            Effect::Referenced { .. } | Effect::SingleUse => job.may_have_run.is_none(),
+            Idempotency::Idempotent | Idempotency::Keyed { domain: Group::All, .. } => true,
+            Idempotency::Keyed { .. } | Idempotency::NonIdempotent => job.may_have_run.is_none(),
         };
         assert!(harmless, "task {}: nacked though it may have run", task.0);
         desk.counts.nacked += 1;
--- a/crates/engine/src/lib.rs
+++ b/crates/engine/src/lib.rs
@@ -20,7 +20,7 @@
 use mulleinhub::PlacementPolicy;
 use mulleinhub_interface::{Duration, Policy, Quota, Timestamp};
 use mulleinhub_limits::Why;
-use mulleinhub_seam::{Connections, End, Link, ListenerId, StateMachine};
+use mulleinhub_seam::{CloseReason, ConnectionId, Connections, ListenerId, StateMachine};
 use std::cell::RefCell;
 
 /// One planner.
@@ -153,19 +153,19 @@
 }
 
 impl StateMachine for Engine {
-    fn opened(&mut self, now: Timestamp, link: Link, _: ListenerId) {
+    fn opened(&mut self, now: Timestamp, link: ConnectionId, _: ListenerId) {
         self.desk.get_mut().client_came(now, link);
     }
 
-    fn up(&mut self, now: Timestamp, link: Link) {
+    fn up(&mut self, now: Timestamp, link: ConnectionId) {
         self.desk.get_mut().is_up(now, link);
     }
 
-    fn received(&mut self, now: Timestamp, link: Link, bytes: &[u8]) {
+    fn received(&mut self, now: Timestamp, link: ConnectionId, bytes: &[u8]) {
         self.desk.get_mut().came_in(now, link, bytes);
     }
 
-    fn ended(&mut self, _: Timestamp, link: Link, end: End) {
+    fn ended(&mut self, _: Timestamp, link: ConnectionId, end: CloseReason) {
         self.desk.get_mut().has_ended(link, end);
     }
 
@@ -182,7 +182,7 @@
         self.desk.get_mut().after_round();
     }
 
-    fn is_prompt(&self, link: Link) -> bool {
+    fn is_prompt(&self, link: ConnectionId) -> bool {
         self.desk.borrow().is_prompt(link)
     }
 
--- a/crates/engine/src/machines.rs
+++ b/crates/engine/src/machines.rs
@@ -4,14 +4,14 @@
 use mulleinhub_interface::{Duration, Timestamp};
 use mulleinhub_pacing::SlowStartGate;
 use mulleinhub_protocol::{Entry, Mode};
-use mulleinhub_seam::Link;
+use mulleinhub_seam::ConnectionId;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Reach {
     Down,
     /// Asked for, or greeting: offers wait until it has told what it holds.
-    Coming(Link),
-    Ready(Link),
+    Coming(ConnectionId),
+    Ready(ConnectionId),
 }
 
 /// A machine, from the connection's side.
@@ -86,14 +86,14 @@
         self.left = entry.cores_left.zip(entry.memory_left).or(self.left);
     }
 
-    pub fn link(&self) -> Option<Link> {
+    pub fn link(&self) -> Option<ConnectionId> {
         match self.reach {
             Reach::Down => None,
             Reach::Coming(link) | Reach::Ready(link) => Some(link),
         }
     }
 
-    pub fn ready(&self) -> Option<Link> {
+    pub fn ready(&self) -> Option<ConnectionId> {
         if let Reach::Ready(link) = self.reach { Some(link) } else { None }
     }
 
@@ -108,7 +108,7 @@
         self.failures += u32::from(refused);
     }
 
-    pub fn is_ready(&mut self, link: Link) {
+    pub fn is_ready(&mut self, link: ConnectionId) {
         self.reach = Reach::Ready(link);
         (self.failures, self.down_since) = (0, None);
     }
--- a/crates/engine/src/properties.rs
+++ b/crates/engine/src/properties.rs
@@ -7,11 +7,11 @@
 
 use crate::{Engine, Settings};
 use mulleinhub_interface::{
-    AcceptanceRules, Discovery, Duration, Effect, LocalityCosts, Reach, Resources, SlowStart, TaskId,
-    Timestamp, UseCase, ZoneId,
+    AcceptanceRules, Discovery, Duration, FailureDomain, Idempotency, LocalityCosts, Resources, SlowStart,
+    TaskId, Timestamp, UseCase, ZoneId,
 };
 use mulleinhub_protocol::{self as protocol, Conversation, Ending, Frames, Message, Mode, Reason, Shape};
-use mulleinhub_seam::{Ask, End, Link, ListenerId, StateMachine};
+use mulleinhub_seam::{CloseReason, Command, ConnectionId, ListenerId, StateMachine};
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
 use std::collections::{BTreeMap, VecDeque};
@@ -130,7 +130,7 @@
 struct Sent {
     machine: usize,
     life: u64,
-    link: Link,
+    link: ConnectionId,
     at: u64,
     gives_up_at: u64,
     /// The machine took it, whatever the planner knows.
@@ -191,7 +191,7 @@
 struct Machine {
     life: u64,
     up_at: Option<u64>,
-    link: Option<Link>,
+    link: Option<ConnectionId>,
     greeted: bool,
     refuses: bool,
     deaf: bool,
@@ -224,10 +224,10 @@
 struct World {
     engine: Engine,
     now: u64,
-    list: Link,
-    owner: Option<Link>,
-    frames: BTreeMap<Link, Frames>,
-    coming: Vec<(Link, usize)>,
+    list: ConnectionId,
+    owner: Option<ConnectionId>,
+    frames: BTreeMap<ConnectionId, Frames>,
+    coming: Vec<(ConnectionId, usize)>,
     machines: Vec<Machine>,
     tasks: BTreeMap<u64, Task>,
     next_task: u64,
@@ -259,10 +259,10 @@
         name: "planner-1".to_owned(),
         seed: 7,
         use_cases: vec![
-            case(Effect::Replayable, 0, None),
-            case(Effect::Referenced { group: Reach::Cell, window }, 1, None),
-            case(Effect::SingleUse, 1, Some((Reach::Machine, 1))),
-            case(Effect::Replayable, 1, Some((Reach::Cell, 2))),
+            case(Idempotency::Idempotent, 0, None),
+            case(Idempotency::Keyed { domain: FailureDomain::Cell, window }, 1, None),
+            case(Idempotency::NonIdempotent, 1, Some((FailureDomain::Machine, 1))),
+            case(Idempotency::Idempotent, 1, Some((FailureDomain::Cell, 2))),
         ],
         kinds: vec![Resources::new(16.0, 32.0)],
         taking: AcceptanceRules {
@@ -319,7 +319,7 @@
         let mut world = Self {
             engine: Engine::new(settings(), seed, None),
             now: 1_000 * MS,
-            list: Link(0),
+            list: ConnectionId(0),
             owner: None,
             frames: BTreeMap::new(),
             coming: Vec::new(),
@@ -347,7 +347,7 @@
         Timestamp::from_nanos(self.now)
     }
 
-    fn tell(&mut self, link: Link, message: &Message<'_>) -> Vec<u8> {
+    fn tell(&mut self, link: ConnectionId, message: &Message<'_>) -> Vec<u8> {
         let mut bytes = Vec::new();
         protocol::encode(message, &mut bytes);
         self.engine.received(self.time(), link, &bytes);
@@ -410,7 +410,7 @@
             }
             match self.engine.links().next_ask() {
                 None => return self.check_offers(),
-                Some(Ask::Open(link, address)) => match address.strip_prefix('m') {
+                Some(Command::Open(link, address)) => match address.strip_prefix('m') {
                     Some(n) => {
                         let m = n.parse::<usize>().expect("a machine") - 1;
                         (self.machines[m].link, self.machines[m].greeted) = (Some(link), false);
@@ -430,7 +430,7 @@
                         self.tell(link, &welcome);
                     }
                 },
-                Some(Ask::End { link, .. }) => {
+                Some(Command::End { link, .. }) => {
                     self.engine.links().drop_link(link);
                     self.coming.retain(|(coming, _)| *coming != link);
                     if let Some(m) = self.machines.iter().position(|m| m.link == Some(link)) {
@@ -449,19 +449,19 @@
                 self.coming.push((link, m));
             } else if self.machines[m].refuses {
                 self.machines[m].link = None;
-                self.engine.ended(self.time(), link, End::Refused);
+                self.engine.ended(self.time(), link, CloseReason::Refused);
             } else {
                 self.engine.up(self.time(), link);
             }
         }
     }
 
-    fn cut(&mut self, link: Link) {
+    fn cut(&mut self, link: ConnectionId) {
         let sends = self.tasks.values_mut().flat_map(|task| task.sends.values_mut());
         sends.filter(|sent| sent.link == link).for_each(|sent| sent.cut = true);
     }
 
-    fn take(&mut self, link: Link) {
+    fn take(&mut self, link: ConnectionId) {
         let m = self.machines.iter().position(|m| m.link == Some(link));
         if m.is_some_and(|m| self.machines[m].deaf) {
             return;
@@ -481,7 +481,7 @@
         self.frames.insert(link, frames);
     }
 
-    fn at_machine(&mut self, m: usize, link: Link, message: &Message<'_>) {
+    fn at_machine(&mut self, m: usize, link: ConnectionId, message: &Message<'_>) {
         match message {
             Message::Hello { .. } => self.greet(m, link),
             Message::Offer { task, send, shape, time_out, .. } => {
@@ -543,7 +543,7 @@
         }
     }
 
-    fn greet(&mut self, m: usize, link: Link) {
+    fn greet(&mut self, m: usize, link: ConnectionId) {
         let machine = &mut self.machines[m];
         machine.greeted = true;
         let life = machine.life;
@@ -594,7 +594,7 @@
     }
 
     /// Rules 1 to 5, at each offer that a machine reads.
-    fn offered(&mut self, m: usize, link: Link, id: u64, send: u32, shape: Shape, time_out: u64) {
+    fn offered(&mut self, m: usize, link: ConnectionId, id: u64, send: u32, shape: Shape, time_out: u64) {
         let now = self.now;
         let cases = settings().use_cases;
         let case = &cases[shape.use_case as usize];
@@ -611,9 +611,11 @@
         self.met.sent_again += u64::from(!task.sends.is_empty());
         if let Some(first) = task.sends.values().find(|sent| !sent.never_ran) {
             match case.effect {
-                Effect::Replayable => {}
-                Effect::SingleUse => panic!("rule 2: single-use task {id} is sent again: {:?}", task.sends),
-                Effect::Referenced { window, .. } => {
+                Idempotency::Idempotent => {}
+                Idempotency::NonIdempotent => {
+                    panic!("rule 2: single-use task {id} is sent again: {:?}", task.sends)
+                }
+                Idempotency::Keyed { window, .. } => {
                     assert_eq!(cell(first.machine), cell(m), "rule 2: task {id} left its group");
                     let within = now <= first.at + window.nanos() || self.reads_old;
                     assert!(within, "rule 2: task {id} is sent again after its window");
@@ -676,7 +678,7 @@
             let task = &self.tasks[&id];
             let Some((reach, most)) = cases[task.shape.use_case as usize].spread else { continue };
             let within = |sent: &&Sent| match reach {
-                Reach::Machine => sent.machine == m,
+                FailureDomain::Machine => sent.machine == m,
                 _ => cell(sent.machine) == cell(m),
             };
             let same = self.tasks.values().filter(|t| t.shape.service == task.shape.service);
@@ -685,7 +687,7 @@
         }
     }
 
-    fn accepts(&mut self, m: usize, link: Link, task: u64, send: u32) {
+    fn accepts(&mut self, m: usize, link: ConnectionId, task: u64, send: u32) {
         if self.machine_tells(m, &Message::Accepted { task, send }) {
             let (now, life) = (self.now, self.machines[m].life);
             let Some(task) = self.tasks.get_mut(&task) else { return };
@@ -721,7 +723,7 @@
         }
     }
 
-    fn at_owner(&mut self, link: Link, message: &Message<'_>) {
+    fn at_owner(&mut self, link: ConnectionId, message: &Message<'_>) {
         let (id, answer) = match message {
             Message::Taken { task } => {
                 self.tasks.get_mut(task).expect("it asked").taken = true;
@@ -860,7 +862,7 @@
             self.coming.retain(|(coming, _)| *coming != link);
             self.cut(link);
             let now = self.time();
-            self.engine.ended(now, link, End::Broken);
+            self.engine.ended(now, link, CloseReason::Broken);
         }
     }
 
@@ -949,7 +951,7 @@
             Event::OwnerGoes => {
                 if let Some(link) = self.owner.take() {
                     let now = self.time();
-                    self.engine.ended(now, link, End::Broken);
+                    self.engine.ended(now, link, CloseReason::Broken);
                 }
             }
             Event::OwnerComes => self.owner_comes(),
@@ -986,7 +988,7 @@
         }
     }
 
-    fn withdraw(&mut self, link: Link, id: u64) {
+    fn withdraw(&mut self, link: ConnectionId, id: u64) {
         let stage = self.stage(id);
         *self.met.withdrawn.entry(stage).or_default() += 1;
         if self.after_standstill {
@@ -1007,7 +1009,7 @@
                 if let Some(sent) = self.sent(task, send) {
                     sent.taken = true;
                 }
-                let link = self.machines[m].link.unwrap_or(Link(u64::MAX));
+                let link = self.machines[m].link.unwrap_or(ConnectionId(u64::MAX));
                 self.accepts(m, link, task, send);
             }
             Word::Nacks(reason) => self.closes(m, task, send, Ending::Nacked, reason),
--- a/crates/engine/src/receive/client.rs
+++ b/crates/engine/src/receive/client.rs
@@ -5,16 +5,16 @@
 use super::task::{check_use_case, new_job, order};
 use crate::desk::{Answer, Desk, Due, Job, Open};
 use crate::machines::Spot;
-use mulleinhub_interface::{Duration, Ending, MachineId, Order, PolicyEvents, TaskId, Ticket, Timestamp};
+use mulleinhub_interface::{Duration, MachineId, Outcome, PolicyEvents, TaskId, TaskSpec, Ticket, Timestamp};
 use mulleinhub_protocol::{Bad, Message, Shape};
-use mulleinhub_seam::Link;
+use mulleinhub_seam::ConnectionId;
 use std::cell::RefCell;
 
 /// Handles one message of a client that has greeted.
 pub(super) fn receive_from_client(
     shared: &RefCell<Desk>,
     round: &mut dyn PolicyEvents,
-    link: Link,
+    link: ConnectionId,
     name: &str,
     message: &Message<'_>,
 ) -> Received {
@@ -55,7 +55,7 @@
 /// Claims a task that its owner says a machine holds: the machine is asked whether it does.
 fn hand_over(
     desk: &mut Desk,
-    link: Link,
+    link: ConnectionId,
     name: &str,
     id: TaskId,
     shape: &Shape,
@@ -97,7 +97,13 @@
 
 /// Tells whoever asks again what is known of a task; false where nothing is. The newest connection of its
 /// owner hears what comes later.
-fn report_known(desk: &mut Desk, link: Link, name: &str, id: TaskId, key: Option<u64>) -> Result<bool, Bad> {
+fn report_known(
+    desk: &mut Desk,
+    link: ConnectionId,
+    name: &str,
+    id: TaskId,
+    key: Option<u64>,
+) -> Result<bool, Bad> {
     let another = || Bad(format!("task {} is another's", id.0));
     if let Some(job) = desk.jobs.get_mut(&id) {
         if job.owner != name || key.is_some_and(|key| key != job.shape.key) {
@@ -128,12 +134,12 @@
 /// Takes a task, unless it is known or there is no room for it.
 fn take(
     desk: &mut Desk,
-    link: Link,
+    link: ConnectionId,
     name: &str,
     task: u64,
     shape: &Shape,
     patience: Duration,
-) -> Result<Option<Order>, Bad> {
+) -> Result<Option<TaskSpec>, Bad> {
     check_use_case(desk, shape)?;
     let id = TaskId(task);
     if report_known(desk, link, name, id, Some(shape.key))? {
@@ -170,7 +176,7 @@
 ///
 /// # Errors
 /// For how long its owner is to stay away.
-fn admit(desk: &mut Desk, name: &str, shape: &Shape, order: &Order) -> Result<Option<Ticket>, Duration> {
+fn admit(desk: &mut Desk, name: &str, shape: &Shape, order: &TaskSpec) -> Result<Option<Ticket>, Duration> {
     let ticket = match &mut desk.quota {
         Some(quota) => quota.ask(desk.now, name, order.key, order.ask, desk.chance.part())?,
         None => None,
@@ -220,7 +226,7 @@
             desk.write(to, &Message::Stop { task: id.0, send, moves: false });
         }
     } else if desk.take_back(id) {
-        desk.closings.push_back((id, send, Ending::NotSent));
+        desk.closings.push_back((id, send, Outcome::NotSent));
     } else if let Some(to) = open.link {
         desk.write(to, &Message::Recall { task: id.0, send });
     }
--- a/crates/engine/src/receive/disconnect.rs
+++ b/crates/engine/src/receive/disconnect.rs
@@ -3,13 +3,18 @@
 use super::machine_list::list_disconnected;
 use super::outcome::close;
 use crate::desk::{Desk, Due, Open, Who};
-use mulleinhub_interface::{Duration, Ending, FailureCause, MachineId, PolicyEvents, TaskId};
+use mulleinhub_interface::{Duration, FailureCause, MachineId, Outcome, PolicyEvents, TaskId};
 use mulleinhub_pacing::again;
-use mulleinhub_seam::{End, Link, Unsent};
+use mulleinhub_seam::{CloseReason, ConnectionId, Unsent};
 use std::cell::RefCell;
 
 /// A connection has ended, and all that came on it before was received.
-pub(super) fn disconnected(shared: &RefCell<Desk>, round: &mut dyn PolicyEvents, link: Link, end: End) {
+pub(super) fn disconnected(
+    shared: &RefCell<Desk>,
+    round: &mut dyn PolicyEvents,
+    link: ConnectionId,
+    end: CloseReason,
+) {
     let mut borrowed = shared.borrow_mut();
     let desk = &mut *borrowed;
     if desk.peers.get(&link).is_some_and(|peer| matches!(peer.who, Who::Stranger | Who::Client(_))) {
@@ -40,17 +45,17 @@
 fn machine_disconnected(
     desk: &mut Desk,
     id: MachineId,
-    link: Link,
-    end: End,
+    link: ConnectionId,
+    end: CloseReason,
     unwritten: Vec<(TaskId, u32, Unsent)>,
-) -> Vec<(TaskId, u32, Ending)> {
+) -> Vec<(TaskId, u32, Outcome)> {
     let (now, reconnect, lost_after) = (desk.now, desk.settings.reconnect, desk.settings.lost_after);
     let drawn = desk.chance.part();
     let mut unanswered: Vec<(TaskId, Open)> = desk.jobs_on(id);
     unanswered.retain(|(_, open)| !open.placed && open.link.is_some());
     let spot = desk.machines.get_mut(&id).filter(|spot| spot.link() == Some(link));
     let Some(spot) = spot else { return Vec::new() };
-    let failed = spot.ready().is_none() || end == End::Refused;
+    let failed = spot.ready().is_none() || end == CloseReason::Refused;
     let wait = match failed {
         true => again::after_failures(reconnect, spot.failures, drawn),
         // At once: the answer may prove what became of open sends.
@@ -62,12 +67,13 @@
     desk.timers.set(retry_at, Due::Reconnect(id));
     desk.timers.set(now + lost_after, Due::Lost(id));
     let never_left = unwritten.into_iter().filter(|(.., how)| *how == Unsent::Whole);
-    let mut resolved: Vec<_> = never_left.map(|(task, send, _)| (task, send, Ending::NoConnection)).collect();
-    resolved.extend(waiting.into_iter().map(|(task, send)| (TaskId(task), send, Ending::NoConnection)));
+    let mut resolved: Vec<_> =
+        never_left.map(|(task, send, _)| (task, send, Outcome::NoConnection)).collect();
+    resolved.extend(waiting.into_iter().map(|(task, send)| (TaskId(task), send, Outcome::NoConnection)));
     if failed {
         // It can't be asked what it took: each open send may run.
         let may_run =
-            |(task, open): (TaskId, Open)| (task, open.number, Ending::Broken(FailureCause::Untold));
+            |(task, open): (TaskId, Open)| (task, open.number, Outcome::Lost(FailureCause::Unspecified));
         resolved.extend(unanswered.into_iter().map(may_run));
     }
     resolved
--- a/crates/engine/src/receive/dispatch.rs
+++ b/crates/engine/src/receive/dispatch.rs
@@ -8,7 +8,7 @@
 use crate::desk::{Desk, ListFault, Peer, Who};
 use mulleinhub_interface::PolicyEvents;
 use mulleinhub_protocol::{Bad, Conversation, Message, Side};
-use mulleinhub_seam::Link;
+use mulleinhub_seam::ConnectionId;
 use std::cell::RefCell;
 
 /// The conversation with a peer, and the side of it that the peer has.
@@ -24,7 +24,7 @@
 pub(super) fn dispatch(
     shared: &RefCell<Desk>,
     round: &mut dyn PolicyEvents,
-    link: Link,
+    link: ConnectionId,
     message: &Message<'_>,
 ) -> Received {
     let mut borrowed = shared.borrow_mut();
@@ -72,7 +72,7 @@
 }
 
 /// Handles the messages that every conversation has; false for all others.
-fn is_control(desk: &mut Desk, link: Link, message: &Message<'_>) -> bool {
+fn is_control(desk: &mut Desk, link: ConnectionId, message: &Message<'_>) -> bool {
     match message {
         Message::Ping { nonce } => desk.write(link, &Message::Pong { nonce: *nonce }),
         Message::Pong { .. } => {}
--- a/crates/engine/src/receive/greeting.rs
+++ b/crates/engine/src/receive/greeting.rs
@@ -5,7 +5,7 @@
 use crate::desk::{Desk, ListFault, Who};
 use mulleinhub_interface::PolicyEvents;
 use mulleinhub_protocol::{self as protocol, Bad, Message};
-use mulleinhub_seam::{End, Link};
+use mulleinhub_seam::{CloseReason, ConnectionId};
 use std::cell::RefCell;
 use std::sync::Arc;
 
@@ -19,7 +19,7 @@
 }
 
 /// Welcomes a client, or ends its connection where its name or tenant has too many.
-pub(super) fn greet(desk: &mut Desk, link: Link, greeting: &Greeting<'_>) -> Received {
+pub(super) fn greet(desk: &mut Desk, link: ConnectionId, greeting: &Greeting<'_>) -> Received {
     let (least_version, version) = (greeting.least_version, greeting.version);
     if least_version > protocol::VERSION || version < protocol::LEAST_VERSION {
         return Err(Bad(format!(
@@ -47,7 +47,7 @@
 }
 
 /// Tells a peer how it breaks the protocol, and ends its connection alone.
-pub(super) fn refuse(shared: &RefCell<Desk>, round: &mut dyn PolicyEvents, link: Link, bad: &Bad) {
+pub(super) fn refuse(shared: &RefCell<Desk>, round: &mut dyn PolicyEvents, link: ConnectionId, bad: &Bad) {
     let mut borrowed = shared.borrow_mut();
     let desk = &mut *borrowed;
     desk.counts.bad_frames += 1;
@@ -58,7 +58,7 @@
     match peer.who {
         Who::Stranger | Who::Client(_) => desk.let_go(link, &words),
         Who::Machine(_) => {
-            peer.end = Some(End::Broken);
+            peer.end = Some(CloseReason::Broken);
             desk.write(link, &Message::Bye { words: &words });
         }
         Who::List => {
--- a/crates/engine/src/receive/inbound.rs
+++ b/crates/engine/src/receive/inbound.rs
@@ -7,7 +7,7 @@
 use crate::machines::Spot;
 use mulleinhub_interface::PolicyEvents;
 use mulleinhub_protocol::{self as protocol, Frames};
-use mulleinhub_seam::{End, Link};
+use mulleinhub_seam::{CloseReason, ConnectionId};
 use std::cell::RefCell;
 
 /// Receives from every connection on which bytes arrived, in the order of arrival.
@@ -44,7 +44,7 @@
     is_used_up: bool,
 }
 
-fn receive_from(shared: &RefCell<Desk>, round: &mut dyn PolicyEvents, link: Link) {
+fn receive_from(shared: &RefCell<Desk>, round: &mut dyn PolicyEvents, link: ConnectionId) {
     // The frames are taken out for the while, so that messages can borrow them and the desk stays free.
     let taken = shared.borrow_mut().peers.get_mut(&link).map(|peer| std::mem::take(&mut peer.frames));
     let Some(mut frames) = taken else { return };
@@ -59,7 +59,7 @@
 fn receive_batch(
     shared: &RefCell<Desk>,
     round: &mut dyn PolicyEvents,
-    link: Link,
+    link: ConnectionId,
     frames: &mut Frames,
 ) -> Option<Batch> {
     let mut left = shared.borrow().limits.frames_a_turn();
@@ -85,7 +85,7 @@
 }
 
 /// Keeps the rest for later, and gives back how the connection has ended, if it has and all was received.
-fn put_back(desk: &mut Desk, link: Link, mut frames: Frames, batch: &Batch) -> Option<End> {
+fn put_back(desk: &mut Desk, link: ConnectionId, mut frames: Frames, batch: &Batch) -> Option<CloseReason> {
     let peer = desk.peers.get_mut(&link)?;
     frames.tidy(&mut desk.spare);
     let partial = frames.kept() > 0;
--- a/crates/engine/src/receive/inventory.rs
+++ b/crates/engine/src/receive/inventory.rs
@@ -4,16 +4,16 @@
 use super::outcome::{accepted, accepted_late, close, module_ending, started};
 use super::task::{check_use_case, new_job, order};
 use crate::desk::{Desk, Job, Open};
-use mulleinhub_interface::{Ending, FailureCause, MachineId, PolicyEvents, TaskId, Timestamp};
+use mulleinhub_interface::{FailureCause, MachineId, Outcome, PolicyEvents, TaskId, Timestamp};
 use mulleinhub_protocol::{self as protocol, Message, Reason};
-use mulleinhub_seam::Link;
+use mulleinhub_seam::ConnectionId;
 use std::cell::RefCell;
 
 /// One task of the inventory: ours, of a former life of ours, or over for us.
 pub(super) fn receive_held(
     shared: &RefCell<Desk>,
     round: &mut dyn PolicyEvents,
-    link: Link,
+    link: ConnectionId,
     machine: MachineId,
     held: &protocol::Held<'_>,
 ) {
@@ -59,7 +59,7 @@
 fn adopt(
     shared: &RefCell<Desk>,
     round: &mut dyn PolicyEvents,
-    link: Link,
+    link: ConnectionId,
     machine: MachineId,
     held: &protocol::Held<'_>,
 ) {
@@ -103,7 +103,7 @@
 pub(super) fn inventory_complete(
     shared: &RefCell<Desk>,
     round: &mut dyn PolicyEvents,
-    link: Link,
+    link: ConnectionId,
     machine: MachineId,
 ) {
     let resolved = resolve(&mut shared.borrow_mut(), link, machine);
@@ -114,7 +114,7 @@
 }
 
 /// The sends whose end is known by a complete inventory. Stops that may have been lost are said again.
-fn resolve(desk: &mut Desk, link: Link, machine: MachineId) -> Vec<(TaskId, u32, Ending)> {
+fn resolve(desk: &mut Desk, link: ConnectionId, machine: MachineId) -> Vec<(TaskId, u32, Outcome)> {
     let Some(spot) = desk.machines.get_mut(&machine) else { return Vec::new() };
     spot.is_ready(link);
     let met = std::mem::replace(&mut spot.met, true);
@@ -124,7 +124,7 @@
         // What waits was decided on without knowing what the machine holds. Met when a planner had
         // started while a machine hung: its offers went out with its inventory, and broke the spread.
         let waiting = std::mem::take(&mut spot.waiting);
-        resolved.extend(waiting.into_iter().map(|(task, send)| (TaskId(task), send, Ending::NotSent)));
+        resolved.extend(waiting.into_iter().map(|(task, send)| (TaskId(task), send, Outcome::NotSent)));
     }
     let mut stop_again = Vec::new();
     for (id, open) in desk.jobs_on(machine) {
@@ -135,7 +135,8 @@
         // A new life is dealt with by the closings that its welcome left.
         let is_over = desk.is_closing(id, open.number);
         if !here && !is_over && open.link.is_some_and(|offered| offered != link) {
-            let ending = if open.placed { Ending::Broken(FailureCause::Untold) } else { Ending::NotSent };
+            let ending =
+                if open.placed { Outcome::Lost(FailureCause::Unspecified) } else { Outcome::NotSent };
             resolved.push((id, open.number, ending));
         }
     }
--- a/crates/engine/src/receive/machine.rs
+++ b/crates/engine/src/receive/machine.rs
@@ -4,16 +4,16 @@
 use super::inventory::{inventory_complete, receive_held};
 use super::outcome::{accepted, close, module_ending, started};
 use crate::desk::Desk;
-use mulleinhub_interface::{Ending, FailureCause, MachineId, PolicyEvents, Report, Resources, TaskId};
+use mulleinhub_interface::{FailureCause, LoadReport, MachineId, Outcome, PolicyEvents, Resources, TaskId};
 use mulleinhub_protocol::{self as protocol, Bad, Message, Reason};
-use mulleinhub_seam::Link;
+use mulleinhub_seam::ConnectionId;
 use std::cell::RefCell;
 
 /// Handles one message of a machine.
 pub(super) fn receive_from_machine(
     shared: &RefCell<Desk>,
     round: &mut dyn PolicyEvents,
-    link: Link,
+    link: ConnectionId,
     machine: MachineId,
     message: &Message<'_>,
 ) -> Received {
@@ -52,7 +52,7 @@
         Message::Report { cores_unused, memory_unused, .. } => {
             let unused =
                 cores_unused.zip(*memory_unused).map(|(cores, memory)| Resources::new(cores, memory));
-            round.probed(machine, Report { unused });
+            round.probed(machine, LoadReport { unused });
         }
         _ => return Err(Bad("not a message of a machine".into())),
     }
@@ -63,7 +63,7 @@
 fn welcomed(
     shared: &RefCell<Desk>,
     round: &mut dyn PolicyEvents,
-    link: Link,
+    link: ConnectionId,
     machine: MachineId,
     life: u64,
 ) -> Received {
@@ -86,9 +86,9 @@
     // connection is over, and this one began after it.
     let sent = desk.jobs_on(machine).into_iter().filter(|(_, open)| open.link.is_some());
     let lost: Vec<_> =
-        sent.map(|(id, open)| (id, open.number, Ending::Broken(FailureCause::Untold))).collect();
+        sent.map(|(id, open)| (id, open.number, Outcome::Lost(FailureCause::Unspecified))).collect();
     desk.closings.extend(lost);
-    desk.closings.extend(waiting.into_iter().map(|(id, send)| (TaskId(id), send, Ending::NotSent)));
+    desk.closings.extend(waiting.into_iter().map(|(id, send)| (TaskId(id), send, Outcome::NotSent)));
     drop(borrowed);
     round.restarted(machine);
     Ok(())
@@ -103,7 +103,7 @@
 fn closed(
     shared: &RefCell<Desk>,
     round: &mut dyn PolicyEvents,
-    link: Link,
+    link: ConnectionId,
     machine: MachineId,
     id: TaskId,
     send: u32,
--- a/crates/engine/src/receive/machine_list.rs
+++ b/crates/engine/src/receive/machine_list.rs
@@ -3,17 +3,19 @@
 use super::Received;
 use crate::desk::{Desk, Due, ListFault};
 use crate::machines::{Reach, Spot};
-use mulleinhub_interface::{Ending, Entry, ListKind, MachineId, Mode, PolicyEvents, Resources};
+use mulleinhub_interface::{
+    ListKind, MachineEntry, MachineId, MachineState, Outcome, PolicyEvents, Resources,
+};
 use mulleinhub_pacing::again;
 use mulleinhub_protocol::{self as protocol, Bad, Message};
-use mulleinhub_seam::Link;
+use mulleinhub_seam::ConnectionId;
 use std::cell::RefCell;
 use std::collections::BTreeSet;
 
 /// The first turn: applies the list kept from the last life, and asks for a newer one.
 pub fn start(shared: &RefCell<Desk>, round: &mut dyn PolicyEvents, saved: Option<Vec<u8>>) {
     match saved.as_deref().map(protocol::decode_list) {
-        Some(Ok(kept)) => apply(shared, round, ListKind::Saved, kept.version, &kept.entries()),
+        Some(Ok(kept)) => apply(shared, round, ListKind::Cached, kept.version, &kept.entries()),
         Some(Err(bad)) => tracing::error!(%bad, "the kept list can't be read; going on without it"),
         None => {}
     }
@@ -72,8 +74,8 @@
 
 fn list_kind(kind: protocol::ListKind) -> ListKind {
     match kind {
-        protocol::ListKind::Changes => ListKind::Changes,
-        protocol::ListKind::Whole => ListKind::Whole,
+        protocol::ListKind::Changes => ListKind::Delta,
+        protocol::ListKind::Whole => ListKind::Snapshot,
     }
 }
 
@@ -94,15 +96,15 @@
     kind: ListKind,
     version: u64,
     entries: &[protocol::Entry<'_>],
-) -> Vec<Entry> {
+) -> Vec<MachineEntry> {
     desk.list_version = version;
     desk.list_known = true;
     desk.list_failures = 0;
-    if kind != ListKind::Saved {
+    if kind != ListKind::Cached {
         desk.list_changes();
         desk.list_fault = None;
     }
-    if kind == ListKind::Whole {
+    if kind == ListKind::Snapshot {
         mark_unlisted_as_left(desk, entries);
     }
     for entry in entries {
@@ -155,7 +157,7 @@
     for id in closed {
         for (task, open) in desk.jobs_on(id).into_iter().filter(|(_, open)| !open.placed) {
             if desk.take_back(task) {
-                desk.closings.push_back((task, open.number, Ending::NotSent));
+                desk.closings.push_back((task, open.number, Outcome::NotSent));
             }
         }
     }
@@ -164,7 +166,7 @@
 /// Machines that have left and hold nothing of ours need no connection any more.
 fn forget_left(desk: &mut Desk) {
     let has_left = |spot: &&Spot| spot.mode == protocol::Mode::Left;
-    let left: Vec<(MachineId, Option<Link>)> =
+    let left: Vec<(MachineId, Option<ConnectionId>)> =
         desk.machines.values().filter(has_left).map(|spot| (spot.id, spot.link())).collect();
     for (id, link) in left {
         if !desk.jobs_on(id).is_empty() {
@@ -179,16 +181,16 @@
 }
 
 /// A machine as the module is told of it.
-fn module_entry(spot: &Spot) -> Entry {
-    Entry {
+fn module_entry(spot: &Spot) -> MachineEntry {
+    MachineEntry {
         id: spot.id,
         kind: spot.kind,
         cell: spot.cell,
         zone: spot.zone,
         mode: match spot.mode {
-            protocol::Mode::Active => Mode::Active,
-            protocol::Mode::Leaving => Mode::Leaving,
-            protocol::Mode::Left => Mode::Left,
+            protocol::Mode::Active => MachineState::Active,
+            protocol::Mode::Leaving => MachineState::Draining,
+            protocol::Mode::Left => MachineState::Removed,
         },
         since: spot.since,
         left: spot.left.map(|(cores, memory)| Resources::new(cores, memory)),
--- a/crates/engine/src/receive/outcome.rs
+++ b/crates/engine/src/receive/outcome.rs
@@ -2,32 +2,32 @@
 
 use crate::desk::{Answer, Desk, Late};
 use mulleinhub_interface::{
-    Effect, Ending, FailureCause, MachineId, PolicyEvents, Rejection, Report, TaskId,
+    FailureCause, Idempotency, LoadReport, MachineId, Outcome, PolicyEvents, Rejection, TaskId,
 };
 use mulleinhub_protocol::{self as protocol, Message, Reason};
-use mulleinhub_seam::Link;
+use mulleinhub_seam::ConnectionId;
 use std::cell::RefCell;
 use tracing::span::EnteredSpan;
 
 /// An ending that a machine told, as the module knows it.
-pub(super) fn module_ending(ending: protocol::Ending, reason: Reason) -> Ending {
+pub(super) fn module_ending(ending: protocol::Ending, reason: Reason) -> Outcome {
     match ending {
-        protocol::Ending::Done | protocol::Ending::Stopped => Ending::Ok,
-        protocol::Ending::Errored => Ending::Errored,
-        protocol::Ending::Nacked => Ending::Nacked(match reason {
-            Reason::Untold => Rejection::Untold,
-            Reason::NoCores => Rejection::NoCores,
-            Reason::NoMemory => Rejection::NoMemory,
+        protocol::Ending::Done | protocol::Ending::Stopped => Outcome::Ok,
+        protocol::Ending::Errored => Outcome::Failed,
+        protocol::Ending::Nacked => Outcome::Rejected(match reason {
+            Reason::Untold => Rejection::Unspecified,
+            Reason::NoCores => Rejection::InsufficientCores,
+            Reason::NoMemory => Rejection::InsufficientMemory,
             Reason::LineFull => Rejection::QueueFull,
             Reason::NotHere => Rejection::NotHere,
-            Reason::HandedBack => Rejection::HandedBack,
+            Reason::HandedBack => Rejection::Returned,
         }),
         // The machine's own word that it dropped the offer before it accepted: proof.
-        protocol::Ending::Recalled => Ending::NotSent,
-        protocol::Ending::Lost => Ending::Broken(FailureCause::Untold),
-        protocol::Ending::Evicted => Ending::Broken(FailureCause::Evicted),
-        protocol::Ending::PushedOut => Ending::Broken(FailureCause::PushedOut),
-        protocol::Ending::SentAway | protocol::Ending::Moved => Ending::Broken(FailureCause::SentAway),
+        protocol::Ending::Recalled => Outcome::NotSent,
+        protocol::Ending::Lost => Outcome::Lost(FailureCause::Unspecified),
+        protocol::Ending::Evicted => Outcome::Lost(FailureCause::Evicted),
+        protocol::Ending::PushedOut => Outcome::Lost(FailureCause::Preempted),
+        protocol::Ending::SentAway | protocol::Ending::Moved => Outcome::Lost(FailureCause::SentAway),
     }
 }
 
@@ -35,7 +35,7 @@
 pub(super) fn accepted(
     shared: &RefCell<Desk>,
     round: &mut dyn PolicyEvents,
-    link: Link,
+    link: ConnectionId,
     machine: MachineId,
     id: TaskId,
     send: u32,
@@ -44,7 +44,7 @@
     let desk = &mut *borrowed;
     // The answer came before the end that this side made in this turn was told: the answer counts.
     desk.closings.retain(|(task, number, ending)| {
-        (*task, *number) != (id, send) || matches!(ending, Ending::Broken(_) | Ending::NoConnection)
+        (*task, *number) != (id, send) || matches!(ending, Outcome::Lost(_) | Outcome::NoConnection)
     });
     let Some(job) = desk.jobs.get_mut(&id) else { return accepted_late(desk, link, machine, id, send) };
     let (withdrawn, claiming, order) = (job.withdrawn, job.claiming, job.order);
@@ -113,7 +113,7 @@
 /// A machine took a send that is over for us. Nobody may count on that copy, and it must not be lost sight
 /// of: a replayable one is stopped; of others the owner learns, who may hand it over before the machine ends
 /// it.
-pub(super) fn accepted_late(desk: &mut Desk, link: Link, machine: MachineId, id: TaskId, send: u32) {
+pub(super) fn accepted_late(desk: &mut Desk, link: ConnectionId, machine: MachineId, id: TaskId, send: u32) {
     desk.counts.late_yes += 1;
     // It stays known until its end is told: what is written now may be lost on the way, and asked for again.
     let Some(late) = desk.late.get(&(id, send)) else {
@@ -121,7 +121,7 @@
         return;
     };
     let case = &desk.settings.use_cases[late.shape.use_case as usize];
-    if !late.wanted || case.effect == Effect::Replayable {
+    if !late.wanted || case.effect == Idempotency::Idempotent {
         desk.write(link, &Message::Stop { task: id.0, send, moves: false });
         return;
     }
@@ -140,7 +140,7 @@
     round: &mut dyn PolicyEvents,
     id: TaskId,
     send: u32,
-    ending: Ending,
+    ending: Outcome,
     told: Option<protocol::Ending>,
 ) {
     let mut borrowed = shared.borrow_mut();
@@ -148,7 +148,7 @@
     let Some(job) = desk.jobs.get_mut(&id) else { return };
     let Some(open) = job.open.filter(|open| open.number == send) else { return };
     job.open = None;
-    let never_ran = matches!(ending, Ending::Nacked(_) | Ending::NoConnection | Ending::NotSent);
+    let never_ran = matches!(ending, Outcome::Rejected(_) | Outcome::NoConnection | Outcome::NotSent);
     if !never_ran {
         job.may_have_run.get_or_insert(open.decided);
     }
@@ -175,7 +175,7 @@
         desk.answer(id, Answer::Withdrawn);
     }
     drop(borrowed);
-    round.closed(id, ending, over, Report::default());
+    round.closed(id, ending, over, LoadReport::default());
 }
 
 /// Ends that this side made: in the round before, or while receiving.
--- a/crates/engine/src/receive/task.rs
+++ b/crates/engine/src/receive/task.rs
@@ -2,13 +2,13 @@
 
 use super::Received;
 use crate::desk::{Desk, Job};
-use mulleinhub_interface::{Order, Resources, ServiceId, TaskId, TaskKey, Timestamp, UseCaseId};
+use mulleinhub_interface::{Resources, ServiceId, TaskId, TaskKey, TaskSpec, Timestamp, UseCaseId};
 use mulleinhub_protocol::{Bad, Shape};
-use mulleinhub_seam::Link;
+use mulleinhub_seam::ConnectionId;
 
 /// The order of a task of this shape.
-pub(super) fn order(id: TaskId, shape: &Shape, deadline: Timestamp) -> Order {
-    Order {
+pub(super) fn order(id: TaskId, shape: &Shape, deadline: Timestamp) -> TaskSpec {
+    TaskSpec {
         id,
         key: TaskKey(shape.key),
         use_case: UseCaseId(shape.use_case as usize),
@@ -20,7 +20,13 @@
 }
 
 /// A job without a send, of a task that arrived then.
-pub(super) fn new_job(order: Order, shape: Shape, owner: &str, link: Link, came: Timestamp) -> Job {
+pub(super) fn new_job(
+    order: TaskSpec,
+    shape: Shape,
+    owner: &str,
+    link: ConnectionId,
+    came: Timestamp,
+) -> Job {
     Job {
         order,
         shape,
--- a/crates/engine/src/receive/timers.rs
+++ b/crates/engine/src/receive/timers.rs
@@ -4,10 +4,10 @@
 use super::outcome::close;
 use crate::desk::{Desk, Due};
 use crate::machines::Reach;
-use mulleinhub_interface::{Ending, FailureCause, MachineId, PolicyEvents, TaskId};
+use mulleinhub_interface::{FailureCause, MachineId, Outcome, PolicyEvents, TaskId};
 use mulleinhub_pacing::again;
 use mulleinhub_protocol::Message;
-use mulleinhub_seam::Link;
+use mulleinhub_seam::ConnectionId;
 use std::cell::RefCell;
 
 /// A timer has expired, other than the module's own and those of sends.
@@ -46,13 +46,13 @@
         desk.jobs_on(id).into_iter().filter(|(_, open)| open.placed).collect()
     };
     for (task, open) in lost {
-        close(shared, round, task, open.number, Ending::Broken(FailureCause::Untold), None);
+        close(shared, round, task, open.number, Outcome::Lost(FailureCause::Unspecified), None);
     }
 }
 
 /// Asks a machine that has been silent for a while for a sign of life, and ends the connection of one that
 /// gave none.
-fn ping(desk: &mut Desk, id: MachineId, link: Link) {
+fn ping(desk: &mut Desk, id: MachineId, link: ConnectionId) {
     let (now, silence) = (desk.now, desk.settings.silence);
     let Some(spot) = desk.machines.get_mut(&id).filter(|spot| spot.link() == Some(link)) else { return };
     match spot.pinged_at {
@@ -74,7 +74,7 @@
 fn claim_timed_out(shared: &RefCell<Desk>, round: &mut dyn PolicyEvents, id: TaskId) {
     let claim = shared.borrow().jobs.get(&id).filter(|job| job.claiming).and_then(|job| job.open);
     if let Some(open) = claim {
-        close(shared, round, id, open.number, Ending::TimedOut, None);
+        close(shared, round, id, open.number, Outcome::TimedOut, None);
     }
 }
 
@@ -90,12 +90,12 @@
             return;
         }
         if desk.take_back(id) {
-            Ending::NotSent
+            Outcome::NotSent
         } else {
             if let Some(link) = open.link {
                 desk.write(link, &Message::Recall { task: id.0, send });
             }
-            Ending::TimedOut
+            Outcome::TimedOut
         }
     };
     close(shared, round, id, send, ending, None);
--- a/crates/engine/tests/host/mod.rs
+++ b/crates/engine/tests/host/mod.rs
@@ -3,7 +3,7 @@
 use mulleinhub_engine::{Engine, Settings};
 use mulleinhub_interface::*;
 use mulleinhub_protocol::{self as protocol, Conversation, Frames, Message, Mode, Shape};
-use mulleinhub_seam::{Ask, End, Link, ListenerId, StateMachine};
+use mulleinhub_seam::{CloseReason, Command, ConnectionId, ListenerId, StateMachine};
 use std::collections::BTreeMap;
 
 pub const REPLAYABLE: u32 = 0;
@@ -27,9 +27,9 @@
         name: "planner-1".to_owned(),
         seed: 7,
         use_cases: vec![
-            case(Effect::Replayable),
-            case(Effect::Referenced { group: Reach::Cell, window }),
-            case(Effect::SingleUse),
+            case(Idempotency::Idempotent),
+            case(Idempotency::Keyed { domain: FailureDomain::Cell, window }),
+            case(Idempotency::NonIdempotent),
         ],
         kinds: vec![Resources::new(16.0, 32.0)],
         taking: AcceptanceRules {
@@ -68,12 +68,12 @@
     pub engine: Engine,
     pub now: Timestamp,
     /// Who is behind each link, by the planner's address for it or the client's name.
-    pub links: BTreeMap<Link, String>,
-    frames: BTreeMap<Link, Frames>,
+    pub links: BTreeMap<ConnectionId, String>,
+    frames: BTreeMap<ConnectionId, Frames>,
     /// Links from which nothing is taken: their peers don't read.
-    pub unread: Vec<Link>,
-    pub opening: Vec<(Link, String)>,
-    pub ended: Vec<Link>,
+    pub unread: Vec<ConnectionId>,
+    pub opening: Vec<(ConnectionId, String)>,
+    pub ended: Vec<ConnectionId>,
     /// When the planner asked somebody for a sign of life.
     pub pings: Vec<Timestamp>,
 }
@@ -131,11 +131,11 @@
             }
             match links.next_ask() {
                 None => return said,
-                Some(Ask::Open(link, address)) => {
+                Some(Command::Open(link, address)) => {
                     self.links.insert(link, address.clone());
                     self.opening.push((link, address));
                 }
-                Some(Ask::End { link, .. }) => {
+                Some(Command::End { link, .. }) => {
                     self.take(link, usize::MAX, &mut said);
                     self.engine.links().drop_link(link);
                     self.ended.push(link);
@@ -145,7 +145,7 @@
     }
 
     /// Takes so many bytes of what waits on a link.
-    pub fn take(&mut self, link: Link, most: usize, said: &mut Vec<Said>) {
+    pub fn take(&mut self, link: ConnectionId, most: usize, said: &mut Vec<Said>) {
         let waits = self.engine.links().outgoing(link);
         let bytes = waits[..waits.len().min(most)].to_vec();
         self.engine.links().wrote(link, bytes.len());
@@ -184,7 +184,7 @@
     }
 
     /// The newest link that the planner opened to this address.
-    pub fn link(&self, address: &str) -> Link {
+    pub fn link(&self, address: &str) -> ConnectionId {
         self.opening.iter().rev().find(|(_, to)| to == address).map(|(link, _)| *link).expect("was asked for")
     }
 
@@ -243,38 +243,38 @@
     }
 
     /// Messages come in on a link, and the planner has its turn.
-    pub fn tell(&mut self, link: Link, messages: &[Message<'_>]) -> Vec<Said> {
+    pub fn tell(&mut self, link: ConnectionId, messages: &[Message<'_>]) -> Vec<Said> {
         self.only_tell(link, messages);
         self.turn()
     }
 
-    pub fn only_tell(&mut self, link: Link, messages: &[Message<'_>]) {
+    pub fn only_tell(&mut self, link: ConnectionId, messages: &[Message<'_>]) {
         let mut bytes = Vec::new();
         messages.iter().for_each(|message| protocol::encode(message, &mut bytes));
         self.engine.received(self.now, link, &bytes);
     }
 
     /// Somebody opens a connection, and has said nothing yet.
-    pub fn opens(&mut self, name: &str) -> Link {
+    pub fn opens(&mut self, name: &str) -> ConnectionId {
         let link = self.engine.links().fresh();
         self.links.insert(link, name.to_owned());
         self.engine.opened(self.now, link, ListenerId(0));
         link
     }
 
-    pub fn client(&mut self, name: &str) -> Link {
+    pub fn client(&mut self, name: &str) -> ConnectionId {
         let link = self.opens(name);
         let hello = hello(name, self.now);
         self.tell(link, &[hello]);
         link
     }
 
-    pub fn ask(&mut self, client: Link, task: u64, use_case: u32) -> Vec<Said> {
+    pub fn ask(&mut self, client: ConnectionId, task: u64, use_case: u32) -> Vec<Said> {
         let message = ask(task, use_case, self.now);
         self.tell(client, &[message])
     }
 
-    pub fn ends(&mut self, link: Link, end: End) -> Vec<Said> {
+    pub fn ends(&mut self, link: ConnectionId, end: CloseReason) -> Vec<Said> {
         self.engine.ended(self.now, link, end);
         self.turn()
     }
--- a/crates/engine/tests/list/mod.rs
+++ b/crates/engine/tests/list/mod.rs
@@ -3,7 +3,7 @@
 use crate::host::*;
 use mulleinhub_interface::Duration;
 use mulleinhub_protocol::{self as protocol, Entry, ListKind, Message, Mode, WholeList};
-use mulleinhub_seam::{End, Link, StateMachine};
+use mulleinhub_seam::{CloseReason, ConnectionId, StateMachine};
 
 const FLEET: u64 = 10_000;
 
@@ -38,7 +38,7 @@
 }
 
 /// A planner that has asked the list service for the list.
-fn that_watches(saved: Option<Vec<u8>>) -> (Host, Link) {
+fn that_watches(saved: Option<Vec<u8>>) -> (Host, ConnectionId) {
     let mut host = Host::new(settings(), 1, saved);
     host.turn();
     host.accept("list");
@@ -47,7 +47,7 @@
 }
 
 /// Bytes come in on a link, in parts as a network may cut them.
-fn hears(host: &mut Host, link: Link, bytes: &[u8]) -> Vec<Said> {
+fn hears(host: &mut Host, link: ConnectionId, bytes: &[u8]) -> Vec<Said> {
     let mut said = Vec::new();
     for part in bytes.chunks(50_000) {
         host.engine.received(host.now, link, part);
@@ -135,7 +135,7 @@
     let (mut host, link) = that_watches(None);
     let list = told(ListKind::Whole, 5, FLEET);
     hears(&mut host, link, &list[..list.len() / 2]);
-    host.ends(link, End::Broken);
+    host.ends(link, CloseReason::Broken);
     host.lives(2_000);
     host.accept("list");
     let link = host.link("list");
@@ -217,7 +217,7 @@
     let client = host.client("owner");
     host.lives(1_000);
     host.tell(link, &[Message::Bye { words: "the list has 2500 machines" }]);
-    host.ends(link, End::Closed);
+    host.ends(link, CloseReason::Closed);
     let told = host.engine.not_ready().expect("no list");
     assert_eq!(told, "the list service refuses: the list has 2500 machines; no list is known");
     assert!(says(&host.ask(client, 1, REPLAYABLE), "owner", "nacked 1"));
--- a/crates/engine/tests/pieces/mod.rs
+++ b/crates/engine/tests/pieces/mod.rs
@@ -4,7 +4,7 @@
 use crate::limited;
 use mulleinhub_interface::Duration;
 use mulleinhub_protocol::{self as protocol, Message};
-use mulleinhub_seam::{Link, StateMachine};
+use mulleinhub_seam::{ConnectionId, StateMachine};
 
 fn bytes_of(messages: &[Message<'_>]) -> Vec<u8> {
     let mut bytes = Vec::new();
@@ -12,7 +12,7 @@
     bytes
 }
 
-fn receive(host: &mut Host, link: Link, bytes: &[u8]) -> Vec<Said> {
+fn receive(host: &mut Host, link: ConnectionId, bytes: &[u8]) -> Vec<Said> {
     host.engine.received(host.now, link, bytes);
     host.turn()
 }
@@ -95,7 +95,7 @@
 #[test]
 fn where_all_places_are_taken_a_part_of_a_greeting_keeps_none_from_those_who_greeted() {
     let mut host = limited(|clients| (clients.most, clients.most_strangers) = (20, 5));
-    let greeted: Vec<Link> = (0..10).map(|n| host.client(&format!("greeted-{n}"))).collect();
+    let greeted: Vec<ConnectionId> = (0..10).map(|n| host.client(&format!("greeted-{n}"))).collect();
     for n in 0..100 {
         let name = format!("half-{n}");
         let link = host.opens(&name);
--- a/crates/engine/tests/quota/mod.rs
+++ b/crates/engine/tests/quota/mod.rs
@@ -3,7 +3,7 @@
 use crate::host::*;
 use mulleinhub_interface::{Duration, Quota, Resources, TaskKey, Ticket, Timestamp};
 use mulleinhub_protocol::{Ending, Held, Message, Reason};
-use mulleinhub_seam::{End, Link};
+use mulleinhub_seam::{CloseReason, ConnectionId};
 use std::sync::{Arc, Mutex};
 
 /// Refuses keys from a hundred on, knows nobody called `free`, and notes what it is told.
@@ -66,7 +66,7 @@
 }
 
 /// A planner with four machines, one of which holds a task of its former life; what was noted; and an owner.
-fn with_notes() -> (Host, Arc<Mutex<Vec<String>>>, Link) {
+fn with_notes() -> (Host, Arc<Mutex<Vec<String>>>, ConnectionId) {
     let notes = Arc::new(Mutex::new(Vec::new()));
     let mut host = Host::new(settings(), 1, None);
     let engine = mulleinhub_engine::Engine::new(settings(), 1, None);
@@ -139,9 +139,9 @@
     // Offered, and the machine dies: nobody knows.
     let (machine, _) = offered(&host.ask(owner, 2, SINGLE_USE), 2).expect("there is room");
     let link = host.link(&format!("m{machine}"));
-    host.ends(link, End::Broken);
+    host.ends(link, CloseReason::Broken);
     let again = host.link(&format!("m{machine}"));
-    let said = host.ends(again, End::Refused);
+    let said = host.ends(again, CloseReason::Refused);
     assert!(says(&said, "owner", "errored 2"), "{said:?}");
     assert_eq!(noted(&notes), ["ask 2", "may run 2"]);
 }
--- a/crates/engine/tests/same_moment/mod.rs
+++ b/crates/engine/tests/same_moment/mod.rs
@@ -4,7 +4,7 @@
 use crate::host::*;
 use mulleinhub_interface::{Duration, Timestamp};
 use mulleinhub_protocol::{Ending, Message, Reason};
-use mulleinhub_seam::End;
+use mulleinhub_seam::CloseReason;
 use std::collections::BTreeMap;
 
 const PLANNERS: usize = 120;
@@ -35,7 +35,7 @@
     for mut host in planners(asked) {
         let lost_at = host.now;
         let mut seen = host.opening.len();
-        host.ends(host.link(to), End::Broken);
+        host.ends(host.link(to), CloseReason::Broken);
         let until = lost_at + refuses_for + Duration::from_secs(10);
         let (mut number, mut is_in) = (0, false);
         let mut look = |host: &mut Host, _| {
@@ -50,7 +50,7 @@
                 tries[number].push(host.now);
                 number += 1;
                 if !is_in {
-                    host.ends(link, End::Refused);
+                    host.ends(link, CloseReason::Refused);
                 }
             }
         };
--- a/crates/engine/tests/stories.rs
+++ b/crates/engine/tests/stories.rs
@@ -9,10 +9,10 @@
 use host::*;
 use mulleinhub_interface::Duration;
 use mulleinhub_protocol::{Ending, Held, Message, Mode, Reason};
-use mulleinhub_seam::{End, StateMachine};
+use mulleinhub_seam::{CloseReason, StateMachine};
 
 /// A planner with machines, and a task of this use case offered to one of them.
-fn with_offer(use_case: u32) -> (Host, mulleinhub_seam::Link, u64) {
+fn with_offer(use_case: u32) -> (Host, mulleinhub_seam::ConnectionId, u64) {
     let mut host = Host::with_machines(4);
     let client = host.client("owner");
     let said = host.ask(client, 1, use_case);
@@ -54,7 +54,7 @@
     host.ask(client, 1, SINGLE_USE);
     let stuck = links.into_iter().find(|link| host.engine.links().unwritten(*link) > 0).expect("is offered");
     host.unread.clear();
-    let said = host.ends(stuck, End::Broken);
+    let said = host.ends(stuck, CloseReason::Broken);
     assert!(offered(&said, 1).is_some_and(|(_, send)| send == 1), "{said:?}");
 }
 
@@ -69,9 +69,9 @@
     host.take(stuck, 5, &mut Vec::new());
     host.unread.clear();
     let address = host.links[&stuck].clone();
-    host.ends(stuck, End::Broken);
+    host.ends(stuck, CloseReason::Broken);
     let again = host.link(&address);
-    let said = host.ends(again, End::Refused);
+    let said = host.ends(again, CloseReason::Refused);
     assert!(says(&said, "owner", "errored 1") && offered(&said, 1).is_none(), "{said:?}");
 }
 
@@ -79,7 +79,7 @@
 fn the_same_life_that_lacks_an_offer_proves_that_it_never_ran() {
     let (mut host, _, machine) = with_offer(SINGLE_USE);
     let link = host.link(&format!("m{machine}"));
-    let said = host.ends(link, End::Broken);
+    let said = host.ends(link, CloseReason::Broken);
     assert!(offered(&said, 1).is_none(), "nothing is known yet");
     let said = host.meets(machine, 100 + machine, vec![]);
     assert!(offered(&said, 1).is_some_and(|(_, send)| send == 1), "{said:?}");
@@ -89,7 +89,7 @@
 fn the_same_life_that_holds_an_offer_has_accepted_it() {
     let (mut host, _, machine) = with_offer(SINGLE_USE);
     let link = host.link(&format!("m{machine}"));
-    host.ends(link, End::Broken);
+    host.ends(link, CloseReason::Broken);
     let said = host.meets(machine, 100 + machine, vec![runs(1, SINGLE_USE)]);
     assert!(says(&said, "owner", &format!("placed 1 on {machine}")), "{said:?}");
 }
@@ -98,7 +98,7 @@
 fn another_life_of_the_machine_knows_nothing_of_what_the_former_was_sent() {
     let (mut host, _, machine) = with_offer(SINGLE_USE);
     let link = host.link(&format!("m{machine}"));
-    host.ends(link, End::Broken);
+    host.ends(link, CloseReason::Broken);
     let said = host.meets(machine, 999, vec![]);
     assert!(says(&said, "owner", "errored 1") && offered(&said, 1).is_none(), "{said:?}");
 }
@@ -109,7 +109,7 @@
         let (mut host, _, machine) = with_offer(REPLAYABLE);
         host.machine(machine, Message::Accepted { task: 1, send: 0 });
         let link = host.link(&format!("m{machine}"));
-        host.ends(link, End::Broken);
+        host.ends(link, CloseReason::Broken);
         let (life, tasks) = if lost { (life, vec![]) } else { (100 + machine, vec![runs(1, REPLAYABLE)]) };
         let said = host.meets(machine, life, tasks);
         assert_eq!(says(&said, "owner", "ended 1 Lost"), lost, "{said:?}");
@@ -121,12 +121,12 @@
     let (mut host, _, machine) = with_offer(REPLAYABLE);
     host.machine(machine, Message::Accepted { task: 1, send: 0 });
     let link = host.link(&format!("m{machine}"));
-    host.ends(link, End::Broken);
+    host.ends(link, CloseReason::Broken);
     let mut lost_after = None;
     for ms in (100..4_000).step_by(100) {
         let tries: Vec<_> = host.opening.drain(..).filter(|(_, to)| *to == format!("m{machine}")).collect();
         for (link, _) in tries {
-            host.engine.ended(host.now, link, End::Refused);
+            host.engine.ended(host.now, link, CloseReason::Refused);
         }
         if says(&host.after(100), "owner", "ended 1 Lost") {
             lost_after.get_or_insert(ms);
@@ -140,7 +140,7 @@
 #[test]
 fn a_client_that_comes_back_learns_and_the_newest_connection_hears_the_answer() {
     let (mut host, client, machine) = with_offer(REPLAYABLE);
-    host.ends(client, End::Broken);
+    host.ends(client, CloseReason::Broken);
     let back = host.client("owner");
     assert!(says(&host.tell(back, &[Message::Learn { task: 1 }]), "owner", "taken 1"));
     let said = host.machine(machine, Message::Accepted { task: 1, send: 0 });
@@ -166,7 +166,7 @@
 #[test]
 fn an_answer_is_kept_for_an_owner_that_was_away() {
     let (mut host, client, machine) = with_offer(SINGLE_USE);
-    host.ends(client, End::Closed);
+    host.ends(client, CloseReason::Closed);
     let nack = Message::Closed { task: 1, send: 0, ending: Ending::Errored, reason: Reason::Untold };
     host.machine(machine, nack);
     let back = host.client("owner");
@@ -217,9 +217,9 @@
 fn a_referenced_task_that_may_have_run_stays_in_its_group_and_takes_the_place_of_a_late_copy() {
     let (mut host, _, machine) = with_offer(REFERENCED);
     let link = host.link(&format!("m{machine}"));
-    host.ends(link, End::Broken);
+    host.ends(link, CloseReason::Broken);
     let again = host.link(&format!("m{machine}"));
-    let mut said = host.ends(again, End::Refused);
+    let mut said = host.ends(again, CloseReason::Refused);
     said.extend(host.after(100));
     let (other, send) = offered(&said, 1).expect("its neighbour has room");
     assert_eq!(
@@ -273,7 +273,7 @@
     let mut host = Host::with_machines(2);
     let kept = host.engine.keep().expect("the list changed");
     let mut limited = settings();
-    limited.use_cases[0].spread = Some((mulleinhub_interface::Reach::Machine, 1));
+    limited.use_cases[0].spread = Some((mulleinhub_interface::FailureDomain::Machine, 1));
     let mut host = Host::new(limited, 2, Some(kept));
     host.turn();
     host.after(1_000);
@@ -374,7 +374,7 @@
 fn offers_to_a_cold_machine_wait_where_the_way_to_it_is_stalled() {
     let mut host = Host::with_machines(1);
     let link = host.link("m1");
-    host.ends(link, End::Broken);
+    host.ends(link, CloseReason::Broken);
     host.meets(1, 999, vec![]);
     host.after(12_000 - 3_000);
     let client = host.client("owner");
@@ -502,8 +502,8 @@
 fn a_copy_of_an_earlier_send_that_proves_to_run_after_the_withdrawal_is_stopped() {
     let (mut host, client, machine) = with_offer(REFERENCED);
     let address = format!("m{machine}");
-    host.ends(host.link(&address), End::Broken);
-    let mut said = host.ends(host.link(&address), End::Refused);
+    host.ends(host.link(&address), CloseReason::Broken);
+    let mut said = host.ends(host.link(&address), CloseReason::Refused);
     said.extend(host.after(100));
     assert!(offered(&said, 1).is_some_and(|(_, send)| send == 1), "{said:?}");
     host.tell(client, &[Message::Withdraw { task: 1 }]);
@@ -519,7 +519,7 @@
     host.after(6_100);
     host.unread.push(host.link(&address));
     host.machine(machine, Message::Accepted { task: 1, send: 0 });
-    host.ends(host.link(&address), End::Broken);
+    host.ends(host.link(&address), CloseReason::Broken);
     host.tell(client, &[Message::Withdraw { task: 1 }]);
     let said = host.meets(machine, 100 + machine, vec![runs(1, SINGLE_USE)]);
     assert!(says(&said, &address, "stop 1.0") && !says(&said, &address, "disown"), "{said:?}");
@@ -532,7 +532,7 @@
     host.tell(client, &[Message::Withdraw { task: 1 }]);
     host.unread.push(host.link(&address));
     host.machine(machine, Message::Accepted { task: 1, send: 0 });
-    host.ends(host.link(&address), End::Broken);
+    host.ends(host.link(&address), CloseReason::Broken);
     let said = host.meets(machine, 100 + machine, vec![runs(1, REPLAYABLE)]);
     assert!(says(&said, &address, "stop 1.0"), "{said:?}");
 }
@@ -541,7 +541,7 @@
 fn an_offer_whose_time_is_over_after_a_standstill_is_not_written_any_more() {
     let mut host = Host::with_machines(1);
     let client = host.client("owner");
-    host.ends(host.link("m1"), End::Broken);
+    host.ends(host.link("m1"), CloseReason::Broken);
     let said = host.ask(client, 1, SINGLE_USE);
     assert!(offered(&said, 1).is_none(), "it waits for the connection: {said:?}");
     host.now = host.now + Duration::from_secs(7);
@@ -603,9 +603,9 @@
     let other = if first % 2 == 1 { first + 1 } else { first - 1 };
     host.after(3_400);
     // Both lose their connections: the first is refused, so the task may have run; the other's comes up late.
-    host.ends(host.link(&format!("m{other}")), End::Broken);
-    host.ends(host.link(&format!("m{first}")), End::Broken);
-    host.ends(host.link(&format!("m{first}")), End::Refused);
+    host.ends(host.link(&format!("m{other}")), CloseReason::Broken);
+    host.ends(host.link(&format!("m{first}")), CloseReason::Broken);
+    host.ends(host.link(&format!("m{first}")), CloseReason::Refused);
     host.after(1_700);
     let said = host.meets(other, 100 + other, vec![]);
     assert!(offered(&said, 1).is_none(), "five seconds after the first send: {said:?}");
@@ -637,7 +637,7 @@
 fn a_machine_that_greets_in_another_life_is_cold_before_any_list_tells_of_it() {
     let mut host = Host::with_machines(1);
     let client = host.client("owner");
-    host.ends(host.link("m1"), End::Broken);
+    host.ends(host.link("m1"), CloseReason::Broken);
     for task in 1..=12 {
         host.ask(client, task, REPLAYABLE);
     }
@@ -669,9 +669,9 @@
 fn offers_that_waited_for_a_cold_machine_do_not_reach_it_together() {
     let mut host = that_calls_nothing_back(1);
     let client = host.client("owner");
-    host.ends(host.link("m1"), End::Broken);
+    host.ends(host.link("m1"), CloseReason::Broken);
     host.meets(1, 999, vec![]);
-    host.ends(host.link("m1"), End::Broken);
+    host.ends(host.link("m1"), CloseReason::Broken);
     for task in 1..=12 {
         host.ask(client, task, REPLAYABLE);
     }
--- a/crates/interface/src/lib.rs
+++ b/crates/interface/src/lib.rs
@@ -40,7 +40,7 @@
 }
 
 impl Resources {
-    pub const NONE: Self = Self { cores: 0.0, memory: 0.0 };
+    pub const ZERO: Self = Self { cores: 0.0, memory: 0.0 };
 
     pub const fn new(cores: f64, memory: f64) -> Self {
         Self { cores, memory }
@@ -90,7 +90,7 @@
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Reach {
+pub enum FailureDomain {
     Machine,
     Cell,
     Zone,
@@ -99,27 +99,27 @@
 
 /// What a second run of a task would do.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Effect {
-    Replayable,
+pub enum Idempotency {
+    Idempotent,
     /// Repeats are dropped by the machines of one `group`, for `window` after the send that may have run.
-    Referenced {
-        group: Reach,
+    Keyed {
+        domain: FailureDomain,
         window: Duration,
     },
-    SingleUse,
+    NonIdempotent,
 }
 
 #[derive(Clone, Debug)]
 pub struct UseCase {
     pub soft_limit: Duration,
     pub client_timeout: Duration,
-    pub effect: Effect,
+    pub effect: Idempotency,
     /// For a second of full service of a task of mean size.
     pub earnings: f64,
     pub priority: u8,
     pub kind: Option<KindId>,
     /// Where one service may have at most so many tasks of this scheduler.
-    pub spread: Option<(Reach, usize)>,
+    pub spread: Option<(FailureDomain, usize)>,
     /// Service is full while cores are busy up to this part, and nothing at `full_up_to + fade`.
     pub full_up_to: f64,
     pub fade: f64,
@@ -173,7 +173,7 @@
 
 /// A task as it comes, to be placed or already running.
 #[derive(Clone, Copy, Debug)]
-pub struct Order {
+pub struct TaskSpec {
     pub id: TaskId,
     pub key: TaskKey,
     pub use_case: UseCaseId,
@@ -185,19 +185,19 @@
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Mode {
+pub enum MachineState {
     Active,
-    Leaving,
-    Left,
+    Draining,
+    Removed,
 }
 
 #[derive(Clone, Copy, Debug)]
-pub struct Entry {
+pub struct MachineEntry {
     pub id: MachineId,
     pub kind: KindId,
     pub cell: CellId,
     pub zone: ZoneId,
-    pub mode: Mode,
+    pub mode: MachineState,
     /// Its last start; nothing where that is long ago.
     pub since: Option<Timestamp>,
     /// What nobody has asked for, where lists tell it.
@@ -206,47 +206,47 @@
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ListKind {
-    Changes,
-    Whole,
+    Delta,
+    Snapshot,
     /// As an earlier life of this scheduler held it; possibly outdated.
-    Saved,
+    Cached,
 }
 
 /// How a send ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Ending {
+pub enum Outcome {
     Ok,
-    Errored,
-    Nacked(Rejection),
+    Failed,
+    Rejected(Rejection),
     TimedOut,
     NoConnection,
-    Broken(FailureCause),
-    Recalled,
+    Lost(FailureCause),
+    Cancelled,
     NotSent,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Rejection {
-    Untold,
+    Unspecified,
     /// Accepted, and given back before it ran.
-    HandedBack,
-    NoCores,
-    NoMemory,
+    Returned,
+    InsufficientCores,
+    InsufficientMemory,
     QueueFull,
     NotHere,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FailureCause {
-    Untold,
+    Unspecified,
     Evicted,
-    PushedOut,
+    Preempted,
     SentAway,
 }
 
 /// What a machine tells of itself; a part that it does not tell is absent.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Report {
+pub struct LoadReport {
     pub unused: Option<Resources>,
 }
 
@@ -289,9 +289,9 @@
 /// Hears what came in during one round.
 pub trait PolicyEvents {
     fn start(&mut self);
-    fn new_task(&mut self, order: Order);
+    fn new_task(&mut self, order: TaskSpec);
     /// A task that runs already has become this scheduler's charge.
-    fn running(&mut self, order: Order, machine: MachineId);
+    fn running(&mut self, order: TaskSpec, machine: MachineId);
     fn accepted(&mut self, task: TaskId);
     fn runs(&mut self, task: TaskId);
     fn uses(&mut self, task: TaskId, cores: Option<f64>, memory: Option<f64>);
@@ -299,17 +299,17 @@
     fn served(&mut self, task: TaskId, share: f64);
     /// The part of its machine's memory in use.
     fn machine_memory(&mut self, task: TaskId, share: f64);
-    fn probed(&mut self, machine: MachineId, report: Report);
+    fn probed(&mut self, machine: MachineId, report: LoadReport);
     /// The machine itself told that it started anew, before any list does.
     fn restarted(&mut self, machine: MachineId);
     /// The end of a send. Where `over` is not set, the final answer is still to be given.
-    fn closed(&mut self, task: TaskId, ending: Ending, over: bool, report: Report);
+    fn closed(&mut self, task: TaskId, ending: Outcome, over: bool, report: LoadReport);
     fn abandoned(&mut self, task: TaskId);
     /// This scheduler is to end: no final answer may come later than then.
     fn ends_by(&mut self, at: Timestamp);
     fn woken(&mut self, token: u64);
     fn list_failed(&mut self);
-    fn list(&mut self, kind: ListKind, entries: &[Entry]);
+    fn list(&mut self, kind: ListKind, entries: &[MachineEntry]);
 }
 
 /// Decides: hears all that came in during a round, and writes its answers by the end of it.
--- a/crates/ledger/src/exchange/connections.rs
+++ b/crates/ledger/src/exchange/connections.rs
@@ -7,7 +7,7 @@
 use mulleinhub_protocol::{self as protocol, Bad, Message, encode};
 use mulleinhub_quota::Phase;
 use mulleinhub_replicated_log::Name;
-use mulleinhub_seam::Link;
+use mulleinhub_seam::ConnectionId;
 
 /// Connections that are being opened at a time.
 const MAX_OPENING: usize = 32;
@@ -18,7 +18,7 @@
 
 impl Exchange {
     /// Writes a message to a connection.
-    pub(super) fn write(&mut self, link: Link, message: &Message<'_>) {
+    pub(super) fn write(&mut self, link: ConnectionId, message: &Message<'_>) {
         self.scratch.clear();
         encode(message, &mut self.scratch);
         self.figures.bytes_out += self.scratch.len() as u64;
@@ -26,14 +26,14 @@
     }
 
     /// Ends a connection, saying why.
-    pub(super) fn end(&mut self, link: Link, words: &str) {
+    pub(super) fn end(&mut self, link: ConnectionId, words: &str) {
         self.write(link, &Message::Bye { words });
         self.peers.remove(&link);
         self.links.end(link);
     }
 
     /// Ends the connection of a peer that broke the protocol, and no other.
-    pub(super) fn cut(&mut self, link: Link, bad: &Bad) {
+    pub(super) fn cut(&mut self, link: ConnectionId, bad: &Bad) {
         self.figures.bad += 1;
         let name = self.peers.get(&link).and_then(|peer| peer.name.clone());
         tracing::warn!(peer = ?name, %bad, "a scheduler speaks wrongly; its connection ends");
@@ -46,13 +46,13 @@
     }
 
     /// The newest connection to a member that is up.
-    pub(super) fn link_to(&self, name: &Name) -> Option<Link> {
+    pub(super) fn link_to(&self, name: &Name) -> Option<ConnectionId> {
         let mut newest_first = self.peers.iter().rev();
         newest_first.find(|(_, peer)| peer.greeted && peer.is(name)).map(|(link, _)| *link)
     }
 
     /// A connection served for more than signs of life.
-    pub(super) fn mark_used(&mut self, link: Link) {
+    pub(super) fn mark_used(&mut self, link: ConnectionId) {
         if let Some(peer) = self.peers.get_mut(&link) {
             peer.used_at = self.now;
         }
@@ -102,7 +102,7 @@
         let is_kept = |name: &Name| self.neighbors.contains(name) || self.replicas.contains(name);
         let is_neighbor = |peer: &Peer| peer.name.as_ref().is_some_and(is_kept);
         let is_unneeded = |peer: &Peer| !catching_up && peer.is_idle(now) && !is_neighbor(peer);
-        let ending: Vec<(Link, bool)> = self
+        let ending: Vec<(ConnectionId, bool)> = self
             .peers
             .iter()
             .map(|(link, peer)| (*link, peer.is_dead(now, interval), is_unneeded(peer)))
@@ -120,7 +120,7 @@
     }
 
     /// A connection is over that was not ended by us: its member is suspected, and tried again later.
-    pub(super) fn failed(&mut self, link: Link) {
+    pub(super) fn failed(&mut self, link: ConnectionId) {
         let Some(peer) = self.peers.remove(&link) else { return };
         if let Some(name) = peer.name.as_ref().filter(|_| peer.greeted && !peer.said_bye) {
             self.keeper.roll.suspect(name);
@@ -146,8 +146,9 @@
 
     /// Where two members have opened connections to each other, ends one of them: the one that stays is the
     /// one opened by the member whose name comes first. The other member leaves that to us.
-    pub(super) fn end_twin(&mut self, link: Link, name: &Name) {
-        let is_twin = |(other, peer): &(&Link, &Peer)| **other != link && peer.greeted && peer.is(name);
+    pub(super) fn end_twin(&mut self, link: ConnectionId, name: &Name) {
+        let is_twin =
+            |(other, peer): &(&ConnectionId, &Peer)| **other != link && peer.greeted && peer.is(name);
         let Some((other, twin)) = self.peers.iter().find(is_twin) else { return };
         if self.keeper.settings().me <= *name {
             return;
--- a/crates/ledger/src/exchange/heartbeat.rs
+++ b/crates/ledger/src/exchange/heartbeat.rs
@@ -8,7 +8,7 @@
 use mulleinhub_protocol as protocol;
 use mulleinhub_quota::Ledger;
 use mulleinhub_replicated_log::Name;
-use mulleinhub_seam::Link;
+use mulleinhub_seam::ConnectionId;
 use std::collections::BTreeMap;
 
 /// Least time between two heartbeats of a member.
@@ -96,7 +96,7 @@
 
 impl Exchange {
     /// Takes in the heartbeats that a peer told.
-    pub(super) fn receive_heartbeats(&mut self, link: Link, heartbeats: &[protocol::Beat<'_>]) {
+    pub(super) fn receive_heartbeats(&mut self, link: ConnectionId, heartbeats: &[protocol::Beat<'_>]) {
         for told in heartbeats {
             let name = Name::from(told.name);
             let heartbeat = Heartbeat { life: told.life, count: told.count };
--- a/crates/ledger/src/exchange/mod.rs
+++ b/crates/ledger/src/exchange/mod.rs
@@ -32,7 +32,7 @@
 use mulleinhub_pacing::PAUSE_THRESHOLD;
 use mulleinhub_quota::{Ledger, Settings};
 use mulleinhub_replicated_log::{Change, Changes, KINDS, KeptLogs, Kind, Name, Order, Reached};
-use mulleinhub_seam::{Connections, End, Link, ListenerId, StateMachine};
+use mulleinhub_seam::{CloseReason, ConnectionId, Connections, ListenerId, StateMachine};
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 
@@ -85,9 +85,9 @@
     links: Connections,
     /// The other members and where they listen.
     addresses: BTreeMap<Name, String>,
-    peers: BTreeMap<Link, Peer>,
+    peers: BTreeMap<ConnectionId, Peer>,
     /// Connections on which something came that is not yet decoded.
-    arrived: BTreeSet<Link>,
+    arrived: BTreeSet<ConnectionId>,
     neighbors: BTreeSet<Name>,
     /// Who holds our work log: neighbors, for as long as they do.
     replicas: Vec<Name>,
@@ -251,7 +251,7 @@
     /// Pushes what is new to each peer, and requests what we lack.
     fn replicate(&mut self) {
         let greeted = self.peers.iter().filter(|(_, peer)| peer.greeted);
-        let links: Vec<Link> = greeted.map(|(link, _)| *link).collect();
+        let links: Vec<ConnectionId> = greeted.map(|(link, _)| *link).collect();
         let mut pending = KINDS.map(|kind| (kind, self.pending_logs(kind)));
         for link in links {
             self.push(link);
@@ -265,7 +265,7 @@
     fn next_push_at(&self) -> Option<Timestamp> {
         let next = |kind: Kind| {
             let stamp = self.keeper.logs(kind).stamp();
-            let waits = |(link, peer): &(&Link, &Peer)| {
+            let waits = |(link, peer): &(&ConnectionId, &Peer)| {
                 let is_read = kind == Kind::Fleet || peer.reads_work_logs;
                 let is_behind = peer.greeted && is_read && peer.cursor(kind).is_behind(stamp);
                 is_behind && self.links.unwritten(**link) <= MAX_UNREAD
@@ -277,17 +277,17 @@
 }
 
 impl StateMachine for Exchange {
-    fn opened(&mut self, now: Timestamp, link: Link, _: ListenerId) {
+    fn opened(&mut self, now: Timestamp, link: ConnectionId, _: ListenerId) {
         self.now = self.now.max(now);
         self.peers.insert(link, Peer::accepted(self.now));
     }
 
-    fn up(&mut self, now: Timestamp, link: Link) {
+    fn up(&mut self, now: Timestamp, link: ConnectionId) {
         self.now = self.now.max(now);
         self.write_hello(link, now);
     }
 
-    fn received(&mut self, now: Timestamp, link: Link, bytes: &[u8]) {
+    fn received(&mut self, now: Timestamp, link: ConnectionId, bytes: &[u8]) {
         self.now = self.now.max(now);
         self.figures.bytes_in += bytes.len() as u64;
         if let Some(peer) = self.peers.get_mut(&link) {
@@ -296,7 +296,7 @@
         }
     }
 
-    fn ended(&mut self, now: Timestamp, link: Link, _: End) {
+    fn ended(&mut self, now: Timestamp, link: ConnectionId, _: CloseReason) {
         self.now = self.now.max(now);
         self.links.forget(link);
         self.failed(link);
--- a/crates/ledger/src/exchange/orders.rs
+++ b/crates/ledger/src/exchange/orders.rs
@@ -3,7 +3,7 @@
 use super::{Exchange, MAX_ITEMS};
 use mulleinhub_protocol::{self as protocol, Bad, Message, OrderWord};
 use mulleinhub_replicated_log::{Order, Orders, Standing, Subject, Word};
-use mulleinhub_seam::Link;
+use mulleinhub_seam::ConnectionId;
 use std::collections::BTreeMap;
 
 /// What one peer knows of the orders.
@@ -64,13 +64,13 @@
     /// Takes in orders that a peer told.
     pub(super) fn receive_orders(
         &mut self,
-        link: Link,
+        link: ConnectionId,
         orders: &[protocol::OrderTold<'_>],
     ) -> Result<(), Bad> {
         orders.iter().try_for_each(|told| self.receive_order(link, told))
     }
 
-    fn receive_order(&mut self, link: Link, told: &protocol::OrderTold<'_>) -> Result<(), Bad> {
+    fn receive_order(&mut self, link: ConnectionId, told: &protocol::OrderTold<'_>) -> Result<(), Bad> {
         let order = order_of(told)?;
         let standing = Standing { differs: told.differs, ..order.standing() };
         let Order { subject, number, word } = order;
@@ -84,7 +84,7 @@
     }
 
     /// Pushes the orders that a peer doesn't know.
-    pub(super) fn push_orders(&mut self, link: Link) {
+    pub(super) fn push_orders(&mut self, link: ConnectionId) {
         let library = self.keeper.library();
         let stamp = library.orders_stamp();
         let Some(peer) = self.peers.get_mut(&link) else { return };
--- a/crates/ledger/src/exchange/receive.rs
+++ b/crates/ledger/src/exchange/receive.rs
@@ -8,7 +8,7 @@
 use mulleinhub_protocol::{self as protocol, Bad, Conversation, Frames, Message, Side, decode};
 use mulleinhub_quota::Wanted;
 use mulleinhub_replicated_log::{LogId, Name, Parts};
-use mulleinhub_seam::Link;
+use mulleinhub_seam::ConnectionId;
 
 /// Frames of one peer that are decoded in a turn.
 const MAX_FRAMES: usize = 64;
@@ -43,7 +43,7 @@
     }
 
     /// Handles frames of one peer; those beyond the bound wait for the next turn.
-    fn receive_frames(&mut self, link: Link, frames: &mut Frames) -> Result<(), Bad> {
+    fn receive_frames(&mut self, link: ConnectionId, frames: &mut Frames) -> Result<(), Bad> {
         for _ in 0..MAX_FRAMES {
             let Some(frame) = frames.next_frame()? else { return Ok(()) };
             let message = decode(frame)?;
@@ -57,7 +57,7 @@
     }
 
     /// Handles a message.
-    fn receive(&mut self, link: Link, message: &Message<'_>) -> Result<(), Bad> {
+    fn receive(&mut self, link: ConnectionId, message: &Message<'_>) -> Result<(), Bad> {
         match self.receive_of_session(link, message)? {
             Session::Handled => Ok(()),
             Session::Books => self.receive_of_books(link, message),
@@ -65,7 +65,7 @@
     }
 
     /// Handles a message where it is one of the session: greeting, signs of life, the end.
-    fn receive_of_session(&mut self, link: Link, message: &Message<'_>) -> Result<Session, Bad> {
+    fn receive_of_session(&mut self, link: ConnectionId, message: &Message<'_>) -> Result<Session, Bad> {
         let Some(peer) = self.peers.get_mut(&link) else { return Ok(Session::Handled) };
         peer.received_at = self.now;
         let side = if peer.opened_by_us { Side::Opened } else { Side::Opener };
@@ -106,7 +106,7 @@
     }
 
     /// Handles a message for the books, of a peer that has greeted.
-    fn receive_of_books(&mut self, link: Link, message: &Message<'_>) -> Result<(), Bad> {
+    fn receive_of_books(&mut self, link: ConnectionId, message: &Message<'_>) -> Result<(), Bad> {
         let Some(from) = self.peers.get(&link).and_then(|peer| peer.name.clone()) else { return Ok(()) };
         self.keeper.heard(self.now);
         match message {
@@ -142,7 +142,7 @@
     }
 
     /// Both have said who they are. `accepted`: the peer opened the connection, and waits for our welcome.
-    fn greeted(&mut self, link: Link, name: &str, accepted: bool) -> Result<(), Bad> {
+    fn greeted(&mut self, link: ConnectionId, name: &str, accepted: bool) -> Result<(), Bad> {
         if !self.addresses.contains_key(name) {
             return Err(Bad(format!("{name} is none of the members")));
         }
@@ -171,14 +171,14 @@
     }
 
     /// Greets a peer to whom we opened the connection.
-    pub(super) fn write_hello(&mut self, link: Link, now: Timestamp) {
+    pub(super) fn write_hello(&mut self, link: ConnectionId, now: Timestamp) {
         let (me, life) = (self.keeper.settings().me.clone(), self.keeper.life());
         let (conversation, features) = (Conversation::PlannerPlanner, self.features());
         self.write(link, &Message::hello(conversation, features, &me, life, now.nanos()));
     }
 
     /// Greets a peer that opened the connection.
-    fn write_welcome(&mut self, link: Link) {
+    fn write_welcome(&mut self, link: ConnectionId) {
         let (me, life) = (self.keeper.settings().me.clone(), self.keeper.life());
         let (version, features) = (protocol::VERSION, self.features());
         self.write(link, &Message::Welcome { version, features, name: &me, life, silence: None });
--- a/crates/ledger/src/exchange/replication.rs
+++ b/crates/ledger/src/exchange/replication.rs
@@ -10,7 +10,7 @@
 use mulleinhub_protocol::{self as protocol, Bad, Message};
 use mulleinhub_quota::Phase;
 use mulleinhub_replicated_log::{Digest, Kind, LogHead, LogId};
-use mulleinhub_seam::Link;
+use mulleinhub_seam::ConnectionId;
 use std::collections::BTreeSet;
 
 /// Bytes of rows in one message. A single row may be longer: it goes in several pieces.
@@ -63,7 +63,7 @@
     // Heads.
 
     /// Writes our digest of all heads, which begins the replication on a connection.
-    pub(super) fn write_digest(&mut self, link: Link) {
+    pub(super) fn write_digest(&mut self, link: ConnectionId) {
         let all = self.keeper.library().all();
         let (tips, beats) = (Vec::new(), Vec::new());
         self.write(link, &Message::Tips { all: &all.0, tips, beats, whole: false, log: None });
@@ -75,7 +75,7 @@
     /// Where it tells of a work log that is none of its business.
     pub(super) fn receive_heads(
         &mut self,
-        link: Link,
+        link: ConnectionId,
         kind: Kind,
         all: Digest,
         told: &[protocol::Tip<'_>],
@@ -93,7 +93,7 @@
     }
 
     /// Pushes what is new to a peer: orders, heads, heartbeats. A peer that doesn't read gets nothing.
-    pub(super) fn push(&mut self, link: Link) {
+    pub(super) fn push(&mut self, link: ConnectionId) {
         if self.links.unwritten(link) > MAX_UNREAD {
             return;
         }
@@ -119,7 +119,7 @@
     }
 
     /// Pushes to a peer without waiting for the gap between two pushes.
-    pub(super) fn push_now(&mut self, link: Link) {
+    pub(super) fn push_now(&mut self, link: ConnectionId) {
         if let Some(peer) = self.peers.get_mut(&link) {
             peer.fleet.push_without_gap();
         }
@@ -127,7 +127,7 @@
     }
 
     /// Writes heads and heartbeats; heartbeats that don't fit into the message with the heads go before it.
-    fn write_heads(&mut self, link: Link, new: &NewHeads, heartbeats: &[MemberHeartbeat]) {
+    fn write_heads(&mut self, link: ConnectionId, new: &NewHeads, heartbeats: &[MemberHeartbeat]) {
         let all = self.keeper.library().all();
         for heartbeats in heartbeats.chunks(MAX_ITEMS).skip(1) {
             let beats = heartbeats.iter().map(MemberHeartbeat::message).collect();
@@ -161,7 +161,7 @@
 
     /// Asks a peer for rows that it has and we lack. One log at a time is asked of each peer, and no log of
     /// two: `pending` are those that some peer was asked for.
-    pub(super) fn request_rows(&mut self, link: Link, kind: Kind, pending: &mut BTreeSet<LogId>) {
+    pub(super) fn request_rows(&mut self, link: ConnectionId, kind: Kind, pending: &mut BTreeSet<LogId>) {
         let Some(peer) = self.peers.get_mut(&link) else { return };
         let library = self.keeper.logs(kind);
         if let Some(request) = peer.cursor_mut(kind).next_request(self.now, library, pending) {
@@ -170,7 +170,7 @@
         }
     }
 
-    fn write_request(&mut self, link: Link, kind: Kind, request: &RowRequest) {
+    fn write_request(&mut self, link: ConnectionId, kind: Kind, request: &RowRequest) {
         let RowRequest { id: LogId { writer, life }, after, digest, skip } = request;
         let (life, after, skip) = (*life, *after, *skip);
         let log = side_log(kind);
@@ -178,7 +178,7 @@
     }
 
     /// Answers a peer that asks for rows: with none where we have none for it.
-    pub(super) fn serve_rows(&mut self, link: Link, kind: Kind, request: &RowRequest) {
+    pub(super) fn serve_rows(&mut self, link: ConnectionId, kind: Kind, request: &RowRequest) {
         let RowRequest { id, after, digest, skip } = request;
         let LogId { writer, life } = id;
         let log = side_log(kind);
@@ -208,7 +208,7 @@
 
     /// Rows went over a connection. The failure defended against: where any rows count as use, no connection
     /// that was ever opened goes unused while there is work, and each member stays connected to all.
-    fn note_rows(&mut self, link: Link, bytes: usize) {
+    fn note_rows(&mut self, link: ConnectionId, bytes: usize) {
         if bytes >= CATCH_UP_BYTES {
             self.mark_used(link);
         }
@@ -220,7 +220,7 @@
     /// Where they don't follow what was sent before, or the library refuses them.
     pub(super) fn receive_rows(
         &mut self,
-        link: Link,
+        link: ConnectionId,
         kind: Kind,
         received: &ReceivedRows<'_>,
     ) -> Result<(), Bad> {
@@ -243,7 +243,7 @@
     /// Takes whole rows into the library.
     fn take_rows(
         &mut self,
-        link: Link,
+        link: ConnectionId,
         kind: Kind,
         received: &ReceivedRows<'_>,
         rows: &[&[u8]],
--- a/crates/ledger/src/exchange/share_transfer.rs
+++ b/crates/ledger/src/exchange/share_transfer.rs
@@ -4,18 +4,18 @@
 use mulleinhub_protocol::Message;
 use mulleinhub_quota::{Reply, Wanted};
 use mulleinhub_replicated_log::{Name, Parts};
-use mulleinhub_seam::Link;
+use mulleinhub_seam::ConnectionId;
 
 impl Exchange {
     /// A member asks for a part of our share.
-    pub(super) fn receive_share_ask(&mut self, link: Link, wanted: &Wanted) {
+    pub(super) fn receive_share_ask(&mut self, link: ConnectionId, wanted: &Wanted) {
         let shelf = self.shelf.clone();
         self.keeper.asked(self.now, &wanted.to, wanted.life, wanted, &mut &*shelf);
         self.mark_used(link);
     }
 
     /// A member answers what we asked it for: with a part of its share, or nothing.
-    pub(super) fn receive_share_given(&mut self, link: Link, from: &Name, team: &Name, parts: Parts) {
+    pub(super) fn receive_share_given(&mut self, link: ConnectionId, from: &Name, team: &Name, parts: Parts) {
         self.figures.gifts += u64::from(parts.sum() > 0);
         self.keeper.answered(self.now, from, team, parts);
         self.mark_used(link);
--- a/crates/ledger/src/exchange/work_logs.rs
+++ b/crates/ledger/src/exchange/work_logs.rs
@@ -11,7 +11,7 @@
 use mulleinhub_interface::Duration;
 use mulleinhub_protocol::{self as protocol, Bad, Message, SideLog};
 use mulleinhub_replicated_log::{Digest, Kind, LogHead, MemberState, Name};
-use mulleinhub_seam::Link;
+use mulleinhub_seam::ConnectionId;
 
 /// Least time between two looks at who can be a replica.
 const CHOICE_INTERVAL: Duration = Duration::from_nanos(200_000_000);
@@ -82,13 +82,13 @@
     // Heads.
 
     /// Whether work logs are replicated with a peer at all.
-    fn shares_work_logs(&self, link: Link) -> bool {
+    fn shares_work_logs(&self, link: ConnectionId) -> bool {
         self.keeper.reads_work_logs()
             && self.peers.get(&link).is_some_and(|peer| peer.greeted && peer.reads_work_logs)
     }
 
     /// Tells a peer the heads of work logs that concern it and are new to it.
-    pub(super) fn push_work_heads(&mut self, link: Link) {
+    pub(super) fn push_work_heads(&mut self, link: ConnectionId) {
         if !self.shares_work_logs(link) || self.links.unwritten(link) > MAX_UNREAD {
             return;
         }
@@ -116,7 +116,7 @@
     /// Where it tells of a work log that is neither its own nor ours: nobody has to ask it for that.
     pub(super) fn receive_work_heads(
         &mut self,
-        link: Link,
+        link: ConnectionId,
         all: Digest,
         heads: Vec<LogHead>,
         whole: bool,
@@ -143,7 +143,7 @@
     }
 
     /// Answers a request for rows of our own work log: the asker has it up to there.
-    pub(super) fn note_replica_has(&mut self, link: Link, number: u64) {
+    pub(super) fn note_replica_has(&mut self, link: ConnectionId, number: u64) {
         if let Some(peer) = self.peers.get_mut(&link) {
             peer.has_of_our_work = peer.has_of_our_work.max(number);
         }
--- a/crates/ledger/tests/net/mod.rs
+++ b/crates/ledger/tests/net/mod.rs
@@ -9,7 +9,7 @@
 use mulleinhub_replicated_log::{
     Change, Changes, Digest, Kept, KeptLogs, Kind, LogId, Name, Order, Reached, Site, Subject, Word,
 };
-use mulleinhub_seam::{Ask, End, Link, ListenerId, StateMachine};
+use mulleinhub_seam::{CloseReason, Command, ConnectionId, ListenerId, StateMachine};
 use std::cell::Cell;
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -74,10 +74,10 @@
     pub nodes: Vec<Option<Node>>,
     /// Pairs between whom nothing goes.
     pub cut: BTreeSet<(usize, usize)>,
-    wires: BTreeMap<(usize, Link), (usize, Link)>,
+    wires: BTreeMap<(usize, ConnectionId), (usize, ConnectionId)>,
     /// What goes to and comes from somebody who is no scheduler of ours.
     pub stranger: Vec<u8>,
-    stranger_link: Option<(usize, Link)>,
+    stranger_link: Option<(usize, ConnectionId)>,
     lives: u64,
     pub utc_off: u64,
     /// Messages by their kind.
@@ -176,12 +176,13 @@
     /// It dies at once; what is left of its disk.
     pub fn kill(&mut self, n: usize) -> Disk {
         let node = self.nodes[n].take().expect("is up");
-        let links: Vec<(usize, Link)> = self.wires.keys().filter(|(of, _)| *of == n).copied().collect();
+        let links: Vec<(usize, ConnectionId)> =
+            self.wires.keys().filter(|(of, _)| *of == n).copied().collect();
         for end in links {
             if let Some((other, link)) = self.wires.remove(&end) {
                 self.wires.remove(&(other, link));
                 if let Some(node) = &mut self.nodes[other] {
-                    node.exchange.ended(self.now, link, End::Broken);
+                    node.exchange.ended(self.now, link, CloseReason::Broken);
                 }
             }
         }
@@ -250,7 +251,7 @@
             }
             let Some(ask) = links.next_ask() else { return };
             match ask {
-                Ask::Open(link, address) => {
+                Command::Open(link, address) => {
                     let other: usize = address.parse().expect("is a number");
                     let apart = self.cut.contains(&(n.min(other), n.max(other)));
                     let now = self.now;
@@ -262,17 +263,17 @@
                             self.wires.insert((other, theirs), (n, link));
                             self.node(n).exchange.up(now, link);
                         }
-                        None => self.node(n).exchange.ended(now, link, End::Refused),
+                        None => self.node(n).exchange.ended(now, link, CloseReason::Refused),
                     }
                 }
-                Ask::End { link, .. } => {
+                Command::End { link, .. } => {
                     self.carry_link(n, link);
                     self.node(n).exchange.links().drop_link(link);
                     if let Some((other, theirs)) = self.wires.remove(&(n, link)) {
                         self.wires.remove(&(other, theirs));
                         let now = self.now;
                         if let Some(node) = &mut self.nodes[other] {
-                            node.exchange.ended(now, theirs, End::Closed);
+                            node.exchange.ended(now, theirs, CloseReason::Closed);
                         }
                     } else if self.stranger_link == Some((n, link)) {
                         self.stranger_link = None;
@@ -282,7 +283,7 @@
         }
     }
 
-    fn carry_link(&mut self, n: usize, link: Link) {
+    fn carry_link(&mut self, n: usize, link: ConnectionId) {
         let now = self.now;
         let wire = self.wires.get(&(n, link)).copied();
         let is_strange = self.stranger_link == Some((n, link));
--- a/crates/load/src/busy.rs
+++ b/crates/load/src/busy.rs
@@ -3,7 +3,7 @@
 use hdrhistogram::Histogram;
 use mulleinhub_interface::{Duration, Timestamp};
 use mulleinhub_protocol::{self as protocol, Conversation, Frames, Message, Shape};
-use mulleinhub_seam::{Connections, End, Link, ListenerId, StateMachine, Timers};
+use mulleinhub_seam::{CloseReason, ConnectionId, Connections, ListenerId, StateMachine, Timers};
 use std::collections::BTreeMap;
 
 #[derive(Clone, Debug)]
@@ -39,7 +39,7 @@
 #[derive(Debug)]
 struct Desk {
     to: String,
-    link: Option<Link>,
+    link: Option<ConnectionId>,
     up: bool,
     frames: Frames,
 }
@@ -181,11 +181,11 @@
 }
 
 impl StateMachine for Busy {
-    fn opened(&mut self, _: Timestamp, link: Link, _: ListenerId) {
+    fn opened(&mut self, _: Timestamp, link: ConnectionId, _: ListenerId) {
         self.links.abort(link);
     }
 
-    fn up(&mut self, now: Timestamp, link: Link) {
+    fn up(&mut self, now: Timestamp, link: ConnectionId) {
         let Some(desk) = self.desks.iter().position(|desk| desk.link == Some(link)) else { return };
         let has_tasks = self.out.values().any(|out| out.desk == desk);
         let name = format!("busy/{desk}");
@@ -199,7 +199,7 @@
         self.write(desk, &hello);
     }
 
-    fn received(&mut self, now: Timestamp, link: Link, bytes: &[u8]) {
+    fn received(&mut self, now: Timestamp, link: ConnectionId, bytes: &[u8]) {
         let Some(desk) = self.desks.iter().position(|desk| desk.link == Some(link)) else { return };
         self.desks[desk].frames.take(bytes);
         let mut frames = std::mem::take(&mut self.desks[desk].frames);
@@ -211,7 +211,7 @@
         self.desks[desk].frames = frames;
     }
 
-    fn ended(&mut self, now: Timestamp, link: Link, _: End) {
+    fn ended(&mut self, now: Timestamp, link: ConnectionId, _: CloseReason) {
         self.links.forget(link);
         if let Some(desk) = self.desks.iter().position(|desk| desk.link == Some(link)) {
             let to = std::mem::take(&mut self.desks[desk].to);
--- a/crates/planner/src/daemon.rs
+++ b/crates/planner/src/daemon.rs
@@ -7,7 +7,7 @@
 use mulleinhub_interface::{Timestamp, mix};
 use mulleinhub_ledger::{AdmissionHandle, Running, Start};
 use mulleinhub_replicated_log::Order;
-use mulleinhub_seam::{Connections, End, Link, ListenerId, StateMachine};
+use mulleinhub_seam::{CloseReason, ConnectionId, Connections, ListenerId, StateMachine};
 use mulleinhub_shell::{Clock, EventLoop, Step};
 use signal_hook::consts::{SIGHUP, SIGINT, SIGTERM};
 use std::collections::BTreeMap;
@@ -24,11 +24,11 @@
     engine: Engine,
     metrics: Metrics,
     /// Requests that are not whole yet.
-    readers: BTreeMap<Link, Vec<u8>>,
+    readers: BTreeMap<ConnectionId, Vec<u8>>,
 }
 
 impl Daemon {
-    fn answer(&mut self, link: Link) {
+    fn answer(&mut self, link: ConnectionId) {
         let request = self.readers.remove(&link).unwrap_or_default();
         let path = request.split(|b| *b == b' ').nth(1).unwrap_or_default();
         let (status, body) = match path {
@@ -51,7 +51,7 @@
 }
 
 impl StateMachine for Daemon {
-    fn opened(&mut self, now: Timestamp, link: Link, door: ListenerId) {
+    fn opened(&mut self, now: Timestamp, link: ConnectionId, door: ListenerId) {
         if door == METRICS {
             self.readers.insert(link, Vec::new());
         } else {
@@ -59,11 +59,11 @@
         }
     }
 
-    fn up(&mut self, now: Timestamp, link: Link) {
+    fn up(&mut self, now: Timestamp, link: ConnectionId) {
         self.engine.up(now, link);
     }
 
-    fn received(&mut self, now: Timestamp, link: Link, bytes: &[u8]) {
+    fn received(&mut self, now: Timestamp, link: ConnectionId, bytes: &[u8]) {
         let Some(request) = self.readers.get_mut(&link) else {
             return self.engine.received(now, link, bytes);
         };
@@ -76,7 +76,7 @@
         }
     }
 
-    fn ended(&mut self, now: Timestamp, link: Link, end: End) {
+    fn ended(&mut self, now: Timestamp, link: ConnectionId, end: CloseReason) {
         if self.readers.remove(&link).is_some() {
             self.engine.links().forget(link);
         } else {
@@ -88,7 +88,7 @@
         self.engine.turn_early(now);
     }
 
-    fn is_prompt(&self, link: Link) -> bool {
+    fn is_prompt(&self, link: ConnectionId) -> bool {
         self.engine.is_prompt(link)
     }
 
--- a/crates/platform/src/desk.rs
+++ b/crates/platform/src/desk.rs
@@ -7,13 +7,13 @@
 use crate::tasks::{Open, Tasks, hex};
 use crate::watch::{self, Watch};
 use mulleinhub::{Pcg, mix};
-use mulleinhub_interface::{Duration, Effect, Ending, MachineId, Mode, TaskId, Timestamp};
+use mulleinhub_interface::{Duration, Idempotency, MachineId, MachineState, Outcome, TaskId, Timestamp};
 use mulleinhub_limits::{
     Admission, Doorway, Limits, MOST_CONNECTIONS, Pool, connections_to_machines, tasks_held, tasks_in_hand,
 };
 use mulleinhub_pacing::{HEARTBEAT, PauseDetector, again};
 use mulleinhub_platform_protocol::{self as protocol, Cause, Event, kind, why};
-use mulleinhub_seam::{Connections, End, Link, Timers};
+use mulleinhub_seam::{CloseReason, ConnectionId, Connections, Timers};
 use mulleinhub_site::Site;
 use std::collections::VecDeque;
 use std::sync::Arc;
@@ -46,7 +46,7 @@
     /// The last instant at which this send may be written.
     Write(TaskId, u32),
     /// A connection that should be up by then.
-    Up(Link),
+    Up(ConnectionId),
     Look(MachineId),
     Release(MachineId),
     /// One for whom there was no room has had its time.
@@ -55,7 +55,7 @@
     GiveWay,
     /// A hand-over has waited long enough for its machine to be listed.
     HandOver,
-    Watch(Link),
+    Watch(ConnectionId),
     OpenWatch,
     Tell,
 }
@@ -106,13 +106,13 @@
     /// The list that the configuration knew; told first.
     pub saved: Vec<Event>,
     /// Connections to machines on which something came in.
-    arrivals: VecDeque<Link>,
+    arrivals: VecDeque<ConnectionId>,
     /// Owners of whom more came than is heard in a turn.
-    rest: Vec<Link>,
+    rest: Vec<ConnectionId>,
     /// Ends of sends that are to be told to the module.
-    pub closings: VecDeque<(TaskId, u32, Ending)>,
+    pub closings: VecDeque<(TaskId, u32, Outcome)>,
     /// Connections to machines that came up since the last turn.
-    came_up: Vec<Link>,
+    came_up: Vec<ConnectionId>,
     /// Tasks that nobody wants any more, to be told to the module.
     pub gone: Vec<TaskId>,
     pub timers: Timers<Due>,
@@ -124,7 +124,7 @@
     pub told_end: bool,
     pub counts: Counts,
     logged: (Timestamp, u32),
-    stuck: Vec<Link>,
+    stuck: Vec<ConnectionId>,
     scratch: Vec<u8>,
 }
 
@@ -187,12 +187,12 @@
 
     // What whoever feeds the party tells.
 
-    pub fn owner_came(&mut self, now: Timestamp, link: Link) {
+    pub fn owner_came(&mut self, now: Timestamp, link: ConnectionId) {
         self.now = self.now.max(now);
         self.owners.by_link.insert(link, Owner::new((self.now, self.stood.turns())));
         match self.limits.opened(self.now, link.0) {
             Ok(None) => {}
-            Ok(Some(idle)) => self.is_to_give_way(Link(idle)),
+            Ok(Some(idle)) => self.is_to_give_way(ConnectionId(idle)),
             Err(_) => {
                 let until = self.now + ASKS_WITHIN;
                 self.owners.by_link.get_mut(&link).expect("just came").turned_away = true;
@@ -203,7 +203,7 @@
     }
 
     /// An owner's connection without anything open on it is ended.
-    pub fn drop_owner(&mut self, link: Link) {
+    pub fn drop_owner(&mut self, link: ConnectionId) {
         self.limits.forget(link.0);
         self.owners.turned_away.retain(|(_, other)| *other != link);
         self.owners.by_link.remove(&link);
@@ -211,7 +211,7 @@
     }
 
     /// An idle connection is to make room, unless something of it is here when the turn has heard all.
-    pub fn is_to_give_way(&mut self, link: Link) {
+    pub fn is_to_give_way(&mut self, link: ConnectionId) {
         if let Some(owner) = self.owners.by_link.get_mut(&link) {
             owner.gives_way = Some(self.now);
             self.owners.giving_way.push(link);
@@ -243,13 +243,13 @@
     }
 
     /// Whether a part of a message is here that still has time to become whole.
-    fn is_within_a_message(&self, link: Link) -> bool {
+    fn is_within_a_message(&self, link: ConnectionId) -> bool {
         let since = self.owners.by_link.get(&link).and_then(|owner| owner.partial_since);
         since.is_some_and(|since| self.now - since < self.limits.settings().frame_within)
     }
 
     /// It spoke, so it makes no room.
-    fn stays(&mut self, link: Link) {
+    fn stays(&mut self, link: ConnectionId) {
         let Some(owner) = self.owners.by_link.get_mut(&link) else { return };
         owner.gives_way = None;
         let (proven, open, partial_since) = (owner.proven, owner.open.len() as u32, owner.partial_since);
@@ -286,7 +286,7 @@
         self.limits.takes().min(refused).min(most.saturating_sub(self.owners.by_link.len()))
     }
 
-    pub fn who(&self, link: Link) -> Option<Who> {
+    pub fn who(&self, link: ConnectionId) -> Option<Who> {
         if self.owners.by_link.contains_key(&link) {
             Some(Who::Owner)
         } else if self.machines.connections.contains_key(&link) {
@@ -296,7 +296,7 @@
         }
     }
 
-    pub fn is_up(&mut self, now: Timestamp, link: Link) {
+    pub fn is_up(&mut self, now: Timestamp, link: ConnectionId) {
         self.now = self.now.max(now);
         match self.who(link) {
             Some(Who::Machine) => {
@@ -314,7 +314,7 @@
         }
     }
 
-    pub fn came_in(&mut self, now: Timestamp, link: Link, bytes: &[u8]) {
+    pub fn came_in(&mut self, now: Timestamp, link: ConnectionId, bytes: &[u8]) {
         match self.who(link) {
             Some(Who::Owner) => {
                 let turns = self.stood.turns();
@@ -349,7 +349,7 @@
         }
     }
 
-    pub fn has_ended(&mut self, now: Timestamp, link: Link, end: End) {
+    pub fn has_ended(&mut self, now: Timestamp, link: ConnectionId, end: CloseReason) {
         self.now = self.now.max(now);
         match self.who(link) {
             Some(Who::Owner) => {
@@ -368,7 +368,7 @@
         }
     }
 
-    fn queue_owner(&mut self, link: Link) {
+    fn queue_owner(&mut self, link: ConnectionId) {
         let owner = self.owners.by_link.get_mut(&link).expect("is one");
         if std::mem::replace(&mut owner.queued, true) {
             return;
@@ -379,7 +379,7 @@
         }
     }
 
-    fn queue_machine(&mut self, link: Link) {
+    fn queue_machine(&mut self, link: ConnectionId) {
         let connection = self.machines.connections.get_mut(&link).expect("is one");
         if !std::mem::replace(&mut connection.queued, true) {
             self.arrivals.push_back(link);
@@ -387,7 +387,7 @@
     }
 
     /// More of it was here than is heard in one turn.
-    pub fn hear_rest_later(&mut self, link: Link) {
+    pub fn hear_rest_later(&mut self, link: ConnectionId) {
         if let Some(owner) = self.owners.by_link.get_mut(&link)
             && !std::mem::replace(&mut owner.queued, true)
         {
@@ -396,8 +396,8 @@
     }
 
     /// The next connection that something came in on.
-    pub fn next_arrival(&mut self) -> Option<Link> {
-        let link = self.arrivals.pop_front().or_else(|| self.limits.next_heard().map(Link))?;
+    pub fn next_arrival(&mut self) -> Option<ConnectionId> {
+        let link = self.arrivals.pop_front().or_else(|| self.limits.next_heard().map(ConnectionId))?;
         if let Some(owner) = self.owners.by_link.get_mut(&link) {
             owner.queued = false;
         } else if let Some(connection) = self.machines.connections.get_mut(&link) {
@@ -435,7 +435,7 @@
         for link in std::mem::take(&mut self.stuck) {
             self.grumble("ended: it doesn't read, and too much waits for it", &format!("link {}", link.0));
             match self.who(link) {
-                Some(Who::Owner | Who::Machine) => self.has_ended(self.now, link, End::Broken),
+                Some(Who::Owner | Who::Machine) => self.has_ended(self.now, link, CloseReason::Broken),
                 Some(Who::Watch) | None => {}
             }
         }
@@ -470,13 +470,13 @@
 
     // Writing.
 
-    pub fn send(&mut self, link: Link, write: impl FnOnce(&mut Vec<u8>)) {
+    pub fn send(&mut self, link: ConnectionId, write: impl FnOnce(&mut Vec<u8>)) {
         self.scratch.clear();
         write(&mut self.scratch);
         self.send_scratch(link, None);
     }
 
-    fn send_scratch(&mut self, link: Link, mark: Option<u64>) {
+    fn send_scratch(&mut self, link: ConnectionId, mark: Option<u64>) {
         self.links.send(link, &self.scratch, mark);
         if self.links.unwritten(link) > MOST_UNWRITTEN {
             self.stuck.push(link);
@@ -484,14 +484,14 @@
     }
 
     /// The end of a task that stood, or of one that is not in hand.
-    pub fn tell_end(&mut self, came_on: Option<Link>, task: TaskId, cause: Cause) {
+    pub fn tell_end(&mut self, came_on: Option<ConnectionId>, task: TaskId, cause: Cause) {
         if !self.tell_now(came_on, task, cause) {
             self.owners.owed.push_back((self.now, task, cause));
         }
     }
 
     /// False where no owner is connected to hear of it.
-    fn tell_now(&mut self, came_on: Option<Link>, task: TaskId, cause: Cause) -> bool {
+    fn tell_now(&mut self, came_on: Option<ConnectionId>, task: TaskId, cause: Cause) -> bool {
         let Some(link) = self.owners.to_tell(came_on) else { return false };
         tracing::debug!(task = hex(task), link = link.0, cause, "its owner is told");
         self.send(link, |out| protocol::write_with_cause(out, kind::RELEASE, task.0, cause));
@@ -513,7 +513,7 @@
     }
 
     /// A task is to be answered on this connection, or no longer.
-    pub fn hand(&mut self, link: Option<Link>, id: TaskId, more: bool) {
+    pub fn hand(&mut self, link: Option<ConnectionId>, id: TaskId, more: bool) {
         let Some(link) = link else { return };
         let Some(owner) = self.owners.by_link.get_mut(&link) else { return };
         if more {
@@ -549,14 +549,15 @@
             connection.up && connection.end.is_none() && !connection.queued && connection.open.is_empty()
         };
         let since = Timestamp::default() + (self.now - (Timestamp::default() + self.patience.connect));
-        let longest = self.pool.to_let_go(since, |conn| connections.get(&Link(conn)).is_some_and(is_idle));
+        let longest =
+            self.pool.to_let_go(since, |conn| connections.get(&ConnectionId(conn)).is_some_and(is_idle));
         let Some(longest) = longest else { return false };
-        self.end_connection(Link(longest));
+        self.end_connection(ConnectionId(longest));
         true
     }
 
     /// Asks for a connection to this machine; none where none may be opened.
-    pub fn open_connection(&mut self, id: MachineId) -> Option<Link> {
+    pub fn open_connection(&mut self, id: MachineId) -> Option<ConnectionId> {
         if self.machines.by_id.get(&id).is_none_or(|machine| machine.replaced) || !self.makes_room() {
             return None;
         }
@@ -575,7 +576,7 @@
     }
 
     /// Cuts a task that stands on a machine: at once where there is a connection, else on the next one.
-    pub fn cut(&mut self, id: MachineId, task: TaskId, came_on: Option<Link>) {
+    pub fn cut(&mut self, id: MachineId, task: TaskId, came_on: Option<ConnectionId>) {
         let connection = came_on.filter(|link| self.machines.connections.contains_key(link));
         let connection = connection.or_else(|| self.machines.connections_of(id).map(|(link, _)| link).next());
         if let Some(connection) = connection.or_else(|| self.open_connection(id)) {
@@ -602,7 +603,7 @@
     }
 
     /// A connection for a set-up: one with nothing open, a new one, or a shared one.
-    fn connection_for(&mut self, machine: MachineId, task: TaskId) -> Option<Link> {
+    fn connection_for(&mut self, machine: MachineId, task: TaskId) -> Option<ConnectionId> {
         let since = Timestamp::default() + (self.now - (Timestamp::default() + self.patience.idle));
         if let Some(link) = self.machines.free_connection(machine, task, since) {
             return Some(link);
@@ -626,13 +627,13 @@
         })
     }
 
-    pub fn forget_connection(&mut self, link: Link) -> Option<Connection> {
+    pub fn forget_connection(&mut self, link: ConnectionId) -> Option<Connection> {
         self.pool.over(link.0);
         self.machines.forget_connection(link)
     }
 
     /// Ends a connection to a machine on which nothing is open.
-    pub fn end_connection(&mut self, link: Link) {
+    pub fn end_connection(&mut self, link: ConnectionId) {
         self.forget_connection(link);
         self.links.end(link);
     }
@@ -680,13 +681,13 @@
 
     /// Ends the open send of a task from this side, unless its end is on its way already: it is taken back,
     /// or given up at its machine. The module is told what is proven, or `may_run` where nothing is.
-    pub fn give_up(&mut self, id: TaskId, may_run: Ending) {
+    pub fn give_up(&mut self, id: TaskId, may_run: Outcome) {
         let Some(job) = self.tasks.by_id.get(&id) else { return };
         let Some(open) = job.open else { return };
         if self.is_closing(id, open.number) {
             return;
         }
-        let cut = self.site.use_cases[job.order.use_case.0].effect == Effect::Replayable;
+        let cut = self.site.use_cases[job.order.use_case.0].effect == Idempotency::Idempotent;
         let ending = self.retract(id, open, cut).unwrap_or(may_run);
         self.closings.push_back((id, open.number, ending));
     }
@@ -708,7 +709,7 @@
         } else if let Some(machine) = self.machines.by_id.get_mut(&open.machine) {
             machine.waiting.retain(|waits| *waits != (id, send));
         }
-        self.closings.push_back((id, send, Ending::NotSent));
+        self.closings.push_back((id, send, Outcome::NotSent));
     }
 
     /// Takes back what was decided for this machine and not written yet: it drains, is gone, or another one
@@ -733,25 +734,25 @@
             return never;
         };
         let window = match (self.site.use_cases[job.order.use_case.0].effect, job.may_have_run) {
-            (Effect::Referenced { window, .. }, Some(first)) => first + window,
+            (Idempotency::Keyed { window, .. }, Some(first)) => first + window,
             _ => never,
         };
         machine.gate.stale_after(self.now, self.site.cold.fall).map_or(window, |cold| cold.min(window))
     }
 
     /// What proves that a send never ran, once it is taken back; nothing where it may.
-    fn retract(&mut self, id: TaskId, open: Open, cut: bool) -> Option<Ending> {
+    fn retract(&mut self, id: TaskId, open: Open, cut: bool) -> Option<Outcome> {
         let Some(link) = open.link else {
             if let Some(machine) = self.machines.by_id.get_mut(&open.machine) {
                 machine.waiting.retain(|waits| *waits != (id, open.number));
             }
-            return Some(Ending::NotSent);
+            return Some(Outcome::NotSent);
         };
         let back = self.links.take_back(link, open.mark);
         let connection = self.machines.connections.get_mut(&link)?;
         connection.open.retain(|task| *task != id);
         if back {
-            return Some(if connection.up { Ending::NotSent } else { Ending::NoConnection });
+            return Some(if connection.up { Outcome::NotSent } else { Outcome::NoConnection });
         }
         connection.gives_up(id, cut);
         self.send(link, |out| protocol::write_with_cause(out, kind::RELEASE, id.0, why::ENDED));
@@ -773,8 +774,8 @@
             let Some(open) = open.filter(is_it) else { continue };
             let machine = &self.machines.by_id[&id];
             let stale = machine.gate.is_stale(now, fall, open.decided) || open.write_by < now;
-            if stale || machine.entry.mode != Mode::Active {
-                self.closings.push_back((task, send, Ending::NotSent));
+            if stale || machine.entry.mode != MachineState::Active {
+                self.closings.push_back((task, send, Outcome::NotSent));
             } else if shut.is_some() || open.due <= now {
                 waits_on.push((task, send));
             } else if !self.write_setup(task) {
@@ -792,7 +793,7 @@
     pub fn waits_for_connection(&mut self, task: TaskId, send: u32, id: MachineId) {
         let machine = self.machines.by_id.get_mut(&id).expect("a machine that is sent to");
         if machine.replaced {
-            return self.closings.push_back((task, send, Ending::NoConnection));
+            return self.closings.push_back((task, send, Outcome::NoConnection));
         }
         machine.waiting.push((task, send));
         self.timers.set(self.now + self.patience.connect * CONNECTION_PART, Due::Release(id));
@@ -804,7 +805,7 @@
         for (task, open) in self.tasks.standing_on(id) {
             if open.placed_at.is_some_and(|at| at < before) {
                 lost += 1;
-                let loss = Ending::Broken(mulleinhub_interface::FailureCause::Untold);
+                let loss = Outcome::Lost(mulleinhub_interface::FailureCause::Unspecified);
                 self.closings.push_back((task, open.number, loss));
             }
         }
--- a/crates/platform/src/handover.rs
+++ b/crates/platform/src/handover.rs
@@ -1,9 +1,9 @@
 //! Hand-overs that cross something: the end of a task heard before its hand-over, and a hand-over heard
 //! before the list names its machine.
 
-use mulleinhub_interface::{Duration, MachineId, Order, TaskId, Timestamp};
+use mulleinhub_interface::{Duration, MachineId, TaskId, TaskSpec, Timestamp};
 use mulleinhub_platform_protocol::Cause;
-use mulleinhub_seam::Link;
+use mulleinhub_seam::ConnectionId;
 use std::collections::{BTreeMap, VecDeque};
 
 /// For so long a hand-over waits until a list names its machine: lists reach schedulers up to some two
@@ -16,9 +16,9 @@
 /// A task that runs on a machine which no list has named yet.
 #[derive(Clone, Copy, Debug)]
 pub struct Waiting {
-    pub order: Order,
+    pub order: TaskSpec,
     pub machine: MachineId,
-    pub owner: Link,
+    pub owner: ConnectionId,
     pub until: Timestamp,
     /// Its owner has ended it meanwhile.
     pub given_up: bool,
@@ -53,7 +53,13 @@
     }
 
     /// Waits for its machine to be listed; gives until when.
-    pub fn waits(&mut self, now: Timestamp, order: Order, machine: MachineId, owner: Link) -> Timestamp {
+    pub fn waits(
+        &mut self,
+        now: Timestamp,
+        order: TaskSpec,
+        machine: MachineId,
+        owner: ConnectionId,
+    ) -> Timestamp {
         let until = now + LISTED_WITHIN;
         self.waiting.push_back(Waiting { order, machine, owner, until, given_up: false });
         until
--- a/crates/platform/src/hear.rs
+++ b/crates/platform/src/hear.rs
@@ -8,15 +8,16 @@
 use crate::machines::{Machine, id_of};
 use crate::tasks::{Job, Open, Wanted, hex};
 use mulleinhub_interface::{
-    CellId, Duration, Effect, Ending, Entry, FailureCause, KindId, ListKind, MachineId, Mode, Order,
-    PolicyEvents, Rejection, Report, Resources, ServiceId, TaskId, TaskKey, Timestamp, UseCaseId, ZoneId,
+    CellId, Duration, FailureCause, Idempotency, KindId, ListKind, LoadReport, MachineEntry, MachineId,
+    MachineState, Outcome, PolicyEvents, Rejection, Resources, ServiceId, TaskId, TaskKey, TaskSpec,
+    Timestamp, UseCaseId, ZoneId,
 };
 use mulleinhub_limits::Act;
 use mulleinhub_pacing::again;
 use mulleinhub_platform_protocol::{
     self as protocol, Bad, Cause, Frame, Listed, SetUp, Unusable, Why, kind, why,
 };
-use mulleinhub_seam::{End, Link, Unsent};
+use mulleinhub_seam::{CloseReason, ConnectionId, Unsent};
 use std::cell::RefCell;
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -42,7 +43,7 @@
         all.extend(event.roster.targets.into_iter().map(|listed| (listed.uid.clone(), listed)));
     }
     let known: Vec<Listed> = all.into_values().collect();
-    list(desk, round, ListKind::Saved, &known);
+    list(desk, round, ListKind::Cached, &known);
     let d = &mut *desk.borrow_mut();
     d.open_watch();
     d.timers.set(d.now + TELL, Due::Tell);
@@ -73,17 +74,17 @@
 pub fn bulletin(desk: &RefCell<Desk>, round: &mut dyn PolicyEvents) {
     let events = std::mem::take(&mut desk.borrow_mut().watch.events);
     for event in events {
-        let kind = if event.roster.all { ListKind::Whole } else { ListKind::Changes };
+        let kind = if event.roster.all { ListKind::Snapshot } else { ListKind::Delta };
         list(desk, round, kind, &event.roster.targets);
     }
 }
 
 fn list(desk: &RefCell<Desk>, round: &mut dyn PolicyEvents, kind: ListKind, targets: &[Listed]) {
-    let entries: Vec<Entry> = {
+    let entries: Vec<MachineEntry> = {
         let d = &mut *desk.borrow_mut();
-        let entries: Vec<Entry> = targets.iter().map(|listed| entry(d, listed)).collect();
-        if kind != ListKind::Changes {
-            d.machines.by_id.values_mut().for_each(|machine| machine.entry.mode = Mode::Left);
+        let entries: Vec<MachineEntry> = targets.iter().map(|listed| entry(d, listed)).collect();
+        if kind != ListKind::Delta {
+            d.machines.by_id.values_mut().for_each(|machine| machine.entry.mode = MachineState::Removed);
         }
         let mut by_address = None;
         for (listed, entry) in targets.iter().zip(&entries) {
@@ -96,7 +97,7 @@
         let d = &mut *desk.borrow_mut();
         let known = &d.machines.by_id;
         let closed = |(_, machine): &(&MachineId, &Machine)| {
-            (machine.entry.mode != Mode::Active || machine.replaced)
+            (machine.entry.mode != MachineState::Active || machine.replaced)
                 && !(machine.connections.is_empty() && machine.waiting.is_empty())
         };
         let closed: Vec<MachineId> = known.iter().filter(closed).map(|(id, _)| *id).collect();
@@ -116,19 +117,19 @@
         .forget_gone(|id| tasks.by_id.values().any(|job| job.open.is_some_and(|open| open.machine == id)));
 }
 
-fn entry(d: &Desk, listed: &Listed) -> Entry {
+fn entry(d: &Desk, listed: &Listed) -> MachineEntry {
     let place = |names: &[String], name: &str| names.iter().position(|known| known == name);
-    Entry {
+    MachineEntry {
         id: id_of(&listed.uid),
         kind: KindId(place(&d.site.names.kinds, &listed.model).unwrap_or(usize::MAX)),
         // A number that only has to differ.
         cell: CellId(listed.pod_group as u32),
         zone: ZoneId(place(&d.site.names.zones, &listed.az).map_or(u32::MAX, |at| at as u32)),
         mode: match listed.state.as_str() {
-            "in_service" => Mode::Active,
-            "terminated" => Mode::Left,
+            "in_service" => MachineState::Active,
+            "terminated" => MachineState::Removed,
             // Nothing new goes where the state is not understood.
-            _ => Mode::Leaving,
+            _ => MachineState::Draining,
         },
         since: (listed.boot_ms > 0).then(|| Timestamp::from_nanos(listed.boot_ms.saturating_mul(1_000_000))),
         left: listed.room.map(|(cores, memory)| Resources::new(cores, memory)),
@@ -148,12 +149,12 @@
 
 /// A machine as the list tells it. A later start ended what had stood there; a machine at the address of
 /// another one ended that. Where any address is new, all are looked up by an index that is made once.
-fn is_listed(d: &mut Desk, index: &mut Option<ByAddress>, address: &str, entry: Entry) {
+fn is_listed(d: &mut Desk, index: &mut Option<ByAddress>, address: &str, entry: MachineEntry) {
     let (now, id) = (d.now, entry.id);
     let known = d.machines.by_id.get(&id);
     tracing::debug!(address, ?entry, "listed");
     let (moved, before) = (known.is_none_or(|m| m.address != address), known.and_then(|m| m.entry.since));
-    if moved && entry.mode != Mode::Left {
+    if moved && entry.mode != MachineState::Removed {
         let at_address = index.get_or_insert_with(|| by_address(d)).get(address);
         let is_there = |other: &&MachineId| {
             **other != id && d.machines.by_id.get(*other).is_some_and(|machine| machine.address == address)
@@ -165,7 +166,7 @@
             // What is not written yet must not reach the one that is there now.
             d.take_back_all(other);
             let idle = d.machines.connections_of(other).filter(|(_, connection)| connection.open.is_empty());
-            let idle: Vec<Link> = idle.map(|(link, _)| link).collect();
+            let idle: Vec<ConnectionId> = idle.map(|(link, _)| link).collect();
             idle.into_iter().for_each(|link| d.end_connection(link));
         }
     }
@@ -207,7 +208,7 @@
     }
 }
 
-fn hear_owner(desk: &RefCell<Desk>, round: &mut dyn PolicyEvents, link: Link) {
+fn hear_owner(desk: &RefCell<Desk>, round: &mut dyn PolicyEvents, link: ConnectionId) {
     // The frames are taken out for the while, so that messages can borrow them and the desk stays free.
     let take = |d: &mut Desk| Some(std::mem::take(&mut d.owners.by_link.get_mut(&link)?.frames));
     let Some(mut frames) = take(&mut desk.borrow_mut()) else { return };
@@ -273,7 +274,7 @@
 fn of_owner(
     desk: &RefCell<Desk>,
     round: &mut dyn PolicyEvents,
-    link: Link,
+    link: ConnectionId,
     frame: &Frame<'_>,
 ) -> Result<(), Bad> {
     match frame.kind {
@@ -292,13 +293,13 @@
 }
 
 /// It says what owners say.
-fn greets(d: &mut Desk, link: Link) {
+fn greets(d: &mut Desk, link: ConnectionId) {
     // Told again, it changes nothing.
     let _ = d.limits.greeted(link.0, &d.owners_name);
 }
 
 /// What came of it proves that it is an owner's.
-fn proves(d: &mut Desk, link: Link) {
+fn proves(d: &mut Desk, link: ConnectionId) {
     if let Some(owner) = d.owners.by_link.get_mut(&link) {
         owner.proven = true;
         d.limits.is_of_use(link.0);
@@ -308,7 +309,7 @@
 fn set_up(
     desk: &RefCell<Desk>,
     round: &mut dyn PolicyEvents,
-    link: Link,
+    link: ConnectionId,
     frame: &Frame<'_>,
 ) -> Result<(), Bad> {
     let mut borrowed = desk.borrow_mut();
@@ -393,9 +394,9 @@
 fn takes_over(
     desk: &RefCell<Desk>,
     round: &mut dyn PolicyEvents,
-    order: Order,
+    order: TaskSpec,
     machine: MachineId,
-    owner: Link,
+    owner: ConnectionId,
 ) {
     let mut borrowed = desk.borrow_mut();
     let d = &mut *borrowed;
@@ -419,7 +420,7 @@
 }
 
 /// The connection lives; "errored" promises nothing.
-fn refuse_unusable(d: &mut Desk, link: Link, id: TaskId, unusable: &Unusable) -> Result<(), Bad> {
+fn refuse_unusable(d: &mut Desk, link: ConnectionId, id: TaskId, unusable: &Unusable) -> Result<(), Bad> {
     d.counts.unusable += 1;
     d.grumble("a set-up can't be used", unusable.0);
     d.send(link, |out| protocol::write_refusal(out, id.0, why::ERROR, 0));
@@ -431,14 +432,14 @@
     let case = d.site.names.use_cases.iter().position(|name| name == setup.class);
     let case = case.ok_or(Unusable("an unknown class"))?;
     let use_case = &d.site.use_cases[case];
-    if matches!(use_case.effect, Effect::Referenced { .. }) && setup.key.is_none() {
+    if matches!(use_case.effect, Idempotency::Keyed { .. }) && setup.key.is_none() {
         return Err(Unusable("no key in a class that has keys"));
     }
     if std::str::from_utf8(setup.description).is_err() {
         return Err(Unusable("a description that is no text"));
     }
     let taking = &d.site.taking;
-    let largest = d.site.kinds.iter().fold(Resources::NONE, |most, size| most.at_least(*size));
+    let largest = d.site.kinds.iter().fold(Resources::ZERO, |most, size| most.at_least(*size));
     let asked = Resources::new(setup.figures.cores, setup.figures.memory);
     if !(largest + taking.beyond(largest)).fits(asked) {
         return Err(Unusable("more than any machine takes"));
@@ -450,8 +451,8 @@
     Ok(UseCaseId(case))
 }
 
-fn order(setup: &SetUp<'_>, use_case: UseCaseId, deadline: Timestamp) -> Order {
-    Order {
+fn order(setup: &SetUp<'_>, use_case: UseCaseId, deadline: Timestamp) -> TaskSpec {
+    TaskSpec {
         id: TaskId(setup.task),
         key: TaskKey(setup.name_number),
         use_case,
@@ -464,7 +465,7 @@
 
 /// An owner no longer wants a task: one that waits for its answer on this very connection, or one that
 /// stands.
-fn given_up(d: &mut Desk, link: Link, id: TaskId) {
+fn given_up(d: &mut Desk, link: ConnectionId, id: TaskId) {
     if d.handovers.give_up(id) {
         return;
     }
@@ -489,7 +490,7 @@
     let job = d.tasks.by_id.get_mut(&id).expect("is there");
     (job.abandoned, job.owner) = (true, None);
     if job.open.is_some() {
-        d.give_up(id, Ending::Recalled);
+        d.give_up(id, Outcome::Cancelled);
     } else {
         d.tasks.by_id.remove(&id);
     }
@@ -503,12 +504,12 @@
 }
 
 /// Tasks that are to be answered on this connection.
-fn open_on(d: &Desk, link: Link) -> Vec<TaskId> {
+fn open_on(d: &Desk, link: ConnectionId) -> Vec<TaskId> {
     d.owners.by_link.get(&link).map_or(Vec::new(), |owner| owner.open.iter().copied().collect())
 }
 
 /// A connection that speaks wrongly is ended by us. Nothing that was taken on it is left without an answer.
-fn close_owner(d: &mut Desk, link: Link) {
+fn close_owner(d: &mut Desk, link: ConnectionId) {
     for id in open_on(d, link) {
         d.send(link, |out| protocol::write_refusal(out, id.0, why::ERROR, 0));
         abandon(d, id);
@@ -516,7 +517,7 @@
     d.drop_owner(link);
 }
 
-fn owner_is_gone(d: &mut Desk, link: Link) {
+fn owner_is_gone(d: &mut Desk, link: ConnectionId) {
     for id in open_on(d, link) {
         abandon(d, id);
     }
@@ -533,10 +534,12 @@
             // There is no sign to ask for: a connection without a task in hand may be closed. Of one with a
             // task in hand the answer is ours. Met: an owner that waited for longer than the silence was let
             // go.
-            Act::AskForSign if d.owners.by_link.get(&Link(conn)).is_some_and(|o| !o.open.is_empty()) => {
+            Act::AskForSign
+                if d.owners.by_link.get(&ConnectionId(conn)).is_some_and(|o| !o.open.is_empty()) =>
+            {
                 d.limits.heard(now, conn);
             }
-            Act::AskForSign | Act::End(_) => close_owner(d, Link(conn)),
+            Act::AskForSign | Act::End(_) => close_owner(d, ConnectionId(conn)),
         }
     }
     d.give_way();
@@ -545,7 +548,7 @@
 
 // Machines.
 
-fn hear_machine(desk: &RefCell<Desk>, round: &mut dyn PolicyEvents, link: Link) {
+fn hear_machine(desk: &RefCell<Desk>, round: &mut dyn PolicyEvents, link: ConnectionId) {
     let take = |d: &mut Desk| Some(std::mem::take(&mut d.machines.connections.get_mut(&link)?.frames));
     let Some(mut frames) = take(&mut desk.borrow_mut()) else { return };
     loop {
@@ -558,7 +561,7 @@
             let d = &mut *desk.borrow_mut();
             d.counts.bad_machines += 1;
             d.grumble("a machine speaks wrongly; the connection ends", &bad.0);
-            connection_ended(d, link, End::Broken);
+            connection_ended(d, link, CloseReason::Broken);
             return;
         }
     }
@@ -574,7 +577,7 @@
 fn of_machine(
     desk: &RefCell<Desk>,
     round: &mut dyn PolicyEvents,
-    link: Link,
+    link: ConnectionId,
     frame: &Frame<'_>,
 ) -> Result<(), Bad> {
     let id = TaskId(frame.task);
@@ -598,7 +601,7 @@
 fn of_its_tasks(
     desk: &RefCell<Desk>,
     round: &mut dyn PolicyEvents,
-    link: Link,
+    link: ConnectionId,
     id: TaskId,
     frame: &Frame<'_>,
 ) -> Result<(), Bad> {
@@ -638,7 +641,13 @@
 }
 
 /// A machine says that a task stands.
-fn stands(desk: &RefCell<Desk>, round: &mut dyn PolicyEvents, link: Link, id: TaskId, description: &[u8]) {
+fn stands(
+    desk: &RefCell<Desk>,
+    round: &mut dyn PolicyEvents,
+    link: ConnectionId,
+    id: TaskId,
+    description: &[u8],
+) {
     let mut borrowed = desk.borrow_mut();
     let d = &mut *borrowed;
     let now = d.now;
@@ -691,7 +700,7 @@
 fn released(
     desk: &RefCell<Desk>,
     round: &mut dyn PolicyEvents,
-    link: Link,
+    link: ConnectionId,
     id: TaskId,
     cause: Cause,
     why: Option<Why>,
@@ -705,7 +714,7 @@
         let Some(job) = d.tasks.by_id.get(&id) else {
             // A refusal is the end of a send, and whoever ended a task is owed nothing.
             let refused = matches!(cause, why::FULL | why::BUSY | why::ERROR | why::MOOT);
-            if !refused && after_answer(cause, why) != Ending::Recalled {
+            if !refused && after_answer(cause, why) != Outcome::Cancelled {
                 d.handovers.has_ended(d.now, id, machine, cause, d.most_held);
             }
             return;
@@ -727,31 +736,31 @@
     }
 }
 
-fn before_answer(cause: Cause, told: Option<Why>) -> Ending {
+fn before_answer(cause: Cause, told: Option<Why>) -> Outcome {
     match cause {
-        why::FULL => Ending::Nacked(match told {
-            None => Rejection::Untold,
-            Some(Why::NoCores) => Rejection::NoCores,
-            Some(Why::NoMemory) => Rejection::NoMemory,
+        why::FULL => Outcome::Rejected(match told {
+            None => Rejection::Unspecified,
+            Some(Why::NoCores) => Rejection::InsufficientCores,
+            Some(Why::NoMemory) => Rejection::InsufficientMemory,
             Some(Why::LineFull) => Rejection::QueueFull,
             Some(Why::NotHere) => Rejection::NotHere,
-            Some(Why::Evicted | Why::PushedOut | Why::SentAway) => Rejection::HandedBack,
+            Some(Why::Evicted | Why::PushedOut | Why::SentAway) => Rejection::Returned,
         }),
-        why::ERROR => Ending::Errored,
-        why::MOOT => Ending::NotSent,
-        _ => Ending::Broken(FailureCause::Untold),
+        why::ERROR => Outcome::Failed,
+        why::MOOT => Outcome::NotSent,
+        _ => Outcome::Lost(FailureCause::Unspecified),
     }
 }
 
-fn after_answer(cause: Cause, told: Option<Why>) -> Ending {
+fn after_answer(cause: Cause, told: Option<Why>) -> Outcome {
     match cause {
-        why::ENDED => Ending::Ok,
-        why::CANCELLED => Ending::Recalled,
-        _ => Ending::Broken(match told {
+        why::ENDED => Outcome::Ok,
+        why::CANCELLED => Outcome::Cancelled,
+        _ => Outcome::Lost(match told {
             Some(Why::Evicted) => FailureCause::Evicted,
-            Some(Why::PushedOut) => FailureCause::PushedOut,
+            Some(Why::PushedOut) => FailureCause::Preempted,
             Some(Why::SentAway) => FailureCause::SentAway,
-            _ => FailureCause::Untold,
+            _ => FailureCause::Unspecified,
         }),
     }
 }
@@ -772,7 +781,7 @@
     round: &mut dyn PolicyEvents,
     id: TaskId,
     send: u32,
-    ending: Ending,
+    ending: Outcome,
     cause: Cause,
 ) {
     tracing::debug!(task = hex(id), send, ?ending, cause, "closed");
@@ -791,12 +800,12 @@
             let (owner, wanted) = (job.owner, !job.abandoned);
             d.tasks.by_id.remove(&id);
             // Whoever ended or moved it is owed nothing.
-            if wanted && ending != Ending::Recalled {
+            if wanted && ending != Outcome::Cancelled {
                 d.tell_end(owner, id, cause);
             }
             true
         } else {
-            if !matches!(ending, Ending::Nacked(_) | Ending::NoConnection | Ending::NotSent) {
+            if !matches!(ending, Outcome::Rejected(_) | Outcome::NoConnection | Outcome::NotSent) {
                 job.may_have_run.get_or_insert(open.decided);
             }
             let abandoned = job.abandoned;
@@ -806,11 +815,11 @@
             abandoned
         }
     };
-    round.closed(id, ending, over, Report::default());
+    round.closed(id, ending, over, LoadReport::default());
 }
 
 /// A connection to a machine is over, and what that proves of the set-ups on it.
-fn connection_ended(d: &mut Desk, link: Link, end: End) {
+fn connection_ended(d: &mut Desk, link: ConnectionId, end: CloseReason) {
     let unwritten = d.links.abort(link);
     let Some(connection) = d.forget_connection(link) else { return };
     let (now, id) = (d.now, connection.machine);
@@ -825,13 +834,13 @@
         );
     }
     let drawn = d.chance.part();
-    let others: Vec<Link> =
+    let others: Vec<ConnectionId> =
         d.machines.connections_of(id).filter(|(_, other)| other.up).map(|(link, _)| link).collect();
-    let refused = end == End::Refused;
+    let refused = end == CloseReason::Refused;
     if let Some(machine) = d.machines.by_id.get_mut(&id) {
         machine.gate.ended(now);
         machine.was_not_there(&connection, now, d.patience.idle);
-        if end == End::Untried {
+        if end == CloseReason::Untried {
             // A want of ours proves nothing of the machine.
             machine.retry_at = now + d.patience.look;
         } else if connection.up {
@@ -856,7 +865,7 @@
     for task in connection.open {
         let Some(job) = d.tasks.by_id.get_mut(&task) else { continue };
         let Some(open) = job.open.filter(|open| open.link == Some(link)) else { continue };
-        if end == End::Untried {
+        if end == CloseReason::Untried {
             job.open = Some(Open { link: None, ..open });
             d.waits_for_connection(task, open.number, id);
             continue;
@@ -870,7 +879,8 @@
                 continue;
             }
         }
-        let ending = if never_left { Ending::NoConnection } else { Ending::Broken(FailureCause::Untold) };
+        let ending =
+            if never_left { Outcome::NoConnection } else { Outcome::Lost(FailureCause::Unspecified) };
         d.closings.push_back((task, open.number, ending));
     }
     d.look_after(id);
@@ -886,7 +896,7 @@
         Due::Write(task, send) => d.take_back(task, send),
         Due::Up(link) => {
             if d.machines.connections.get(&link).is_some_and(|connection| !connection.up) {
-                connection_ended(d, link, End::Broken);
+                connection_ended(d, link, CloseReason::Broken);
             } else if d.watch.link == Some(link) && !d.watch.up {
                 d.watch_ended(true);
             }
@@ -927,7 +937,7 @@
 fn timed_out(d: &mut Desk, id: TaskId, send: u32) {
     let open = d.tasks.by_id.get(&id).and_then(|job| job.open);
     if open.is_some_and(|open| open.number == send && open.placed_at.is_none()) {
-        d.give_up(id, Ending::TimedOut);
+        d.give_up(id, Outcome::TimedOut);
     }
 }
 
@@ -944,7 +954,8 @@
     let mut up = d.machines.connections_of(id).filter(|(_, connection)| connection.up).count();
     let idle =
         d.machines.connections_of(id).filter(|(_, connection)| connection.up && connection.open.is_empty());
-    let idle: Vec<(Link, Timestamp)> = idle.map(|(link, connection)| (link, connection.used_at)).collect();
+    let idle: Vec<(ConnectionId, Timestamp)> =
+        idle.map(|(link, connection)| (link, connection.used_at)).collect();
     let quiet = now - heard_at;
     let cuts = !d.machines.by_id[&id].cuts.is_empty();
     // Where the pool is used up, machines where tasks stand are visited in turn, each well within the time
--- a/crates/platform/src/lib.rs
+++ b/crates/platform/src/lib.rs
@@ -24,7 +24,7 @@
 use desk::{Desk, Due};
 use mulleinhub::PlacementPolicy;
 use mulleinhub_interface::{Policy, Timestamp};
-use mulleinhub_seam::{Connections, End, Link, ListenerId, StateMachine};
+use mulleinhub_seam::{CloseReason, ConnectionId, Connections, ListenerId, StateMachine};
 use pen::Pen;
 use std::cell::RefCell;
 
@@ -63,19 +63,19 @@
 }
 
 impl StateMachine for Platform {
-    fn opened(&mut self, now: Timestamp, link: Link, _: ListenerId) {
+    fn opened(&mut self, now: Timestamp, link: ConnectionId, _: ListenerId) {
         self.desk.get_mut().owner_came(now, link);
     }
 
-    fn up(&mut self, now: Timestamp, link: Link) {
+    fn up(&mut self, now: Timestamp, link: ConnectionId) {
         self.desk.get_mut().is_up(now, link);
     }
 
-    fn received(&mut self, now: Timestamp, link: Link, bytes: &[u8]) {
+    fn received(&mut self, now: Timestamp, link: ConnectionId, bytes: &[u8]) {
         self.desk.get_mut().came_in(now, link, bytes);
     }
 
-    fn ended(&mut self, now: Timestamp, link: Link, end: End) {
+    fn ended(&mut self, now: Timestamp, link: ConnectionId, end: CloseReason) {
         self.desk.get_mut().has_ended(now, link, end);
     }
 
@@ -113,7 +113,7 @@
         self.desk.get_mut().end_turn();
     }
 
-    fn is_prompt(&self, link: Link) -> bool {
+    fn is_prompt(&self, link: ConnectionId) -> bool {
         !matches!(self.desk.borrow().who(link), Some(desk::Who::Owner) | None)
     }
 
@@ -133,7 +133,7 @@
         let desk = self.desk.get_mut();
         desk.now = desk.now.max(now);
         for conn in desk.limits.pinched(now) {
-            desk.is_to_give_way(Link(conn));
+            desk.is_to_give_way(ConnectionId(conn));
         }
     }
 }
--- a/crates/platform/src/machines.rs
+++ b/crates/platform/src/machines.rs
@@ -3,10 +3,10 @@
 //! A machine is its uid. A spoilt answer spends its connection with all that is open there, so a set-up has a
 //! connection to itself while the bound on connections allows it, and set-ups share when it does not.
 
-use mulleinhub_interface::{Duration, Entry, MachineId, Mode, TaskId, Timestamp};
+use mulleinhub_interface::{Duration, MachineEntry, MachineId, MachineState, TaskId, Timestamp};
 use mulleinhub_pacing::SlowStartGate;
 use mulleinhub_platform_protocol::Frames;
-use mulleinhub_seam::{End, Link};
+use mulleinhub_seam::{CloseReason, ConnectionId};
 use std::collections::{BTreeMap, VecDeque};
 
 /// Set-ups given up on one connection that are remembered there: a yes to one of them is a late one.
@@ -17,7 +17,7 @@
 pub struct Connection {
     pub machine: MachineId,
     pub frames: Frames,
-    pub end: Option<End>,
+    pub end: Option<CloseReason>,
     pub queued: bool,
     pub up: bool,
     /// When it came up, and when its machine had last shown before that it is there.
@@ -76,11 +76,11 @@
 
 #[derive(Debug)]
 pub struct Machine {
-    pub entry: Entry,
+    pub entry: MachineEntry,
     pub address: String,
     /// Another machine has its address: nothing there is this one's any more.
     pub replaced: bool,
-    pub connections: Vec<Link>,
+    pub connections: Vec<ConnectionId>,
     /// When it last showed that it is there.
     pub heard_at: Timestamp,
     /// Tries for a connection that failed since then, and when the next one may be made.
@@ -97,7 +97,7 @@
 }
 
 impl Machine {
-    pub fn new(entry: Entry, address: String, now: Timestamp) -> Self {
+    pub fn new(entry: MachineEntry, address: String, now: Timestamp) -> Self {
         Self {
             entry,
             address,
@@ -135,7 +135,7 @@
 #[derive(Debug, Default)]
 pub struct Machines {
     pub by_id: BTreeMap<MachineId, Machine>,
-    pub connections: BTreeMap<Link, Connection>,
+    pub connections: BTreeMap<ConnectionId, Connection>,
 }
 
 /// The number that stands for a uid with everybody: FNV-1a over its bytes, as it must be the same for all
@@ -149,8 +149,13 @@
     /// An open connection for a set-up of this task, with nothing else open on it: the one used last, and
     /// since then. Met: where machines close idle connections soon, a set-up was written as its machine
     /// closed.
-    pub fn free_connection(&self, machine: MachineId, task: TaskId, since: Timestamp) -> Option<Link> {
-        let fits = |(_, connection): &(Link, &Connection)| {
+    pub fn free_connection(
+        &self,
+        machine: MachineId,
+        task: TaskId,
+        since: Timestamp,
+    ) -> Option<ConnectionId> {
+        let fits = |(_, connection): &(ConnectionId, &Connection)| {
             connection.up
                 && connection.used_at > since
                 && connection.open.is_empty()
@@ -163,21 +168,21 @@
     }
 
     /// The connection to be shared where no more may be opened: the one with the fewest open set-ups.
-    pub fn shared_connection(&self, machine: MachineId, task: TaskId) -> Option<Link> {
-        let fits = |(_, connection): &(Link, &Connection)| connection.suits(task);
+    pub fn shared_connection(&self, machine: MachineId, task: TaskId) -> Option<ConnectionId> {
+        let fits = |(_, connection): &(ConnectionId, &Connection)| connection.suits(task);
         self.connections_of(machine)
             .filter(fits)
             .min_by_key(|(link, connection)| (connection.open.len(), *link))
             .map(|(l, _)| l)
     }
 
-    pub fn connections_of(&self, machine: MachineId) -> impl Iterator<Item = (Link, &Connection)> {
+    pub fn connections_of(&self, machine: MachineId) -> impl Iterator<Item = (ConnectionId, &Connection)> {
         let links = self.by_id.get(&machine).map_or(&[][..], |machine| &machine.connections);
         links.iter().filter_map(|link| Some((*link, self.connections.get(link)?)))
     }
 
     /// The machine said something on this connection, at this instant or later.
-    pub fn shows_life(&mut self, said_at: Timestamp, link: Link) {
+    pub fn shows_life(&mut self, said_at: Timestamp, link: ConnectionId) {
         let connection = self.connections.get_mut(&link).expect("a connection to a machine");
         connection.heard = true;
         if let Some(machine) = self.by_id.get_mut(&connection.machine) {
@@ -186,7 +191,7 @@
     }
 
     /// This connection came up, at this instant or later.
-    pub fn comes_up(&mut self, now: Timestamp, up_at: Timestamp, link: Link) {
+    pub fn comes_up(&mut self, now: Timestamp, up_at: Timestamp, link: ConnectionId) {
         let Some(connection) = self.connections.get_mut(&link) else { return };
         (connection.used_at, connection.up) = (now, true);
         if let Some(machine) = self.by_id.get_mut(&connection.machine) {
@@ -195,7 +200,7 @@
         }
     }
 
-    pub fn forget_connection(&mut self, link: Link) -> Option<Connection> {
+    pub fn forget_connection(&mut self, link: ConnectionId) -> Option<Connection> {
         let connection = self.connections.remove(&link)?;
         if let Some(machine) = self.by_id.get_mut(&connection.machine) {
             machine.connections.retain(|other| *other != link);
@@ -206,7 +211,9 @@
     /// Machines that are over, and of which nothing is left.
     pub fn forget_gone(&mut self, still_needed: impl Fn(MachineId) -> bool) {
         self.by_id.retain(|id, machine| {
-            machine.entry.mode != Mode::Left || !machine.connections.is_empty() || still_needed(*id)
+            machine.entry.mode != MachineState::Removed
+                || !machine.connections.is_empty()
+                || still_needed(*id)
         });
     }
 }
--- a/crates/platform/src/owners.rs
+++ b/crates/platform/src/owners.rs
@@ -2,13 +2,13 @@
 
 use mulleinhub_interface::{TaskId, Timestamp};
 use mulleinhub_platform_protocol::{Cause, Frames};
-use mulleinhub_seam::{End, Link};
+use mulleinhub_seam::{CloseReason, ConnectionId};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
 #[derive(Debug)]
 pub struct Owner {
     pub frames: Frames,
-    pub end: Option<End>,
+    pub end: Option<CloseReason>,
     pub queued: bool,
     /// Since when a part of a message has been here, if one is.
     pub partial_since: Option<Timestamp>,
@@ -51,18 +51,18 @@
 
 #[derive(Debug, Default)]
 pub struct Owners {
-    pub by_link: BTreeMap<Link, Owner>,
+    pub by_link: BTreeMap<ConnectionId, Owner>,
     /// Those that are to make room, as of the last turn and of this one.
-    pub giving_way: Vec<Link>,
+    pub giving_way: Vec<ConnectionId>,
     /// Those for whom there was no room, the first to come first, and until when they may ask.
-    pub turned_away: VecDeque<(Timestamp, Link)>,
+    pub turned_away: VecDeque<(Timestamp, ConnectionId)>,
     /// Releases that found no owner connected, oldest first.
     pub owed: VecDeque<(Timestamp, TaskId, Cause)>,
 }
 
 impl Owners {
     /// Where the end of a task is told: on the connection that it came on, else on the one that spoke last.
-    pub fn to_tell(&self, came_on: Option<Link>) -> Option<Link> {
+    pub fn to_tell(&self, came_on: Option<ConnectionId>) -> Option<ConnectionId> {
         let came_on = came_on.filter(|link| self.by_link.get(link).is_some_and(|owner| owner.end.is_none()));
         came_on.or_else(|| {
             let open = self.by_link.iter().filter(|(_, owner)| owner.proven && owner.end.is_none());
--- a/crates/platform/src/pen.rs
+++ b/crates/platform/src/pen.rs
@@ -5,7 +5,9 @@
 
 use crate::desk::{Desk, Due};
 use crate::tasks::Open;
-use mulleinhub_interface::{Dispatch, Duration, Effect, Ending, MachineId, Mode, Reach, TaskId, Timestamp};
+use mulleinhub_interface::{
+    Dispatch, Duration, FailureDomain, Idempotency, MachineId, MachineState, Outcome, TaskId, Timestamp,
+};
 use mulleinhub_platform_protocol::{self as protocol, kind, why};
 use std::cell::RefCell;
 
@@ -44,7 +46,7 @@
         job.open = Some(Open { write_by, ..Open::new(number, machine, now, due) });
         let spot = desk.machines.by_id.get_mut(&machine).expect("the module sends to listed machines");
         assert!(
-            spot.entry.mode == Mode::Active,
+            spot.entry.mode == MachineState::Active,
             "task {}: a send to a machine that drains or is gone",
             task.0
         );
@@ -60,7 +62,7 @@
         let desk = &mut *self.0.borrow_mut();
         let Some(open) = desk.tasks.by_id.get(&task).and_then(|job| job.open) else { return };
         if open.number == send && open.placed_at.is_none() {
-            desk.give_up(task, Ending::Recalled);
+            desk.give_up(task, Outcome::Cancelled);
         }
     }
 
@@ -69,8 +71,8 @@
         let job = &desk.tasks.by_id[&task];
         assert!(job.open.is_none(), "task {}: nacked with a send out", task.0);
         let harmless = match desk.site.use_cases[job.order.use_case.0].effect {
-            Effect::Replayable | Effect::Referenced { group: Reach::All, .. } => true,
-            Effect::Referenced { .. } | Effect::SingleUse => job.may_have_run.is_none(),
+            Idempotency::Idempotent | Idempotency::Keyed { domain: FailureDomain::All, .. } => true,
+            Idempotency::Keyed { .. } | Idempotency::NonIdempotent => job.may_have_run.is_none(),
         };
         assert!(harmless, "task {}: nacked though it may have run", task.0);
         desk.counts.nacked += 1;
--- a/crates/platform/src/stories/crossings.rs
+++ b/crates/platform/src/stories/crossings.rs
@@ -4,7 +4,7 @@
 use super::rig::*;
 use mulleinhub_interface::Duration;
 use mulleinhub_platform_protocol::{code, kind, why};
-use mulleinhub_seam::{End, Link, StateMachine};
+use mulleinhub_seam::{CloseReason, ConnectionId, StateMachine};
 use std::collections::BTreeSet;
 
 #[test]
@@ -187,7 +187,7 @@
         known.map(|machine| machine.address.clone()).collect::<BTreeSet<String>>()
     };
     assert_eq!(known(&mut rig), [address(1), address(2)].into(), "what was heard before is passed over");
-    rig.end(bulletin, End::Closed);
+    rig.end(bulletin, CloseReason::Closed);
     let again = rig.on(BULLETIN)[0];
     rig.say(again, b"HTTP/1.1 200 OK\r\n\r\n");
     say(&mut rig, again, event(1, true, &[listed(3, "in_service", 0)]));
@@ -253,7 +253,7 @@
     let owner = rig.owner();
     let connection = placed(&mut rig, owner, 1, "front");
     rig.doors.insert(address(1), Entrance::Refuses);
-    rig.end(connection, End::Broken);
+    rig.end(connection, CloseReason::Broken);
     let mut tries = 0;
     while rig.heard_on(owner).is_empty() {
         let failures = rig.platform.desk.get_mut().machines.by_id.values().map(|m| m.failures).sum();
@@ -282,7 +282,7 @@
     let late = rig.on(&address(1)).into_iter().find(|link| *link != connection).expect("a second one");
     assert!(rig.now - over > ms(2_500), "it was tried as the machine was quiet");
     rig.doors.insert(address(1), Entrance::Refuses);
-    rig.end(late, End::Closed);
+    rig.end(late, CloseReason::Closed);
     while rig.heard_on(owner).is_empty() {
         assert!(rig.now - over < ms(8_000), "its owner must have heard by now");
         rig.pass(ms(20));
@@ -291,11 +291,11 @@
 }
 
 /// Its client leaves while a send waits: by a cancel, or by its end.
-fn leaves(rig: &mut Rig, owner: Link, task: u64, cancels: bool) {
+fn leaves(rig: &mut Rig, owner: ConnectionId, task: u64, cancels: bool) {
     if cancels {
         rig.say(owner, &release(task, why::ENDED));
     } else {
-        rig.end(owner, End::Closed);
+        rig.end(owner, CloseReason::Closed);
     }
 }
 
--- a/crates/platform/src/stories/fleet.rs
+++ b/crates/platform/src/stories/fleet.rs
@@ -3,7 +3,7 @@
 use super::rig::*;
 use mulleinhub_interface::Duration;
 use mulleinhub_platform_protocol::{code, kind, why};
-use mulleinhub_seam::{Link, ListenerId, StateMachine};
+use mulleinhub_seam::{ConnectionId, ListenerId, StateMachine};
 use std::collections::BTreeSet;
 
 /// Descriptors that the rig's configuration gives, and what of them is owners' and our own.
@@ -11,7 +11,7 @@
 const OTHERS: usize = 256 / 3 + 64;
 
 /// A scheduler that holds one task on each of so many machines.
-fn fleet(machines: u64) -> (Rig, Link) {
+fn fleet(machines: u64) -> (Rig, ConnectionId) {
     let mut rig = Rig::of(machines, |conf| conf.replace(r#""memory_mb":32"#, r#""memory_mb":64"#));
     let owner = rig.owner();
     for n in 1..=machines {
@@ -55,10 +55,11 @@
         let (mut rig, owner) = fleet(machines);
         pass_within_bounds(&mut rig, Duration::from_secs(4));
         // All end at one instant; each machine tells on the next connection that is opened to it.
-        let (mut told, mut seen) = (BTreeSet::new(), rig.opened.keys().copied().collect::<BTreeSet<Link>>());
+        let (mut told, mut seen) =
+            (BTreeSet::new(), rig.opened.keys().copied().collect::<BTreeSet<ConnectionId>>());
         for _ in 0..160 {
             pass_within_bounds(&mut rig, ms(50));
-            let fresh: Vec<(Link, String)> = rig
+            let fresh: Vec<(ConnectionId, String)> = rig
                 .opened
                 .iter()
                 .filter(|(link, _)| !seen.contains(link))
@@ -82,10 +83,10 @@
     let mut rig = Rig::new(20);
     // As many as may say nothing at a time.
     let strangers = DESCRIPTORS / 8;
-    let early: Vec<Link> = (0..strangers).map(|_| rig.comes()).collect();
+    let early: Vec<ConnectionId> = (0..strangers).map(|_| rig.comes()).collect();
     rig.turn();
     // As many more come in one step, and what the early ones had sent before is read behind that.
-    let late: Vec<Link> = (0..strangers).map(|_| rig.comes()).collect();
+    let late: Vec<ConnectionId> = (0..strangers).map(|_| rig.comes()).collect();
     for (task, link) in (1..).zip(&early) {
         let bytes = set_up(task, "front", "");
         rig.platform.received(rig.now, *link, &bytes);
@@ -146,7 +147,7 @@
     rig.say(connection, &yes(2));
     assert_eq!(rig.heard_on(owner)[0].kind, kind::ANSWER);
     // And for longer: what stands is not called lost for it, before silence tells.
-    rig.end(connection, mulleinhub_seam::End::Closed);
+    rig.end(connection, mulleinhub_seam::CloseReason::Closed);
     rig.doors.insert(address(1), Entrance::Untried);
     rig.pass(Duration::from_secs(6));
     assert!(rig.heard_on(owner).is_empty(), "they stand");
--- a/crates/platform/src/stories/large_lists.rs
+++ b/crates/platform/src/stories/large_lists.rs
@@ -2,7 +2,7 @@
 
 use super::rig::*;
 use mulleinhub_platform_protocol::kind;
-use mulleinhub_seam::Link;
+use mulleinhub_seam::ConnectionId;
 
 const FLEET: u64 = 10_000;
 
@@ -11,7 +11,7 @@
 }
 
 /// The connection on which the bulletin tells.
-fn bulletin(rig: &Rig) -> Link {
+fn bulletin(rig: &Rig) -> ConnectionId {
     *rig.on(BULLETIN).last().expect("it is called")
 }
 
@@ -34,7 +34,7 @@
 }
 
 /// A task that stands on each of these machines, told by its owner.
-fn stand(rig: &mut Rig, machines: &[u64]) -> Link {
+fn stand(rig: &mut Rig, machines: &[u64]) -> ConnectionId {
     let owner = rig.owner();
     for n in machines {
         rig.say(owner, &set_up(*n, "batch", &format!(";at:{}", uid(*n))));
