--- a/crates/platform/src/stories/mod.rs
+++ b/crates/platform/src/stories/mod.rs
@@ -9,11 +9,11 @@
 
 use mulleinhub_interface::{Duration, Timestamp};
 use mulleinhub_platform_protocol::{code, kind, why};
-use mulleinhub_seam::{End, Link};
+use mulleinhub_seam::{CloseReason, ConnectionId};
 use rig::*;
 
 /// Places a task: the owner's connection, and the one to the machine.
-fn placed(rig: &mut Rig, owner: Link, task: u64, class: &str) -> Link {
+fn placed(rig: &mut Rig, owner: ConnectionId, task: u64, class: &str) -> ConnectionId {
     rig.say(owner, &set_up(task, class, ""));
     let (connection, said) = rig.set_ups().pop().expect("it is sent at once");
     assert_eq!(said.task, task);
@@ -58,7 +58,7 @@
     // Its return to the machine is drawn, as many come back at one instant.
     rig.pass(ms(500));
     let connection = rig.on(&address(2))[0];
-    rig.end(owner, End::Closed);
+    rig.end(owner, CloseReason::Closed);
     rig.say(connection, &release(5, why::ENDED));
     rig.pass(ms(900));
     // One that only asks is not told: it need be no owner.
@@ -170,10 +170,10 @@
     rig.stuck.insert(connection);
     rig.say(owner, &set_up(2, "front", ""));
     assert!(rig.set_ups().is_empty(), "it waits in our own buffer");
-    rig.end(connection, End::Broken);
+    rig.end(connection, CloseReason::Broken);
     let (second, said) = rig.set_ups().pop().expect("the same send on a new connection");
     assert_eq!(said.task, 2);
-    rig.end(second, End::Broken);
+    rig.end(second, CloseReason::Broken);
     rig.pass(ms(10));
     assert!(rig.set_ups().is_empty(), "it left: it may have run, and its machine rests");
 }
@@ -195,7 +195,7 @@
         }
         assert!(rig.heard_on(owner).is_empty(), "it stands");
         if dies {
-            rig.end(way, End::Broken);
+            rig.end(way, CloseReason::Broken);
             rig.pass(ms(1_200));
         } else {
             // Of one that stopped and left this open owners hear within eight seconds.
@@ -219,7 +219,7 @@
     let connections = rig.on(&address(1));
     assert_eq!((connections.len(), rig.heard_on(owner).len()), (2, 2));
     rig.doors.insert(address(1), Entrance::Refuses);
-    rig.end(connections[0], End::Broken);
+    rig.end(connections[0], CloseReason::Broken);
     rig.pass(ms(7_900));
     assert_eq!(rig.heard_on(owner).len(), 2, "both are released");
 }
@@ -281,7 +281,7 @@
     let bulletin = rig.on(BULLETIN)[0];
     let two = event(2, false, &[listed(2, "in_service", 0)]);
     rig.say(bulletin, format!("id: 2\ndata: {two}\n\nid: 3\ndata: {{\"no\":3,").as_bytes());
-    rig.end(bulletin, End::Broken);
+    rig.end(bulletin, CloseReason::Broken);
     let again = rig.on(BULLETIN)[0];
     let call = String::from_utf8(rig.raw[&again].clone()).unwrap();
     assert!(call.contains("Last-Event-ID: 2\r\n"), "{call}");
@@ -363,7 +363,7 @@
     assert!(rig.closed.contains(&silent) && rig.closed.contains(&half));
     let good = rig.owner();
     placed(&mut rig, good, 2, "front");
-    let crowd: Vec<Link> = (0..400).map(|_| rig.owner()).collect();
+    let crowd: Vec<ConnectionId> = (0..400).map(|_| rig.owner()).collect();
     let open = crowd.iter().filter(|link| !rig.closed.contains(link)).count();
     assert!(open <= 256 / 8, "{open}");
     assert!(!rig.closed.contains(&good));
@@ -399,7 +399,7 @@
     assert_eq!(rig.heard_on(owner)[0].cause(), Some(why::BUSY));
     rig.pass(ms(500));
     let connection = rig.on(&address(1))[0];
-    rig.end(owner, End::Closed);
+    rig.end(owner, CloseReason::Closed);
     (1..=128).for_each(|task| rig.say(connection, &release(task, why::ENDED)));
     assert_eq!(rig.platform.desk.get_mut().owners.owed.len(), 128);
     rig.pass(Duration::from_secs(61));
@@ -413,7 +413,7 @@
         let owner = rig.owner();
         let connection = placed(&mut rig, owner, 1_000 + n, if n % 2 == 0 { "front" } else { "batch" });
         rig.say(connection, &release(1_000 + n, why::ENDED));
-        rig.end(owner, End::Closed);
+        rig.end(owner, CloseReason::Closed);
         let (new, bulletin) = (100 + n, rig.on(BULLETIN)[0]);
         for (no, state) in [(2 + 2 * n, "in_service"), (3 + 2 * n, "terminated")] {
             let event = event(no, false, &[listed(new, state, 0)]);
--- a/crates/platform/src/stories/ramp.rs
+++ b/crates/platform/src/stories/ramp.rs
@@ -6,7 +6,7 @@
 use mulleinhub::{Pcg, mix};
 use mulleinhub_interface::{Duration, Timestamp};
 use mulleinhub_platform_protocol::why;
-use mulleinhub_seam::Link;
+use mulleinhub_seam::ConnectionId;
 use std::collections::BTreeMap;
 
 const FALL: Duration = Duration::from_secs(1);
@@ -16,11 +16,11 @@
 
 struct One {
     rig: Rig,
-    owner: Link,
+    owner: ConnectionId,
     /// When each change of the list reaches it, and what was told.
     to_tell: Vec<(Timestamp, Vec<String>)>,
     told: u64,
-    held_back: Vec<(Timestamp, Link)>,
+    held_back: Vec<(Timestamp, ConnectionId)>,
 }
 
 struct Fleet {
@@ -86,7 +86,7 @@
                 } else {
                     one.rig.doors.remove(&address(n));
                 }
-                let waiting: Vec<Link> =
+                let waiting: Vec<ConnectionId> =
                     one.rig.on(&address(n)).into_iter().filter(|link| one.rig.stuck.contains(link)).collect();
                 for link in waiting {
                     if !one.held_back.iter().any(|(_, other)| *other == link) {
@@ -94,7 +94,7 @@
                     }
                 }
             }
-            let up: Vec<Link> =
+            let up: Vec<ConnectionId> =
                 one.held_back.iter().filter(|(at, _)| *at <= now).map(|(_, link)| *link).collect();
             one.held_back.retain(|(at, _)| *at > now);
             for link in up {
--- a/crates/platform/src/stories/rig.rs
+++ b/crates/platform/src/stories/rig.rs
@@ -4,7 +4,7 @@
 use crate::{Conf, Platform};
 use mulleinhub_interface::{Duration, Timestamp};
 use mulleinhub_platform_protocol::{Frames, code, kind, write_message};
-use mulleinhub_seam::{Ask, End, Link, ListenerId, StateMachine};
+use mulleinhub_seam::{CloseReason, Command, ConnectionId, ListenerId, StateMachine};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// A message as it was written, for looking at.
@@ -42,13 +42,13 @@
     pub now: Timestamp,
     pub doors: BTreeMap<String, Entrance>,
     /// Connections that the scheduler opened, by address, and whether bytes are taken from them.
-    pub opened: BTreeMap<Link, String>,
-    pub stuck: BTreeSet<Link>,
-    owners: BTreeSet<Link>,
-    frames: BTreeMap<Link, Frames>,
-    pub raw: BTreeMap<Link, Vec<u8>>,
-    heard: Vec<(Link, Said)>,
-    pub closed: BTreeSet<Link>,
+    pub opened: BTreeMap<ConnectionId, String>,
+    pub stuck: BTreeSet<ConnectionId>,
+    owners: BTreeSet<ConnectionId>,
+    frames: BTreeMap<ConnectionId, Frames>,
+    pub raw: BTreeMap<ConnectionId, Vec<u8>>,
+    heard: Vec<(ConnectionId, Said)>,
+    pub closed: BTreeSet<ConnectionId>,
 }
 
 pub const BULLETIN: &str = "127.0.0.1:8500";
@@ -156,7 +156,7 @@
             }
             let Some(ask) = self.platform.links().next_ask() else { return back };
             match ask {
-                Ask::Open(link, to) => {
+                Command::Open(link, to) => {
                     self.opened.insert(link, to.clone());
                     match self.doors.get(&to).copied().unwrap_or(Entrance::Open) {
                         Entrance::Open => {
@@ -165,7 +165,11 @@
                         }
                         door @ (Entrance::Refuses | Entrance::Untried) => {
                             self.opened.remove(&link);
-                            let end = if door == Entrance::Refuses { End::Refused } else { End::Untried };
+                            let end = if door == Entrance::Refuses {
+                                CloseReason::Refused
+                            } else {
+                                CloseReason::Untried
+                            };
                             self.platform.ended(self.now, link, end);
                         }
                         Entrance::Silent => {
@@ -174,7 +178,7 @@
                     }
                     back = true;
                 }
-                Ask::End { link, .. } => {
+                Command::End { link, .. } => {
                     self.take_from(link);
                     self.platform.links().drop_link(link);
                     self.opened.remove(&link);
@@ -184,7 +188,7 @@
         }
     }
 
-    fn take_from(&mut self, link: Link) {
+    fn take_from(&mut self, link: ConnectionId) {
         let is_there = self.owners.contains(&link) || self.opened.contains_key(&link);
         if !is_there || self.stuck.contains(&link) {
             return;
@@ -215,38 +219,39 @@
 
     /// The bulletin's comment, so that it is not silent.
     fn bulletin_lives(&mut self) {
-        let open: Vec<Link> = self.on(BULLETIN).into_iter().filter(|l| !self.stuck.contains(l)).collect();
+        let open: Vec<ConnectionId> =
+            self.on(BULLETIN).into_iter().filter(|l| !self.stuck.contains(l)).collect();
         for link in open {
             self.platform.received(self.now, link, b": \n\n");
         }
     }
 
     /// Connections that the scheduler has open to this address.
-    pub fn on(&self, address: &str) -> Vec<Link> {
+    pub fn on(&self, address: &str) -> Vec<ConnectionId> {
         self.opened.iter().filter(|(_, to)| *to == address).map(|(link, _)| *link).collect()
     }
 
-    pub fn owner(&mut self) -> Link {
+    pub fn owner(&mut self) -> ConnectionId {
         let link = self.comes();
         self.turn();
         link
     }
 
     /// An owner's connection is taken, and no turn follows yet.
-    pub fn comes(&mut self) -> Link {
+    pub fn comes(&mut self) -> ConnectionId {
         let link = self.platform.links().fresh();
         self.owners.insert(link);
         self.platform.opened(self.now, link, ListenerId(0));
         link
     }
 
-    pub fn say(&mut self, link: Link, bytes: &[u8]) {
+    pub fn say(&mut self, link: ConnectionId, bytes: &[u8]) {
         self.platform.received(self.now, link, bytes);
         self.turn();
     }
 
     /// The other side ends this connection.
-    pub fn end(&mut self, link: Link, end: End) {
+    pub fn end(&mut self, link: ConnectionId, end: CloseReason) {
         self.opened.remove(&link);
         self.platform.ended(self.now, link, end);
         self.turn();
@@ -254,7 +259,7 @@
 
     /// A connection that was held back comes up: what waits for it leaves once the scheduler has had its
     /// turn.
-    pub fn comes_up(&mut self, link: Link) {
+    pub fn comes_up(&mut self, link: ConnectionId) {
         self.platform.up(self.now, link);
         self.platform.turn(self.now);
         self.stuck.remove(&link);
@@ -263,18 +268,18 @@
     }
 
     /// What was said on connections for which this holds, and was not looked at yet.
-    pub fn heard(&mut self, which: impl Fn(Link) -> bool) -> Vec<(Link, Said)> {
+    pub fn heard(&mut self, which: impl Fn(ConnectionId) -> bool) -> Vec<(ConnectionId, Said)> {
         let (taken, left) = std::mem::take(&mut self.heard).into_iter().partition(|(link, _)| which(*link));
         self.heard = left;
         taken
     }
 
-    pub fn heard_on(&mut self, link: Link) -> Vec<Said> {
+    pub fn heard_on(&mut self, link: ConnectionId) -> Vec<Said> {
         self.heard(|other| other == link).into_iter().map(|(_, said)| said).collect()
     }
 
     /// Set-ups that machines got and nobody looked at yet.
-    pub fn set_ups(&mut self) -> Vec<(Link, Said)> {
+    pub fn set_ups(&mut self) -> Vec<(ConnectionId, Said)> {
         let owners = self.owners.clone();
         let all = self.heard(|link| !owners.contains(&link));
         let (set_ups, others): (Vec<_>, Vec<_>) =
@@ -283,7 +288,7 @@
         set_ups
     }
 
-    pub fn address_of(&self, link: Link) -> &str {
+    pub fn address_of(&self, link: ConnectionId) -> &str {
         &self.opened[&link]
     }
 }
--- a/crates/platform/src/stories/rules.rs
+++ b/crates/platform/src/stories/rules.rs
@@ -4,18 +4,18 @@
 use mulleinhub::Pcg;
 use mulleinhub_interface::{Duration, Timestamp};
 use mulleinhub_platform_protocol::{kind, why};
-use mulleinhub_seam::{End, Link, StateMachine};
+use mulleinhub_seam::{CloseReason, ConnectionId, StateMachine};
 use std::collections::BTreeMap;
 
 /// What the oracle knows of a task from what passed.
 struct Known {
-    owner: Link,
+    owner: ConnectionId,
     deadline: Timestamp,
     keyed: bool,
     service: u64,
     answers: usize,
     /// Sends: their connection, machine, when, and whether they are out, and may have run.
-    sends: Vec<(Link, u64, Timestamp, bool, bool)>,
+    sends: Vec<(ConnectionId, u64, Timestamp, bool, bool)>,
     stands: bool,
     /// Its machine has told its end.
     over: bool,
@@ -45,7 +45,7 @@
     tasks: BTreeMap<u64, Known>,
     /// When each machine was told to drain.
     drains: BTreeMap<u64, Timestamp>,
-    connections: BTreeMap<Link, u64>,
+    connections: BTreeMap<ConnectionId, u64>,
     seen: Seen,
 }
 
@@ -94,7 +94,7 @@
         }
     }
 
-    fn sent(&mut self, link: Link, machine: u64, id: u64, now: Timestamp) {
+    fn sent(&mut self, link: ConnectionId, machine: u64, id: u64, now: Timestamp) {
         let limit = |keyed: bool| if keyed { 2 } else { 1 };
         let (service, keyed) = (self.tasks[&id].service, self.tasks[&id].keyed);
         let held = self.tasks.values().filter(|task| task.service == service && task.keyed == keyed);
@@ -124,7 +124,7 @@
     }
 
     /// A client cancels one of its tasks, or leaves with all of them. The turn comes after this.
-    fn leaves(&mut self, owners: &mut [Link], chance: &mut Pcg) {
+    fn leaves(&mut self, owners: &mut [ConnectionId], chance: &mut Pcg) {
         let at = chance.below(owners.len());
         let owner = owners[at];
         let waits = |(_, task): &(&u64, &Known)| task.owner == owner && task.answers == 0 && !task.left;
@@ -133,7 +133,7 @@
             return;
         }
         let gone = if chance.below(3) == 0 {
-            let end = if chance.below(2) == 0 { End::Closed } else { End::Broken };
+            let end = if chance.below(2) == 0 { CloseReason::Closed } else { CloseReason::Broken };
             self.rig.platform.ended(self.rig.now, owner, end);
             owners[at] = self.rig.comes();
             waiting
@@ -150,8 +150,8 @@
 
     /// Connections to one machine are held back for a while, or come up: then the client's leaving may lie
     /// here.
-    fn holds_back(&mut self, owners: &mut [Link], chance: &mut Pcg) {
-        let stuck: Vec<Link> = self.rig.stuck.iter().copied().collect();
+    fn holds_back(&mut self, owners: &mut [ConnectionId], chance: &mut Pcg) {
+        let stuck: Vec<ConnectionId> = self.rig.stuck.iter().copied().collect();
         let machine = address(1 + chance.below(6) as u64);
         if stuck.is_empty() || chance.below(2) == 0 {
             self.rig.doors.insert(machine, Entrance::Silent);
@@ -178,7 +178,7 @@
             .tasks
             .iter()
             .flat_map(|(id, task)| task.sends.iter().filter(|send| send.3).map(move |send| (*id, send.0)));
-        let out: Vec<(u64, Link)> = out.collect();
+        let out: Vec<(u64, ConnectionId)> = out.collect();
         if out.is_empty() {
             return;
         }
@@ -207,7 +207,7 @@
                 self.seen.spoilt += 1;
                 match chance.below(2) {
                     0 => self.rig.say(link, b"\0\0noise"),
-                    _ => self.rig.end(link, End::Broken),
+                    _ => self.rig.end(link, CloseReason::Broken),
                 }
             }
             4 | 5 => {}
@@ -228,7 +228,7 @@
         connections: BTreeMap::new(),
         seen: Seen::default(),
     };
-    let mut owners: Vec<Link> = (0..4).map(|_| judge.rig.owner()).collect();
+    let mut owners: Vec<ConnectionId> = (0..4).map(|_| judge.rig.owner()).collect();
     let mut events = 1;
     for step in 0..600u64 {
         let owner = owners[chance.below(owners.len())];
@@ -270,7 +270,7 @@
                 judge.seen.drained += 1;
             }
             _ => {
-                let standing: Vec<(u64, Link)> = judge
+                let standing: Vec<(u64, ConnectionId)> = judge
                     .tasks
                     .iter()
                     .filter(|(_, task)| task.stands && !task.over)
--- a/crates/platform/src/tasks.rs
+++ b/crates/platform/src/tasks.rs
@@ -1,7 +1,7 @@
 //! Tasks in hand, and their sends.
 
-use mulleinhub_interface::{MachineId, Order, TaskId, Timestamp};
-use mulleinhub_seam::Link;
+use mulleinhub_interface::{MachineId, TaskId, TaskSpec, Timestamp};
+use mulleinhub_seam::ConnectionId;
 use std::collections::BTreeMap;
 
 /// What goes on to a machine unchanged. It is let go once the task stands.
@@ -18,7 +18,7 @@
     pub number: u32,
     pub machine: MachineId,
     /// The connection that carries it, and its mark there. None while the gate holds it back.
-    pub link: Option<Link>,
+    pub link: Option<ConnectionId>,
     pub mark: u64,
     /// When the module decided on it, and when the wait for an answer ends.
     pub decided: Timestamp,
@@ -32,9 +32,9 @@
 
 #[derive(Debug)]
 pub struct Job {
-    pub order: Order,
+    pub order: TaskSpec,
     pub wanted: Option<Box<Wanted>>,
-    pub owner: Option<Link>,
+    pub owner: Option<ConnectionId>,
     pub sends: u32,
     pub open: Option<Open>,
     /// When the first send was decided on that may have run, if any.
@@ -65,7 +65,7 @@
 
 impl Job {
     /// A task that waits for its answer on this connection.
-    pub fn new(order: Order, owner: Link) -> Self {
+    pub fn new(order: TaskSpec, owner: ConnectionId) -> Self {
         Self {
             order,
             wanted: None,
--- a/crates/platform/src/watch.rs
+++ b/crates/platform/src/watch.rs
@@ -2,7 +2,7 @@
 
 use mulleinhub_interface::{Duration, Timestamp};
 use mulleinhub_platform_protocol::{Bad, Event, Head, Stream, event};
-use mulleinhub_seam::Link;
+use mulleinhub_seam::ConnectionId;
 
 /// A comment comes each second; so long without one is a standstill of the other side.
 pub const SILENCE: Duration = Duration::from_nanos(2_200_000_000);
@@ -19,7 +19,7 @@
 #[derive(Debug, Default)]
 pub struct Watch {
     pub address: String,
-    pub link: Option<Link>,
+    pub link: Option<ConnectionId>,
     pub up: bool,
     /// When it was asked for, or last told anything.
     pub heard_at: Timestamp,
@@ -46,7 +46,7 @@
     }
 
     /// A new connection begins.
-    pub fn begins(&mut self, link: Link, now: Timestamp) {
+    pub fn begins(&mut self, link: ConnectionId, now: Timestamp) {
         (self.link, self.up, self.heard_at, self.began, self.first) = (Some(link), false, now, now, true);
         (self.head, self.stream) = (Head::default(), None);
     }
--- a/crates/replay/src/bound.rs
+++ b/crates/replay/src/bound.rs
@@ -45,7 +45,7 @@
         changes.push((task.until, case, -task.cores, -task.memory));
     }
     changes.sort_by_key(|change| change.0);
-    let mut sums = vec![Resources::NONE; day.cases.len()];
+    let mut sums = vec![Resources::ZERO; day.cases.len()];
     let (mut next, mut bound) = (0, Bound::default());
     for n in 0..STEPS {
         let at = Timestamp::default() + step * (n as f64 + 0.5);
@@ -54,12 +54,12 @@
             sums[case] += Resources::new(cores, memory);
             next += 1;
         }
-        let (mut room, mut up) = (Resources::NONE, 0.0);
+        let (mut room, mut up) = (Resources::ZERO, 0.0);
         for spot in fleet.spots.iter().filter(|spot| spot.is_up(at)) {
             room += day.kinds[spot.kind].size.times(accepts.0, accepts.1);
             up += 1.0;
         }
-        let asked = sums.iter().fold(Resources::NONE, |all, sum| all + *sum);
+        let asked = sums.iter().fold(Resources::ZERO, |all, sum| all + *sum);
         let needed = up * f64::max(asked.cores / room.cores.max(1e-9), asked.memory / room.memory.max(1e-9));
         let wanted: Vec<(f64, Resources)> = sums
             .iter()
--- a/crates/replay/src/build.rs
+++ b/crates/replay/src/build.rs
@@ -107,7 +107,7 @@
             changes: machine.changes.iter().map(|change| (change.at, change.up)).collect(),
         })
         .collect();
-    let greatest = day.kinds.iter().fold(Resources::NONE, |a, kind| {
+    let greatest = day.kinds.iter().fold(Resources::ZERO, |a, kind| {
         Resources::new(a.cores.max(kind.size.cores), a.memory.max(kind.size.memory))
     });
     let mut wanted: Vec<Vec<Planned>> = vec![Vec::new(); day.owners];
--- a/crates/runner/src/lib.rs
+++ b/crates/runner/src/lib.rs
@@ -15,7 +15,7 @@
 use mulleinhub_engine::{Counts, Engine};
 use mulleinhub_interface::{Duration, Pcg, Timestamp};
 use mulleinhub_planner::{BooksText, Conf, ConfText, conf_of_text, parse_orders};
-use mulleinhub_seam::{Ask, End, Link, ListenerId, StateMachine};
+use mulleinhub_seam::{CloseReason, Command, ConnectionId, ListenerId, StateMachine};
 use std::collections::{BTreeMap, BTreeSet};
 use std::io::Write;
 
@@ -61,10 +61,10 @@
 }
 
 enum Waiting {
-    Opened(Link),
-    Up(Link),
-    Bytes(Link, Vec<u8>),
-    Ended(Link, End),
+    Opened(ConnectionId),
+    Up(ConnectionId),
+    Bytes(ConnectionId, Vec<u8>),
+    Ended(ConnectionId, CloseReason),
 }
 
 /// A day in virtual time.
@@ -73,10 +73,10 @@
     slots: Vec<Slot>,
     settings: Vec<Conf>,
     /// The wires: a planner's link and the stage's.
-    to_stage: BTreeMap<(Seat, Link), Link>,
-    to_planner: BTreeMap<Link, (Seat, Link)>,
+    to_stage: BTreeMap<(Seat, ConnectionId), ConnectionId>,
+    to_planner: BTreeMap<ConnectionId, (Seat, ConnectionId)>,
     /// Planners' links whose bytes the stage did not read when they were offered.
-    unread: BTreeSet<(Seat, Link)>,
+    unread: BTreeSet<(Seat, ConnectionId)>,
     /// How long each sync takes.
     chance: Pcg,
     begins: u64,
@@ -292,7 +292,7 @@
                 slot.waiting_bytes = 0;
                 for link in self.links_of(planner) {
                     self.unwire(link);
-                    self.stage.ended(self.now, link, End::Broken);
+                    self.stage.ended(self.now, link, CloseReason::Broken);
                 }
             }
             PlannerDeed::Store(planner, fate) => {
@@ -333,7 +333,7 @@
     }
 
     /// The stage's links to this planner.
-    fn links_of(&self, planner: usize) -> Vec<Link> {
+    fn links_of(&self, planner: usize) -> Vec<ConnectionId> {
         self.to_planner
             .iter()
             .filter(|(_, (seat, _))| seat.planner == planner)
@@ -341,7 +341,7 @@
             .collect()
     }
 
-    fn unwire(&mut self, stage_link: Link) {
+    fn unwire(&mut self, stage_link: ConnectionId) {
         if let Some(end) = self.to_planner.remove(&stage_link) {
             self.to_stage.remove(&end);
         }
@@ -379,7 +379,7 @@
         }
     }
 
-    fn carry_to_planner(&mut self, link: Link) {
+    fn carry_to_planner(&mut self, link: ConnectionId) {
         let Some((seat, theirs)) = self.to_planner.get(&link).copied() else { return };
         let slot = &self.slots[seat.planner];
         let room = if slot.stopped { SOCKET.saturating_sub(slot.waiting_bytes) } else { usize::MAX };
@@ -398,7 +398,7 @@
             }
             let Some(ask) = self.stage.links().next_ask() else { return };
             match ask {
-                Ask::Open(link, address) => {
+                Command::Open(link, address) => {
                     let (whose, number) = address.rsplit_once('-').unwrap_or_default();
                     let planner = number.parse::<usize>().map_or(usize::MAX, |n| n - 1);
                     let seat = Seat { planner, books: whose == "books" };
@@ -413,18 +413,18 @@
                         }
                         None => {
                             self.stage.links().drop_link(link);
-                            self.stage.ended(self.now, link, End::Refused);
+                            self.stage.ended(self.now, link, CloseReason::Refused);
                         }
                     }
                 }
-                Ask::End { link, at_once } => {
+                Command::End { link, at_once } => {
                     if !at_once {
                         self.carry_to_planner(link);
                     }
                     self.stage.links().drop_link(link);
                     if let Some((seat, theirs)) = self.to_planner.get(&link).copied() {
                         self.unwire(link);
-                        let end = if at_once { End::Broken } else { End::Closed };
+                        let end = if at_once { CloseReason::Broken } else { CloseReason::Closed };
                         self.tell_planner(seat, Waiting::Ended(theirs, end));
                     }
                 }
@@ -441,7 +441,7 @@
             }
             let Some(ask) = party.links().next_ask() else { break };
             match ask {
-                Ask::Open(link, address) => {
+                Command::Open(link, address) => {
                     let door = address.strip_prefix("door:").and_then(|n| n.parse().ok()).map(ListenerId);
                     match door.filter(|door| self.stage.listens(*door)) {
                         Some(door) => {
@@ -452,11 +452,11 @@
                             self.tell_planner(seat, Waiting::Up(link));
                         }
                         None => {
-                            self.tell_planner(seat, Waiting::Ended(link, End::Refused));
+                            self.tell_planner(seat, Waiting::Ended(link, CloseReason::Refused));
                         }
                     }
                 }
-                Ask::End { link, at_once } => {
+                Command::End { link, at_once } => {
                     if !at_once {
                         self.carry_to_stage(seat, link);
                     }
@@ -465,7 +465,11 @@
                     }
                     if let Some(ours) = self.to_stage.get(&(seat, link)).copied() {
                         self.unwire(ours);
-                        self.stage.ended(self.now, ours, if at_once { End::Broken } else { End::Closed });
+                        self.stage.ended(
+                            self.now,
+                            ours,
+                            if at_once { CloseReason::Broken } else { CloseReason::Closed },
+                        );
                     }
                 }
             }
@@ -473,7 +477,7 @@
     }
 
     /// All that waits goes over, unless the stage doesn't read from this connection now.
-    fn carry_to_stage(&mut self, seat: Seat, link: Link) {
+    fn carry_to_stage(&mut self, seat: Seat, link: ConnectionId) {
         let Some(ours) = self.to_stage.get(&(seat, link)).copied() else { return };
         let Some(party) = self.slots[seat.planner].party(seat) else { return };
         if self.stage.links().is_paused(ours) {
--- a/crates/scale/src/ledgers/fleet.rs
+++ b/crates/scale/src/ledgers/fleet.rs
@@ -5,12 +5,12 @@
 
 use crate::ledgers::load::Cue;
 use crate::ledgers::member::{Disk, Done, FleetSettings, Ledger, Told, Writes};
-use crate::ledgers::network::{Connection, ConnectionId, Healed, Layout, Network, Parcel, other};
+use crate::ledgers::network::{Connection, FlowId, Healed, Layout, Network, Parcel, other};
 use crate::meter::Stopwatch;
 use crate::profile::{Cut, Profile, RunPlan};
 use mulleinhub_interface::{Duration, Pcg, Timestamp};
 use mulleinhub_protocol::{Frames, Message, decode};
-use mulleinhub_seam::{Ask, End, Link, Timers};
+use mulleinhub_seam::{CloseReason, Command, ConnectionId, Timers};
 use std::collections::BTreeMap;
 
 /// When all begins: the first instants of a clock are special to nobody.
@@ -30,21 +30,21 @@
         member: usize,
     },
     /// A connection comes in at whom it was opened to.
-    Called(ConnectionId),
+    Called(FlowId),
     /// It was taken; whoever opened it hears of that.
-    Taken(ConnectionId),
+    Taken(FlowId),
     /// Nobody listens there.
-    Refused(ConnectionId),
+    Refused(FlowId),
     Bytes {
-        connection: ConnectionId,
+        connection: FlowId,
         to: usize,
         parcel: Parcel,
     },
     Closed {
-        connection: ConnectionId,
+        connection: FlowId,
         to: usize,
     },
-    Breaks(ConnectionId),
+    Breaks(FlowId),
     Written {
         member: usize,
         life: u64,
@@ -323,14 +323,14 @@
                     self.tell(member, Told::Up(link));
                 }
             }
-            Event::Refused(id) => self.over(id, 0, End::Refused),
+            Event::Refused(id) => self.over(id, 0, CloseReason::Refused),
             Event::Bytes { connection, to, parcel } => self.arrived(connection, to, parcel),
-            Event::Closed { connection, to } => self.over(connection, to, End::Closed),
+            Event::Closed { connection, to } => self.over(connection, to, CloseReason::Closed),
             Event::Breaks(id) => {
                 let ends = [0, 1].map(|side| self.end_of(id, side));
                 self.network.forget(id);
                 for (member, link) in ends.into_iter().flatten() {
-                    self.tell(member, Told::Ended(link, End::Broken));
+                    self.tell(member, Told::Ended(link, CloseReason::Broken));
                 }
             }
             Event::Written { member, life } => self.written(member, life),
@@ -344,12 +344,12 @@
     }
 
     /// The member at one side of a connection and what it calls it by, as long as it holds it.
-    fn end_of(&self, id: ConnectionId, side: usize) -> Option<(usize, Link)> {
+    fn end_of(&self, id: FlowId, side: usize) -> Option<(usize, ConnectionId)> {
         let side = &self.network.get(id)?.sides[side];
         side.link.filter(|_| side.is_open).map(|link| (side.member, link))
     }
 
-    fn called(&mut self, id: ConnectionId) {
+    fn called(&mut self, id: FlowId) {
         let Some(Connection { sides, .. }) = self.network.get(id) else { return };
         let (from, to) = (sides[0].member, sides[1].member);
         if self.network.are_apart(from, to) {
@@ -366,7 +366,7 @@
         }
     }
 
-    fn arrived(&mut self, id: ConnectionId, to: usize, parcel: Parcel) {
+    fn arrived(&mut self, id: FlowId, to: usize, parcel: Parcel) {
         let Some((member, link)) = self.end_of(id, to) else { return };
         let counts = &mut self.seats[member].counts;
         counts.bytes_in += parcel.bytes.len() as u64;
@@ -375,7 +375,7 @@
     }
 
     /// A connection is over for this side, and so for both.
-    fn over(&mut self, id: ConnectionId, side: usize, end: End) {
+    fn over(&mut self, id: FlowId, side: usize, end: CloseReason) {
         let told = self.end_of(id, side);
         self.network.forget(id);
         if let Some((member, link)) = told {
@@ -383,7 +383,7 @@
         }
     }
 
-    fn after_delay(&mut self, id: ConnectionId, event: Event) {
+    fn after_delay(&mut self, id: FlowId, event: Event) {
         if let Some(connection) = self.network.get(id) {
             self.events.set(self.now + connection.delay, event);
         }
@@ -425,7 +425,7 @@
         seat.wake_at = at;
     }
 
-    fn send(&mut self, member: usize, link: Link, bytes: Vec<u8>) {
+    fn send(&mut self, member: usize, link: ConnectionId, bytes: Vec<u8>) {
         let Some((id, side)) = self.network.of(member, link) else { return };
         let messages = self.count(&bytes);
         let counts = &mut self.seats[member].counts;
@@ -455,16 +455,16 @@
         messages
     }
 
-    fn do_ask(&mut self, member: usize, ask: Ask) {
+    fn do_ask(&mut self, member: usize, ask: Command) {
         match ask {
-            Ask::Open(link, address) => {
+            Command::Open(link, address) => {
                 let to: usize = address.parse().expect("addresses are numbers of members");
                 let id = self.network.open(member, link, to);
                 if !self.network.are_apart(member, to) {
                     self.after_delay(id, Event::Called(id));
                 }
             }
-            Ask::End { link, .. } => {
+            Command::End { link, .. } => {
                 if let Some((id, side)) = self.network.of(member, link) {
                     self.close(id, side);
                 }
@@ -473,7 +473,7 @@
     }
 
     /// One side ends a connection, or its process does; the other hears of it, unless it is cut off.
-    fn close(&mut self, id: ConnectionId, side: usize) {
+    fn close(&mut self, id: FlowId, side: usize) {
         let Some(Connection { sides, .. }) = self.network.get(id) else { return };
         let apart = self.network.are_apart(sides[0].member, sides[1].member);
         if self.network.close(id, side) && !apart {
--- a/crates/scale/src/ledgers/member.rs
+++ b/crates/scale/src/ledgers/member.rs
@@ -9,7 +9,7 @@
 use mulleinhub_replicated_log::{
     Change, Changes, Digest, Kept, KeptLogs, Kind, LogId, Name, Order, Reached, Site, Subject, Word,
 };
-use mulleinhub_seam::{Ask, End, Link, ListenerId, StateMachine};
+use mulleinhub_seam::{CloseReason, Command, ConnectionId, ListenerId, StateMachine};
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
@@ -179,9 +179,9 @@
     Opened {
         connection: u64,
     },
-    Up(Link),
-    Received(Link, Vec<u8>),
-    Ended(Link, End),
+    Up(ConnectionId),
+    Received(ConnectionId, Vec<u8>),
+    Ended(ConnectionId, CloseReason),
     /// What was written up to these is on disk.
     Durable(Durable),
     /// Time has come.
@@ -206,9 +206,9 @@
 #[derive(Debug, Default)]
 pub struct Done {
     /// Connections that came in, and the links that the member calls them by.
-    pub accepted: Vec<(u64, Link)>,
-    pub sent: Vec<(Link, Vec<u8>)>,
-    pub asks: Vec<Ask>,
+    pub accepted: Vec<(u64, ConnectionId)>,
+    pub sent: Vec<(ConnectionId, Vec<u8>)>,
+    pub asks: Vec<Command>,
     pub writes: Writes,
     /// The look at all quotas was due in this turn: what was known before it is in force.
     pub looked: bool,
@@ -292,7 +292,7 @@
             }
         }
         while let Some(ask) = links.next_ask() {
-            if let Ask::End { link, .. } = ask {
+            if let Command::End { link, .. } = ask {
                 links.drop_link(link);
             }
             done.asks.push(ask);
--- a/crates/scale/src/ledgers/network.rs
+++ b/crates/scale/src/ledgers/network.rs
@@ -7,11 +7,11 @@
 use super::member::Place;
 use crate::profile::{Cut, Profile, RoundTrips};
 use mulleinhub_interface::{Duration, Pcg};
-use mulleinhub_seam::Link;
+use mulleinhub_seam::ConnectionId;
 use std::collections::{BTreeMap, BTreeSet};
 
 /// A connection, by a number that is never used again.
-pub type ConnectionId = u64;
+pub type FlowId = u64;
 
 /// Where members stand: zones take turns, and regions take turns of zones.
 #[derive(Clone, Copy, Debug)]
@@ -65,7 +65,7 @@
 pub struct Side {
     pub member: usize,
     /// What its member calls it by, from when it knows of it.
-    pub link: Option<Link>,
+    pub link: Option<ConnectionId>,
     /// Its member has not ended it.
     pub is_open: bool,
     /// Written while the other side can't be reached.
@@ -88,8 +88,8 @@
 /// Something to do once a cut is healed.
 #[derive(Debug)]
 pub enum Healed {
-    Bytes { connection: ConnectionId, to: usize, parcel: Parcel },
-    Closed { connection: ConnectionId, to: usize },
+    Bytes { connection: FlowId, to: usize, parcel: Parcel },
+    Closed { connection: FlowId, to: usize },
 }
 
 /// All connections.
@@ -97,9 +97,9 @@
     layout: Layout,
     drops: f64,
     chance: Pcg,
-    connections: BTreeMap<ConnectionId, Connection>,
-    by_link: Vec<BTreeMap<Link, (ConnectionId, usize)>>,
-    next: ConnectionId,
+    connections: BTreeMap<FlowId, Connection>,
+    by_link: Vec<BTreeMap<ConnectionId, (FlowId, usize)>>,
+    next: FlowId,
     /// Regions that nobody outside can reach.
     cut_off: BTreeSet<u32>,
 }
@@ -131,7 +131,7 @@
     }
 
     /// A member asks for a connection to another.
-    pub fn open(&mut self, from: usize, link: Link, to: usize) -> ConnectionId {
+    pub fn open(&mut self, from: usize, link: ConnectionId, to: usize) -> FlowId {
         let id = self.next;
         self.next += 1;
         let side = |member, link| Side { member, link, is_open: true, held: Vec::new() };
@@ -145,7 +145,7 @@
     }
 
     /// The member that was called took it, and calls it by this link.
-    pub fn accepted(&mut self, id: ConnectionId, link: Link) {
+    pub fn accepted(&mut self, id: FlowId, link: ConnectionId) {
         if let Some(connection) = self.connections.get_mut(&id) {
             connection.sides[1].link = Some(link);
             self.by_link[connection.sides[1].member].insert(link, (id, 1));
@@ -153,19 +153,19 @@
     }
 
     #[must_use]
-    pub fn get(&self, id: ConnectionId) -> Option<&Connection> {
+    pub fn get(&self, id: FlowId) -> Option<&Connection> {
         self.connections.get(&id)
     }
 
     /// The connection that a member calls by this link, and which of its sides that is.
     #[must_use]
-    pub fn of(&self, member: usize, link: Link) -> Option<(ConnectionId, usize)> {
+    pub fn of(&self, member: usize, link: ConnectionId) -> Option<(FlowId, usize)> {
         self.by_link[member].get(&link).copied()
     }
 
     /// All connections of a member.
     #[must_use]
-    pub fn all_of(&self, member: usize) -> Vec<(ConnectionId, usize)> {
+    pub fn all_of(&self, member: usize) -> Vec<(FlowId, usize)> {
         self.by_link[member].values().copied().collect()
     }
 
@@ -176,14 +176,14 @@
     }
 
     /// Bytes that can't be on their way before a cut is healed.
-    pub fn hold(&mut self, id: ConnectionId, side: usize, parcel: Parcel) {
+    pub fn hold(&mut self, id: FlowId, side: usize, parcel: Parcel) {
         if let Some(connection) = self.connections.get_mut(&id) {
             connection.sides[side].held.push(parcel);
         }
     }
 
     /// One side ends it. True where the other is still to be told.
-    pub fn close(&mut self, id: ConnectionId, side: usize) -> bool {
+    pub fn close(&mut self, id: FlowId, side: usize) -> bool {
         let Some(connection) = self.connections.get_mut(&id) else { return false };
         let closing = &mut connection.sides[side];
         closing.is_open = false;
@@ -200,7 +200,7 @@
     }
 
     /// It is over for both.
-    pub fn forget(&mut self, id: ConnectionId) -> Option<Connection> {
+    pub fn forget(&mut self, id: FlowId) -> Option<Connection> {
         let connection = self.connections.remove(&id)?;
         for side in &connection.sides {
             if let Some(link) = side.link {
@@ -229,7 +229,7 @@
     pub fn end_cut(&mut self, cut: &Cut) -> Vec<Healed> {
         self.cut_off.remove(&cut.region);
         let mut healed = Vec::new();
-        let ids: Vec<ConnectionId> = self.connections.keys().copied().collect();
+        let ids: Vec<FlowId> = self.connections.keys().copied().collect();
         for id in ids {
             let [one, two] = [0, 1].map(|side| self.connections[&id].sides[side].member);
             if self.layout.region(one) != self.layout.region(two) && !self.are_apart(one, two) {
@@ -239,7 +239,7 @@
         healed
     }
 
-    fn release(&mut self, id: ConnectionId, healed: &mut Vec<Healed>) {
+    fn release(&mut self, id: FlowId, healed: &mut Vec<Healed>) {
         let Some(connection) = self.connections.get_mut(&id) else { return };
         for side in [0, 1] {
             let to = other(side);
--- a/crates/scale/src/planners/client.rs
+++ b/crates/scale/src/planners/client.rs
@@ -4,7 +4,7 @@
 use super::settings::TASK_ROOM;
 use mulleinhub_interface::{Duration, Timestamp};
 use mulleinhub_protocol::Shape;
-use mulleinhub_seam::Link;
+use mulleinhub_seam::ConnectionId;
 use mulleinhub_standins::Dice;
 use std::collections::BTreeMap;
 
@@ -34,7 +34,7 @@
 /// One client, which speaks to one scheduler.
 #[derive(Debug)]
 pub struct Client {
-    pub link: Option<Link>,
+    pub link: Option<ConnectionId>,
     /// Its scheduler has greeted it.
     pub greeted: bool,
     pub tasks: BTreeMap<u64, Task>,
--- a/crates/scale/src/planners/surroundings.rs
+++ b/crates/scale/src/planners/surroundings.rs
@@ -9,7 +9,7 @@
 use super::worker::{SendId, Worker};
 use mulleinhub_interface::{Duration, Timestamp};
 use mulleinhub_protocol::{self as protocol, Bad, Conversation, Ending, Frames, Message, Reason, Spare};
-use mulleinhub_seam::{Ask, Connections, End, Link, ListenerId, StateMachine, Timers};
+use mulleinhub_seam::{CloseReason, Command, ConnectionId, Connections, ListenerId, StateMachine, Timers};
 use mulleinhub_standins::{Fact, ListService, ListSettings};
 
 /// How long a worker looks at an offer, and how long a start takes.
@@ -53,7 +53,7 @@
 enum Role {
     Worker(usize),
     /// With its link at the list service.
-    List(Link),
+    List(ConnectionId),
     Client(usize),
 }
 
@@ -100,7 +100,7 @@
     spare: Spare,
     list: ListService,
     /// By the list service's link: ours.
-    list_links: Vec<Option<Link>>,
+    list_links: Vec<Option<ConnectionId>>,
     workers: Vec<Worker>,
     clients: Vec<Client>,
     timers: Timers<Due>,
@@ -175,11 +175,11 @@
         self.workers.iter().map(|worker| worker.running().count()).sum()
     }
 
-    fn connection(&mut self, link: Link) -> Option<&mut Connection> {
+    fn connection(&mut self, link: ConnectionId) -> Option<&mut Connection> {
         self.connections.get_mut(link.0 as usize)?.as_mut()
     }
 
-    fn connect(&mut self, link: Link, role: Role, scheduler: Option<usize>) {
+    fn connect(&mut self, link: ConnectionId, role: Role, scheduler: Option<usize>) {
         let at = link.0 as usize;
         if self.connections.len() <= at {
             self.connections.resize_with(at + 1, || None);
@@ -187,7 +187,7 @@
         self.connections[at] = Some(Connection { role, scheduler, frames: Frames::default() });
     }
 
-    fn disconnect(&mut self, now: Timestamp, link: Link) {
+    fn disconnect(&mut self, now: Timestamp, link: ConnectionId) {
         let Some(connection) = self.connections.get_mut(link.0 as usize).and_then(Option::take) else {
             return;
         };
@@ -201,7 +201,7 @@
             }
             Role::List(inner) => {
                 self.list_links[inner.0 as usize] = None;
-                self.list.ended(now, inner, End::Closed);
+                self.list.ended(now, inner, CloseReason::Closed);
             }
             Role::Client(client) => {
                 self.clients[client].link = None;
@@ -211,7 +211,7 @@
         }
     }
 
-    fn write(&mut self, link: Link, message: &Message<'_>) {
+    fn write(&mut self, link: ConnectionId, message: &Message<'_>) {
         let Some(connection) = self.connections.get(link.0 as usize).and_then(Option::as_ref) else { return };
         self.scratch.clear();
         protocol::encode(message, &mut self.scratch);
@@ -227,7 +227,7 @@
         }
     }
 
-    fn hear_frames(&mut self, now: Timestamp, link: Link, bytes: &[u8]) -> Result<(), Bad> {
+    fn hear_frames(&mut self, now: Timestamp, link: ConnectionId, bytes: &[u8]) -> Result<(), Bad> {
         let Some(connection) = self.connections.get_mut(link.0 as usize).and_then(Option::as_mut) else {
             return Ok(());
         };
@@ -251,7 +251,7 @@
     }
 
     /// The first frame of a scheduler tells which one it is.
-    fn count_heard(&mut self, link: Link, role: Role, bytes: usize, message: &Message<'_>) {
+    fn count_heard(&mut self, link: ConnectionId, role: Role, bytes: usize, message: &Message<'_>) {
         let schedulers = self.traffic.len();
         let Some(connection) = self.connection(link) else { return };
         if let Message::Hello { name, .. } = message {
@@ -267,7 +267,7 @@
     fn worker_hears(
         &mut self,
         now: Timestamp,
-        link: Link,
+        link: ConnectionId,
         worker: usize,
         message: &Message<'_>,
     ) -> Result<(), Bad> {
@@ -318,7 +318,7 @@
         Ok(())
     }
 
-    fn worker_greets(&mut self, now: Timestamp, link: Link, worker: usize, scheduler: usize) {
+    fn worker_greets(&mut self, now: Timestamp, link: ConnectionId, worker: usize, scheduler: usize) {
         let older = self.workers[worker].links[scheduler].replace(link);
         if let Some(older) = older {
             self.connections[older.0 as usize] = None;
@@ -333,7 +333,7 @@
         self.look_whether_ready(now, scheduler);
     }
 
-    fn tell_held(&mut self, link: Link, worker: usize, scheduler: usize) {
+    fn tell_held(&mut self, link: ConnectionId, worker: usize, scheduler: usize) {
         let held: Vec<_> = self.workers[worker].held_for(scheduler).cloned().collect();
         let mut parts = held.chunks(MOST_HELD).peekable();
         if parts.peek().is_none() {
@@ -426,7 +426,7 @@
             self.links.send(link, &bytes, None);
         }
         while let Some(ask) = self.list.links().next_ask() {
-            let Ask::End { link: inner, .. } = ask else { continue };
+            let Command::End { link: inner, .. } = ask else { continue };
             self.list.links().drop_link(inner);
             let link = self.list_links.get_mut(inner.0 as usize).and_then(Option::take);
             if let Some(link) = link {
@@ -436,7 +436,7 @@
         }
     }
 
-    fn count_list(&mut self, link: Link, bytes: &[u8]) {
+    fn count_list(&mut self, link: ConnectionId, bytes: &[u8]) {
         let Some(scheduler) = self.connection(link).and_then(|connection| connection.scheduler) else {
             return;
         };
@@ -586,7 +586,7 @@
 }
 
 impl StateMachine for Surroundings {
-    fn opened(&mut self, now: Timestamp, link: Link, door: ListenerId) {
+    fn opened(&mut self, now: Timestamp, link: ConnectionId, door: ListenerId) {
         if door == LIST_DOOR {
             let inner = self.list.links().fresh();
             self.list_links.resize(inner.0 as usize + 1, None);
@@ -598,7 +598,7 @@
         }
     }
 
-    fn up(&mut self, now: Timestamp, link: Link) {
+    fn up(&mut self, now: Timestamp, link: ConnectionId) {
         let role = self.connection(link).map(|connection| connection.role);
         let Some(Role::Client(client)) = role else { return };
         let name = self.clients[client].name();
@@ -606,7 +606,7 @@
         self.write(link, &Message::hello(Conversation::ClientPlanner, features, &name, 1, now.nanos()));
     }
 
-    fn received(&mut self, now: Timestamp, link: Link, bytes: &[u8]) {
+    fn received(&mut self, now: Timestamp, link: ConnectionId, bytes: &[u8]) {
         let heard = self.hear_frames(now, link, bytes);
         let role = self.connection(link).map(|connection| connection.role);
         if let (Ok(()), Some(Role::List(inner))) = (&heard, role) {
@@ -619,7 +619,7 @@
         }
     }
 
-    fn ended(&mut self, now: Timestamp, link: Link, _: End) {
+    fn ended(&mut self, now: Timestamp, link: ConnectionId, _: CloseReason) {
         self.links.forget(link);
         self.disconnect(now, link);
     }
--- a/crates/scale/src/planners/virtual_host.rs
+++ b/crates/scale/src/planners/virtual_host.rs
@@ -12,7 +12,7 @@
 use mulleinhub_engine::{Counts, Engine, Settings as EngineSettings};
 use mulleinhub_interface::{Duration, Timestamp};
 use mulleinhub_planner::conf_of_text;
-use mulleinhub_seam::{Ask, Connections, End, Link, ListenerId, StateMachine};
+use mulleinhub_seam::{CloseReason, Command, ConnectionId, Connections, ListenerId, StateMachine};
 use std::cmp::Reverse;
 use std::collections::{BTreeSet, BinaryHeap, VecDeque};
 
@@ -63,7 +63,7 @@
     Broken,
 }
 
-impl From<HowEnded> for End {
+impl From<HowEnded> for CloseReason {
     fn from(how: HowEnded) -> Self {
         match how {
             HowEnded::Closed => Self::Closed,
@@ -74,16 +74,16 @@
 
 /// What a scheduler asks its host for.
 enum Wish {
-    Open(Link, ListenerId),
-    End { link: Link, at_once: bool },
+    Open(ConnectionId, ListenerId),
+    End { link: ConnectionId, at_once: bool },
 }
 
 /// The next of a scheduler's asks. One for an address that is none of this run is passed over.
 fn next_ask(links: &mut Connections) -> Option<Wish> {
     loop {
         match links.next_ask()? {
-            Ask::End { link, at_once } => return Some(Wish::End { link, at_once }),
-            Ask::Open(link, address) => {
+            Command::End { link, at_once } => return Some(Wish::End { link, at_once }),
+            Command::Open(link, address) => {
                 if let Some(door) = door_of(&address) {
                     return Some(Wish::Open(link, door));
                 }
@@ -104,8 +104,8 @@
 struct Wire {
     scheduler: usize,
     /// The link of either end, once it has one; none after its end was told.
-    at_scheduler: Option<Link>,
-    at_surroundings: Option<Link>,
+    at_scheduler: Option<ConnectionId>,
+    at_surroundings: Option<ConnectionId>,
     one_way: Duration,
 }
 
@@ -119,7 +119,7 @@
     /// The wire of each of its links.
     wires: Vec<Option<usize>>,
     /// What came in since its last turn.
-    inbox: Vec<(Link, Parcel)>,
+    inbox: Vec<(ConnectionId, Parcel)>,
     wake: Option<Timestamp>,
     is_up: bool,
     lives: u64,
@@ -156,7 +156,7 @@
     start_up_processor: Vec<u64>,
 }
 
-fn place<T: Copy>(places: &mut Vec<Option<T>>, link: Link, value: T) {
+fn place<T: Copy>(places: &mut Vec<Option<T>>, link: ConnectionId, value: T) {
     let at = link.0 as usize;
     if places.len() <= at {
         places.resize(at + 1, None);
@@ -361,7 +361,7 @@
         self.queue.push(Reverse((at, self.sent, wire, toward, parcel)));
     }
 
-    fn wire_of_outer(&self, link: Link) -> Option<usize> {
+    fn wire_of_outer(&self, link: ConnectionId) -> Option<usize> {
         self.outer_wires.get(link.0 as usize).copied().flatten()
     }
 
@@ -373,8 +373,8 @@
             }
             let Some(ask) = self.surroundings.links().next_ask() else { return };
             match ask {
-                Ask::Open(link, address) => self.client_opens(link, &address),
-                Ask::End { link, at_once } => {
+                Command::Open(link, address) => self.client_opens(link, &address),
+                Command::End { link, at_once } => {
                     self.carry_outer(link);
                     self.surroundings.links().drop_link(link);
                     if let Some(wire) = self.wire_of_outer(link) {
@@ -387,7 +387,7 @@
         }
     }
 
-    fn carry_outer(&mut self, link: Link) {
+    fn carry_outer(&mut self, link: ConnectionId) {
         let bytes = self.surroundings.links().outgoing(link).to_vec();
         if let (false, Some(wire)) = (bytes.is_empty(), self.wire_of_outer(link)) {
             self.surroundings.links().wrote(link, bytes.len());
@@ -396,12 +396,12 @@
     }
 
     /// A client opens a connection to its scheduler, which is of its own zone.
-    fn client_opens(&mut self, link: Link, address: &str) {
+    fn client_opens(&mut self, link: ConnectionId, address: &str) {
         let scheduler = settings::scheduler_number(address);
         let is_up = |number: &usize| self.schedulers.get(*number).is_some_and(|s| s.is_up);
         let Some(scheduler) = scheduler.filter(is_up) else {
             self.surroundings.links().drop_link(link);
-            self.surroundings.ended(self.now, link, End::Refused);
+            self.surroundings.ended(self.now, link, CloseReason::Refused);
             return;
         };
         let zone = self.scenario.zone(scheduler);
@@ -413,8 +413,8 @@
     fn new_wire(
         &mut self,
         scheduler: usize,
-        at_scheduler: Option<Link>,
-        at_surroundings: Option<Link>,
+        at_scheduler: Option<ConnectionId>,
+        at_surroundings: Option<ConnectionId>,
         one_way: Duration,
     ) -> usize {
         self.wires.push(Wire { scheduler, at_scheduler, at_surroundings, one_way });
@@ -443,7 +443,7 @@
         }
     }
 
-    fn carry_inner(&mut self, number: usize, link: Link) {
+    fn carry_inner(&mut self, number: usize, link: ConnectionId) {
         let scheduler = &mut self.schedulers[number];
         let bytes = scheduler.engine.links().outgoing(link).to_vec();
         if let (false, Some(wire)) = (bytes.is_empty(), scheduler.wire(link)) {
@@ -453,7 +453,7 @@
     }
 
     /// A scheduler opens a connection to a worker, or to the list service, which stands in the first zone.
-    fn scheduler_opens(&mut self, number: usize, link: Link, door: ListenerId) {
+    fn scheduler_opens(&mut self, number: usize, link: ConnectionId, door: ListenerId) {
         let scenario = &self.scenario;
         let there = if door == LIST_DOOR { 0 } else { scenario.zone(door.0 as usize) };
         let one_way = scenario.one_way(scenario.zone(number), there);
@@ -508,7 +508,7 @@
         drop(std::mem::replace(&mut self.engine, next));
     }
 
-    fn wire(&self, link: Link) -> Option<usize> {
+    fn wire(&self, link: ConnectionId) -> Option<usize> {
         self.wires.get(link.0 as usize).copied().flatten()
     }
 
--- a/crates/scale/src/planners/worker.rs
+++ b/crates/scale/src/planners/worker.rs
@@ -3,7 +3,7 @@
 use super::settings::{WORKER_CORES, WORKER_MEMORY};
 use mulleinhub_interface::Resources;
 use mulleinhub_protocol::{Ending, Held as HeldFrame, Shape};
-use mulleinhub_seam::Link;
+use mulleinhub_seam::ConnectionId;
 
 /// Names a send of a scheduler, at the worker that it went to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -59,7 +59,7 @@
 #[derive(Clone, Debug)]
 pub struct Worker {
     /// The connection of each scheduler that has greeted.
-    pub links: Vec<Option<Link>>,
+    pub links: Vec<Option<ConnectionId>>,
     held: Vec<Held>,
     /// Cores and memory of all that it accepted.
     asked: Resources,
@@ -69,7 +69,7 @@
 
 impl Worker {
     pub fn new(schedulers: usize) -> Self {
-        Self { links: vec![None; schedulers], held: Vec::new(), asked: Resources::NONE, tells: false }
+        Self { links: vec![None; schedulers], held: Vec::new(), asked: Resources::ZERO, tells: false }
     }
 
     /// Cores and memory that nobody asked for.
--- a/crates/seam/src/lib.rs
+++ b/crates/seam/src/lib.rs
@@ -8,14 +8,14 @@
 mod links;
 mod timers;
 
-pub use links::{Connections, Link, Unsent};
+pub use links::{ConnectionId, Connections, Unsent};
 pub use timers::Timers;
 
 use mulleinhub_interface::Timestamp;
 
 /// How a connection ended, as far as this side can know.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum End {
+pub enum CloseReason {
     /// It never came up: nothing was delivered.
     Refused,
     /// It was never tried, for want of something of ours: a descriptor, a port. Nothing is known of the other
@@ -33,11 +33,11 @@
 
 /// What a shell or a runner has to do for a party, beside carrying bytes.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Ask {
+pub enum Command {
     /// Open a connection to this address, and call it by this link.
-    Open(Link, String),
+    Open(ConnectionId, String),
     /// End this connection once its outgoing bytes are written, or at once where `at_once` is set.
-    End { link: Link, at_once: bool },
+    End { link: ConnectionId, at_once: bool },
 }
 
 /// A program or stand-in without I/O.
@@ -46,19 +46,19 @@
 /// all that has come in before `turn`, so that a standstill is no silence of the others.
 pub trait StateMachine {
     /// Somebody opened a connection to this party.
-    fn opened(&mut self, now: Timestamp, link: Link, door: ListenerId);
+    fn opened(&mut self, now: Timestamp, link: ConnectionId, door: ListenerId);
     /// A connection that this party asked for is up.
-    fn up(&mut self, now: Timestamp, link: Link);
-    fn received(&mut self, now: Timestamp, link: Link, bytes: &[u8]);
+    fn up(&mut self, now: Timestamp, link: ConnectionId);
+    fn received(&mut self, now: Timestamp, link: ConnectionId, bytes: &[u8]);
     /// The connection is over; the link is never named again by either side.
-    fn ended(&mut self, now: Timestamp, link: Link, end: End);
+    fn ended(&mut self, now: Timestamp, link: ConnectionId, end: CloseReason);
     /// All that came in was told: time to act.
     fn turn(&mut self, now: Timestamp);
     /// Some of what came in was told, and more lies unread: what was told may be answered, and nobody is
     /// taken for silent before `turn`.
     fn turn_early(&mut self, _now: Timestamp) {}
     /// Whether what comes on this connection is told before what comes on others, where much comes at once.
-    fn is_prompt(&self, _link: Link) -> bool {
+    fn is_prompt(&self, _link: ConnectionId) -> bool {
         false
     }
     /// When `turn` is wanted at the latest, if nothing comes in before.
--- a/crates/seam/src/links.rs
+++ b/crates/seam/src/links.rs
@@ -1,11 +1,11 @@
 //! The connections of one party: their outgoing bytes, and which frames of them can still be taken back.
 
-use crate::Ask;
+use crate::Command;
 use std::collections::{BTreeMap, VecDeque};
 
 /// A connection, by a number that its party never uses again.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct Link(pub u64);
+pub struct ConnectionId(pub u64);
 
 /// What of a marked frame may have left this process when its connection ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -44,50 +44,50 @@
 #[derive(Debug, Default)]
 pub struct Connections {
     next: u64,
-    open: BTreeMap<Link, Slot>,
+    open: BTreeMap<ConnectionId, Slot>,
     /// In the order of writing, so that what was written first is handed over first, on whatever connection.
     /// Met: a send given up on one connection and its successor on another went out in the order of the
     /// links.
-    dirty: VecDeque<Link>,
-    asks: VecDeque<Ask>,
+    dirty: VecDeque<ConnectionId>,
+    asks: VecDeque<Command>,
     #[expect(clippy::vec_box, reason = "boxes go from here into slots and come back")]
     spare: Vec<Box<Outbox>>,
 }
 
 impl Connections {
     /// A link for a connection that came in. For whoever feeds the party.
-    pub fn fresh(&mut self) -> Link {
-        let link = Link(self.next);
+    pub fn fresh(&mut self) -> ConnectionId {
+        let link = ConnectionId(self.next);
         self.next += 1;
         self.open.insert(link, Slot::default());
         link
     }
 
     /// Asks for a connection; `up` or `ended` tells how it went.
-    pub fn open(&mut self, to: &str) -> Link {
+    pub fn open(&mut self, to: &str) -> ConnectionId {
         let link = self.fresh();
-        self.asks.push_back(Ask::Open(link, to.to_owned()));
+        self.asks.push_back(Command::Open(link, to.to_owned()));
         link
     }
 
     /// Ends a connection after what is written has gone out. No `ended` follows: the party asked for it.
-    pub fn end(&mut self, link: Link) {
+    pub fn end(&mut self, link: ConnectionId) {
         if self.open.contains_key(&link) {
-            self.asks.push_back(Ask::End { link, at_once: false });
+            self.asks.push_back(Command::End { link, at_once: false });
         }
     }
 
     /// Ends a connection now, and gives back the marked frames that were not wholly handed over. No `ended`
     /// follows. Harmless for a connection that is over.
-    pub fn abort(&mut self, link: Link) -> Vec<(u64, Unsent)> {
+    pub fn abort(&mut self, link: ConnectionId) -> Vec<(u64, Unsent)> {
         if self.open.contains_key(&link) {
-            self.asks.push_back(Ask::End { link, at_once: true });
+            self.asks.push_back(Command::End { link, at_once: true });
         }
         self.forget(link)
     }
 
     /// Puts a frame behind what is on its way. A mark names it for `take_back` and `forget`.
-    pub fn send(&mut self, link: Link, frame: &[u8], mark: Option<u64>) {
+    pub fn send(&mut self, link: ConnectionId, frame: &[u8], mark: Option<u64>) {
         let Some(slot) = self.open.get_mut(&link) else { return };
         let spare = &mut self.spare;
         let out = slot.out.get_or_insert_with(|| spare.pop().unwrap_or_default());
@@ -102,7 +102,7 @@
     }
 
     /// Takes a marked frame out again if not a byte of it was handed over. True where it will never be sent.
-    pub fn take_back(&mut self, link: Link, mark: u64) -> bool {
+    pub fn take_back(&mut self, link: ConnectionId, mark: u64) -> bool {
         let Some(out) = self.open.get_mut(&link).and_then(|slot| slot.out.as_mut()) else { return false };
         let Some(at) = out.marks.iter().position(|(start, _, m)| *m == mark && *start >= out.gone) else {
             return false;
@@ -118,23 +118,23 @@
     }
 
     /// Bytes that wait to go out.
-    pub fn unwritten(&self, link: Link) -> usize {
+    pub fn unwritten(&self, link: ConnectionId) -> usize {
         self.outgoing(link).len()
     }
 
     /// Whether whoever feeds the party should stop reading from this connection for now.
-    pub fn pause(&mut self, link: Link, paused: bool) {
+    pub fn pause(&mut self, link: ConnectionId, paused: bool) {
         if let Some(slot) = self.open.get_mut(&link) {
             slot.paused = paused;
         }
     }
 
-    pub fn is_paused(&self, link: Link) -> bool {
+    pub fn is_paused(&self, link: ConnectionId) -> bool {
         self.open.get(&link).is_some_and(|slot| slot.paused)
     }
 
     /// For the party when it is told of an end: the marked frames that were not wholly handed over.
-    pub fn forget(&mut self, link: Link) -> Vec<(u64, Unsent)> {
+    pub fn forget(&mut self, link: ConnectionId) -> Vec<(u64, Unsent)> {
         let Some(out) = self.open.remove(&link).and_then(|slot| slot.out) else { return Vec::new() };
         let whole = |start| if start >= out.gone { Unsent::Whole } else { Unsent::Part };
         out.marks.iter().map(|(start, _, mark)| (*mark, whole(*start))).collect()
@@ -142,12 +142,12 @@
 
     // For whoever feeds the party.
 
-    pub fn next_ask(&mut self) -> Option<Ask> {
+    pub fn next_ask(&mut self) -> Option<Command> {
         self.asks.pop_front()
     }
 
     /// A connection that has bytes to go out and was not looked at since they came.
-    pub fn next_dirty(&mut self) -> Option<Link> {
+    pub fn next_dirty(&mut self) -> Option<ConnectionId> {
         loop {
             let link = self.dirty.pop_front()?;
             // One that is over since then has nothing to write.
@@ -158,12 +158,12 @@
         }
     }
 
-    pub fn outgoing(&self, link: Link) -> &[u8] {
+    pub fn outgoing(&self, link: ConnectionId) -> &[u8] {
         self.open.get(&link).and_then(|slot| slot.out.as_ref()).map_or(&[], |out| &out.bytes)
     }
 
     /// So many bytes were handed over; they can't be taken back.
-    pub fn wrote(&mut self, link: Link, n: usize) {
+    pub fn wrote(&mut self, link: ConnectionId, n: usize) {
         let Some(slot) = self.open.get_mut(&link) else { return };
         let Some(out) = &mut slot.out else {
             assert!(n == 0, "more was written than there was");
@@ -192,7 +192,7 @@
     }
 
     /// The connection is over for both sides; nothing is told.
-    pub fn drop_link(&mut self, link: Link) {
+    pub fn drop_link(&mut self, link: ConnectionId) {
         self.open.remove(&link);
     }
 }
--- a/crates/seam/src/links/tests.rs
+++ b/crates/seam/src/links/tests.rs
@@ -24,14 +24,14 @@
         links.send(link, &[0; 4], None);
     }
     links.forget(one);
-    let order: Vec<Link> = std::iter::from_fn(|| links.next_dirty()).collect();
+    let order: Vec<ConnectionId> = std::iter::from_fn(|| links.next_dirty()).collect();
     assert_eq!(order, [three, two]);
 }
 
 #[test]
 fn a_connection_that_has_written_all_owns_no_buffer_and_a_burst_is_given_back() {
     let mut links = Connections::default();
-    let all: Vec<Link> = (0..1_000).map(|_| links.fresh()).collect();
+    let all: Vec<ConnectionId> = (0..1_000).map(|_| links.fresh()).collect();
     for link in &all {
         links.send(*link, &[0; 1_000], None);
     }
--- a/crates/shell/src/lib.rs
+++ b/crates/shell/src/lib.rs
@@ -7,7 +7,7 @@
 use mio::net::{TcpListener, TcpStream};
 use mio::{Events, Interest, Poll, Token};
 use mulleinhub_interface::{Duration, Timestamp};
-use mulleinhub_seam::{Ask, End, Link, ListenerId, StateMachine};
+use mulleinhub_seam::{CloseReason, Command, ConnectionId, ListenerId, StateMachine};
 use signal_hook_mio::v1_0::Signals;
 use socket2::{Domain, Socket, Type};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
@@ -106,14 +106,14 @@
     poll: Poll,
     events: Events,
     listeners: Vec<Listening>,
-    streams: BTreeMap<Link, Stream>,
+    streams: BTreeMap<ConnectionId, Stream>,
     /// Connections whose bytes are to be read.
-    readable: BTreeSet<Link>,
+    readable: BTreeSet<ConnectionId>,
     /// Those of them that became readable since they were last asked about.
-    fresh: Vec<Link>,
+    fresh: Vec<ConnectionId>,
     /// Connections that came up, or take bytes again. They are written to once the party has had its turn.
     /// Met: what waited for a connection left as it came up, though its client's leaving lay here unread.
-    writable: Vec<Link>,
+    writable: Vec<ConnectionId>,
     /// Addresses by the names that the party uses; others are read as addresses.
     names: BTreeMap<String, SocketAddr>,
     clock: Clock,
@@ -122,7 +122,7 @@
     /// Signals that came in and were not told yet. Met: of two within one poll the first was never heard.
     heard: VecDeque<i32>,
     /// Connections that came in and that we end, and until when they are kept for that.
-    lingering: VecDeque<(Instant, Link)>,
+    lingering: VecDeque<(Instant, ConnectionId)>,
     most_lingering: usize,
     /// The last poll told as much as it can.
     full: bool,
@@ -306,7 +306,8 @@
     pub fn finish(&mut self, at_most: StdDuration) {
         let until = Instant::now() + at_most;
         self.listeners.clear();
-        let links: Vec<Link> = self.streams.iter().filter(|(_, s)| s.came).map(|(link, _)| *link).collect();
+        let links: Vec<ConnectionId> =
+            self.streams.iter().filter(|(_, s)| s.came).map(|(link, _)| *link).collect();
         for link in &links {
             if let Some(stream) = self.streams.get_mut(link) {
                 stream.ending = true;
@@ -314,7 +315,7 @@
             }
         }
         loop {
-            for link in self.readable.iter().copied().collect::<Vec<Link>>() {
+            for link in self.readable.iter().copied().collect::<Vec<ConnectionId>>() {
                 self.linger(link);
             }
             let left = until.saturating_duration_since(Instant::now());
@@ -352,7 +353,7 @@
                     listening.ready = true;
                 }
             } else {
-                let link = Link((token.0 - LISTENERS) as u64);
+                let link = ConnectionId((token.0 - LISTENERS) as u64);
                 if writable {
                     self.is_writable(link);
                 }
@@ -416,7 +417,7 @@
         }
     }
 
-    fn add(&mut self, link: Link, mut tcp: TcpStream, up: bool, came: bool) -> bool {
+    fn add(&mut self, link: ConnectionId, mut tcp: TcpStream, up: bool, came: bool) -> bool {
         let token = Token(LISTENERS + link.0 as usize);
         let interest = Interest::READABLE | Interest::WRITABLE;
         if self.poll.registry().register(&mut tcp, token, interest).is_err() {
@@ -433,7 +434,7 @@
     /// calls prompt are read between slices of the others.
     fn read_all(&mut self) -> std::io::Result<bool> {
         let mut any = self.read_prompt();
-        let rest: Vec<Link> = self.readable.iter().copied().collect();
+        let rest: Vec<ConnectionId> = self.readable.iter().copied().collect();
         for (n, slice) in rest.chunks(ONE_SLICE).enumerate() {
             if n > 0 {
                 self.party.turn_early(self.now());
@@ -458,7 +459,7 @@
         any
     }
 
-    fn read_one(&mut self, link: Link) -> bool {
+    fn read_one(&mut self, link: ConnectionId) -> bool {
         let Some(stream) = self.streams.get_mut(&link) else {
             self.readable.remove(&link);
             return false;
@@ -478,7 +479,7 @@
         self.calls += 1;
         match stream.tcp.read(&mut self.buffer) {
             Ok(0) => {
-                self.gone(link, End::Closed);
+                self.gone(link, CloseReason::Closed);
                 true
             }
             Ok(n) => {
@@ -497,13 +498,13 @@
             }
             Err(error) if error.kind() == ErrorKind::Interrupted => true,
             Err(_) => {
-                self.gone(link, End::Broken);
+                self.gone(link, CloseReason::Broken);
                 true
             }
         }
     }
 
-    fn gone(&mut self, link: Link, end: End) {
+    fn gone(&mut self, link: ConnectionId, end: CloseReason) {
         self.readable.remove(&link);
         if self.streams.remove(&link).is_some() {
             let now = self.now();
@@ -511,7 +512,7 @@
         }
     }
 
-    fn is_writable(&mut self, link: Link) {
+    fn is_writable(&mut self, link: ConnectionId) {
         let Some(stream) = self.streams.get_mut(&link) else { return };
         if !stream.up {
             let error = stream.tcp.take_error().ok().flatten();
@@ -526,7 +527,7 @@
                 _ => {
                     // Only a refusal says that nobody is there.
                     let refused = error.is_some_and(|error| error.kind() == ErrorKind::ConnectionRefused);
-                    return self.gone(link, if refused { End::Refused } else { End::Broken });
+                    return self.gone(link, if refused { CloseReason::Refused } else { CloseReason::Broken });
                 }
             }
         }
@@ -540,7 +541,7 @@
     }
 
     /// Writes what waits, as much as the system takes.
-    fn write_one(&mut self, link: Link) {
+    fn write_one(&mut self, link: ConnectionId) {
         let Some(stream) = self.streams.get_mut(&link) else { return };
         if !stream.up || stream.lingers {
             return;
@@ -556,7 +557,7 @@
                 Err(error) if error.kind() == ErrorKind::WouldBlock => return,
                 Err(error) if error.kind() == ErrorKind::Interrupted => {}
                 Err(_) if stream.ending || self.party.links().is_paused(link) => {
-                    return self.gone(link, End::Broken);
+                    return self.gone(link, CloseReason::Broken);
                 }
                 Err(_) => {
                     // What the other side said before lies here still, and its end behind it. Met in a test:
@@ -582,7 +583,7 @@
 
     /// Lets go what still comes on a connection that we have ended, and the connection once the other side
     /// has ended it, too.
-    fn linger(&mut self, link: Link) {
+    fn linger(&mut self, link: ConnectionId) {
         let Some(stream) = self.streams.get_mut(&link) else { return };
         for _ in 0..MOST_POLLS {
             match stream.tcp.read(&mut self.buffer) {
@@ -629,12 +630,12 @@
             }
             let Some(ask) = self.party.links().next_ask() else { return };
             match ask {
-                Ask::Open(link, to) => self.connect(link, &to),
-                Ask::End { link, at_once: true } => {
+                Command::Open(link, to) => self.connect(link, &to),
+                Command::End { link, at_once: true } => {
                     self.readable.remove(&link);
                     self.streams.remove(&link);
                 }
-                Ask::End { link, at_once: false } => {
+                Command::End { link, at_once: false } => {
                     if let Some(stream) = self.streams.get_mut(&link) {
                         stream.ending = true;
                         self.lingering.push_back((Instant::now() + LINGER, link));
@@ -645,7 +646,7 @@
         }
     }
 
-    fn connect(&mut self, link: Link, to: &str) {
+    fn connect(&mut self, link: ConnectionId, to: &str) {
         // `TO from ADDRESS`: from this address of ours, for more connections than one has ports for.
         let (to, from) = to.split_once(" from ").map_or((to, None), |(to, from)| (to, Some(from)));
         let address = self.names.get(to).copied().or_else(|| to.parse().ok());
@@ -658,11 +659,11 @@
         let end = match tcp {
             Ok(tcp) => match self.add(link, tcp, false, false) {
                 true => return,
-                false => End::Untried,
+                false => CloseReason::Untried,
             },
-            Err(error) if error.kind() == ErrorKind::ConnectionRefused => End::Refused,
+            Err(error) if error.kind() == ErrorKind::ConnectionRefused => CloseReason::Refused,
             // Met: want of descriptors here was told as the other side's refusal.
-            Err(_) => End::Untried,
+            Err(_) => CloseReason::Untried,
         };
         let now = self.now();
         self.party.ended(now, link, end);
--- a/crates/shell/tests/descriptors.rs
+++ b/crates/shell/tests/descriptors.rs
@@ -1,7 +1,7 @@
 //! At the hard limit of descriptors, with real sockets. One test, for it lowers this process's own limit.
 
 use mulleinhub_interface::Timestamp;
-use mulleinhub_seam::{Connections, End, Link, ListenerId, StateMachine};
+use mulleinhub_seam::{CloseReason, ConnectionId, Connections, ListenerId, StateMachine};
 use mulleinhub_shell::EventLoop;
 use std::collections::VecDeque;
 use std::io::Read;
@@ -12,18 +12,18 @@
 #[derive(Default)]
 struct Host {
     links: Connections,
-    open: VecDeque<Link>,
+    open: VecDeque<ConnectionId>,
     pinches: usize,
-    ends: Vec<End>,
+    ends: Vec<CloseReason>,
 }
 
 impl StateMachine for Host {
-    fn opened(&mut self, _: Timestamp, link: Link, _: ListenerId) {
+    fn opened(&mut self, _: Timestamp, link: ConnectionId, _: ListenerId) {
         self.open.push_back(link);
     }
-    fn up(&mut self, _: Timestamp, _: Link) {}
-    fn received(&mut self, _: Timestamp, _: Link, _: &[u8]) {}
-    fn ended(&mut self, _: Timestamp, link: Link, end: End) {
+    fn up(&mut self, _: Timestamp, _: ConnectionId) {}
+    fn received(&mut self, _: Timestamp, _: ConnectionId, _: &[u8]) {}
+    fn ended(&mut self, _: Timestamp, link: ConnectionId, end: CloseReason) {
         self.ends.push(end);
         self.links.forget(link);
         self.open.retain(|open| *open != link);
@@ -78,7 +78,7 @@
     shell.party.ends.clear();
     shell.party.links.open(&at.to_string());
     shell.step(Duration::from_millis(20)).expect("polls");
-    assert_eq!(shell.party.ends, [End::Untried]);
+    assert_eq!(shell.party.ends, [CloseReason::Untried]);
     drop((taken, clients));
     for _ in 0..20 {
         shell.step(Duration::from_millis(20)).expect("polls");
@@ -89,5 +89,5 @@
     for _ in 0..5 {
         shell.step(Duration::from_millis(20)).expect("polls");
     }
-    assert!(shell.party.ends.contains(&End::Refused), "{:?}", shell.party.ends);
+    assert!(shell.party.ends.contains(&CloseReason::Refused), "{:?}", shell.party.ends);
 }
--- a/crates/shell/tests/ends.rs
+++ b/crates/shell/tests/ends.rs
@@ -2,7 +2,7 @@
 //! whole process's, so that they stand here alone.
 
 use mulleinhub_interface::Timestamp;
-use mulleinhub_seam::{Connections, End, Link, ListenerId, StateMachine};
+use mulleinhub_seam::{CloseReason, ConnectionId, Connections, ListenerId, StateMachine};
 use mulleinhub_shell::{EventLoop, Step};
 use rustix::process::{Pid, Signal, getpid, kill_process};
 use std::io::{Read, Write};
@@ -13,10 +13,10 @@
 #[derive(Default)]
 struct Host {
     links: Connections,
-    spoke: Vec<Link>,
+    spoke: Vec<ConnectionId>,
     ends_them: bool,
     heard: Vec<u8>,
-    ended: Vec<End>,
+    ended: Vec<CloseReason>,
     /// Resets its connection, with last words before, in the middle of the next turn, and is then written to.
     resets: Option<TcpStream>,
 }
@@ -25,9 +25,9 @@
 const LAST: &[u8] = b"my last words";
 
 impl StateMachine for Host {
-    fn opened(&mut self, _: Timestamp, _: Link, _: ListenerId) {}
-    fn up(&mut self, _: Timestamp, _: Link) {}
-    fn received(&mut self, _: Timestamp, link: Link, bytes: &[u8]) {
+    fn opened(&mut self, _: Timestamp, _: ConnectionId, _: ListenerId) {}
+    fn up(&mut self, _: Timestamp, _: ConnectionId) {}
+    fn received(&mut self, _: Timestamp, link: ConnectionId, bytes: &[u8]) {
         self.heard.extend_from_slice(bytes);
         if !self.spoke.contains(&link) {
             self.spoke.push(link);
@@ -37,7 +37,7 @@
             }
         }
     }
-    fn ended(&mut self, _: Timestamp, link: Link, end: End) {
+    fn ended(&mut self, _: Timestamp, link: ConnectionId, end: CloseReason) {
         self.ended.push(end);
         self.links.forget(link);
     }
--- a/crates/site/src/lib.rs
+++ b/crates/site/src/lib.rs
@@ -138,19 +138,19 @@
     let figure = |key: &str, n: usize| at(key, n).and_then(Value::as_f64);
     let read = |(n, class): (usize, &Value)| {
         let group = match class.get("group").and_then(Value::as_str) {
-            Some("all") => Reach::All,
-            Some("zone") => Reach::Zone,
-            _ => Reach::Cell,
+            Some("all") => FailureDomain::All,
+            Some("zone") => FailureDomain::Zone,
+            _ => FailureDomain::Cell,
         };
         let effect = match class.get("effect").and_then(Value::as_str) {
-            Some("repeatable") => Effect::Replayable,
-            Some("by_key") => Effect::Referenced { group, window: span(class, "window")? },
-            _ => Effect::SingleUse,
+            Some("repeatable") => Idempotency::Idempotent,
+            Some("by_key") => Idempotency::Keyed { domain: group, window: span(class, "window")? },
+            _ => Idempotency::NonIdempotent,
         };
         let reach = match at("spreadOver", n).and_then(Value::as_str) {
-            Some("machine") => Some(Reach::Machine),
-            Some("cell") => Some(Reach::Cell),
-            Some("zone") => Some(Reach::Zone),
+            Some("machine") => Some(FailureDomain::Machine),
+            Some("cell") => Some(FailureDomain::Cell),
+            Some("zone") => Some(FailureDomain::Zone),
             _ => None,
         };
         Ok(UseCase {
--- a/crates/standins/src/crowd.rs
+++ b/crates/standins/src/crowd.rs
@@ -8,7 +8,7 @@
 use crate::dice::Dice;
 use mulleinhub_interface::{Duration, Timestamp};
 use mulleinhub_protocol::{self as protocol, Conversation, Frames, Message, Spare};
-use mulleinhub_seam::{Connections, End, Link, ListenerId, StateMachine, Timers};
+use mulleinhub_seam::{CloseReason, ConnectionId, Connections, ListenerId, StateMachine, Timers};
 use std::collections::BTreeMap;
 
 #[derive(Clone, Debug)]
@@ -44,7 +44,7 @@
 
 #[derive(Debug, Default)]
 struct One {
-    link: Option<Link>,
+    link: Option<ConnectionId>,
     up: bool,
     frames: Frames,
     refusals: u32,
@@ -57,7 +57,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum Due {
     Open(u32),
-    Dead(u32, Link),
+    Dead(u32, ConnectionId),
     Byte(u32),
 }
 
@@ -69,7 +69,7 @@
     pub tally: CrowdTally,
     links: Connections,
     all: Vec<One>,
-    by_link: BTreeMap<Link, u32>,
+    by_link: BTreeMap<ConnectionId, u32>,
     timers: Timers<Due>,
     up: usize,
     storm_at: Option<Timestamp>,
@@ -270,11 +270,11 @@
 }
 
 impl StateMachine for Crowd {
-    fn opened(&mut self, _: Timestamp, link: Link, _: ListenerId) {
+    fn opened(&mut self, _: Timestamp, link: ConnectionId, _: ListenerId) {
         self.links.abort(link);
     }
 
-    fn up(&mut self, now: Timestamp, link: Link) {
+    fn up(&mut self, now: Timestamp, link: ConnectionId) {
         let Some(n) = self.by_link.get(&link).copied() else { return };
         let tenant = n as usize % self.settings.tenants.max(1);
         let name = format!("{}-{tenant}/{n}", self.settings.name);
@@ -283,7 +283,7 @@
         self.write(n, &hello);
     }
 
-    fn received(&mut self, now: Timestamp, link: Link, bytes: &[u8]) {
+    fn received(&mut self, now: Timestamp, link: ConnectionId, bytes: &[u8]) {
         let Some(n) = self.by_link.get(&link).copied() else { return };
         let one = &mut self.all[n as usize];
         one.heard = now;
@@ -298,10 +298,10 @@
         self.all[n as usize].frames = frames;
     }
 
-    fn ended(&mut self, now: Timestamp, link: Link, end: End) {
+    fn ended(&mut self, now: Timestamp, link: ConnectionId, end: CloseReason) {
         let Some(n) = self.by_link.get(&link).copied() else { return };
         self.gone(n);
-        if end == End::Refused {
+        if end == CloseReason::Refused {
             self.tally.refused += 1;
             self.all[n as usize].refusals += 1;
         } else {
--- a/crates/standins/src/list.rs
+++ b/crates/standins/src/list.rs
@@ -12,7 +12,7 @@
 use mulleinhub_protocol::{
     self as protocol, Bad, Conversation, Entry, Frames, ListKind, Message, Mode, Side,
 };
-use mulleinhub_seam::{Connections, End, Link, ListenerId, StateMachine};
+use mulleinhub_seam::{CloseReason, ConnectionId, Connections, ListenerId, StateMachine};
 use std::collections::{BTreeMap, VecDeque};
 
 /// No piece is written for a planner for which so many bytes wait.
@@ -100,7 +100,7 @@
     lines: BTreeMap<u64, Line>,
     version: u64,
     links: Connections,
-    watchers: BTreeMap<Link, Watcher>,
+    watchers: BTreeMap<ConnectionId, Watcher>,
     /// Lines told beyond what it can, and when that was worked out.
     backlog: f64,
     backlog_at: Timestamp,
@@ -175,7 +175,8 @@
             return;
         }
         let due = |w: &Watcher| w.told.is_some_and(|told| told < self.version);
-        let due: Vec<Link> = self.watchers.iter().filter(|(_, w)| due(w)).map(|(link, _)| *link).collect();
+        let due: Vec<ConnectionId> =
+            self.watchers.iter().filter(|(_, w)| due(w)).map(|(link, _)| *link).collect();
         for link in due {
             if self.watchers[&link].telling.is_some() {
                 self.tell_on(now, link);
@@ -186,7 +187,7 @@
     }
 
     /// Begins to tell a planner what changed since it was told last: all of it, where it fits in one message.
-    fn tell_one(&mut self, now: Timestamp, link: Link) {
+    fn tell_one(&mut self, now: Timestamp, link: ConnectionId) {
         let watcher = &self.watchers[&link];
         let Some(told) = watcher.told else { return };
         let reads_pieces = watcher.reads_pieces;
@@ -220,7 +221,7 @@
     }
 
     /// Goes on with a list that is told in pieces, as far as the planner reads.
-    fn tell_on(&mut self, now: Timestamp, link: Link) {
+    fn tell_on(&mut self, now: Timestamp, link: ConnectionId) {
         loop {
             let Some(Watcher { told: Some(told), telling: Some(telling), .. }) = self.watchers.get(&link)
             else {
@@ -245,7 +246,7 @@
     }
 
     /// Writes the next piece. True where it was the last one.
-    fn tell_piece(&mut self, now: Timestamp, link: Link, told: u64, telling: &mut Telling) -> bool {
+    fn tell_piece(&mut self, now: Timestamp, link: ConnectionId, told: u64, telling: &mut Telling) -> bool {
         // One entry more than a piece can have shows whether there is another.
         let entries = self.entries(now, link, told, telling.after, protocol::MOST_ENTRIES + 1);
         let piece = protocol::cut(&entries).next().unwrap_or_default().to_vec();
@@ -264,7 +265,7 @@
     fn entries(
         &self,
         now: Timestamp,
-        link: Link,
+        link: ConnectionId,
         told: u64,
         after: Option<u64>,
         most: usize,
@@ -291,14 +292,14 @@
             .collect()
     }
 
-    fn has_told(&mut self, link: Link, frames: &[u8], lines: usize) {
+    fn has_told(&mut self, link: ConnectionId, frames: &[u8], lines: usize) {
         self.lines_told += lines as u64;
         self.backlog += lines as f64;
         self.links.send(link, frames, None);
     }
 
     /// Ends a conversation, with the reason before.
-    fn refuse(&mut self, link: Link, words: &str) {
+    fn refuse(&mut self, link: ConnectionId, words: &str) {
         let mut frame = Vec::new();
         let words = &words[..words.floor_char_boundary(protocol::MOST_WORDS)];
         protocol::encode(&Message::Bye { words }, &mut frame);
@@ -307,7 +308,7 @@
         self.links.end(link);
     }
 
-    fn hear(&mut self, now: Timestamp, link: Link, message: &Message<'_>) -> Result<(), Bad> {
+    fn hear(&mut self, now: Timestamp, link: ConnectionId, message: &Message<'_>) -> Result<(), Bad> {
         if !message.belongs(Conversation::PlannerList, Side::Opener) {
             return Err(Bad("not a message for the list service".into()));
         }
@@ -342,14 +343,14 @@
 }
 
 impl StateMachine for ListService {
-    fn opened(&mut self, _: Timestamp, link: Link, _: ListenerId) {
+    fn opened(&mut self, _: Timestamp, link: ConnectionId, _: ListenerId) {
         let (frames, reads_pieces) = (Frames::default(), false);
         self.watchers.insert(link, Watcher { name: None, frames, reads_pieces, told: None, telling: None });
     }
 
-    fn up(&mut self, _: Timestamp, _: Link) {}
+    fn up(&mut self, _: Timestamp, _: ConnectionId) {}
 
-    fn received(&mut self, now: Timestamp, link: Link, bytes: &[u8]) {
+    fn received(&mut self, now: Timestamp, link: ConnectionId, bytes: &[u8]) {
         if self.plight.silent {
             return;
         }
@@ -373,7 +374,7 @@
         }
     }
 
-    fn ended(&mut self, _: Timestamp, link: Link, _: End) {
+    fn ended(&mut self, _: Timestamp, link: ConnectionId, _: CloseReason) {
         self.watchers.remove(&link);
         self.links.forget(link);
     }
--- a/crates/standins/src/machine.rs
+++ b/crates/standins/src/machine.rs
@@ -11,7 +11,7 @@
 use crate::plan::UseBook;
 use crate::worth::Worth;
 use mulleinhub_interface::{Duration, Timestamp};
-use mulleinhub_interface::{Reach, Resources};
+use mulleinhub_interface::{FailureDomain, Resources};
 use mulleinhub_protocol::{Ending, Reason, Shape};
 use std::collections::{BTreeMap, VecDeque};
 use std::sync::Arc;
@@ -23,7 +23,7 @@
     /// Work of a start with the program.
     pub work: Duration,
     /// Where one copy of a key stands; nothing where copies do no harm.
-    pub one_copy_in: Option<Reach>,
+    pub one_copy_in: Option<FailureDomain>,
     pub full_up_to: f64,
     pub fade: f64,
     /// Mean use as a part of the ask, lowest and highest.
@@ -205,7 +205,7 @@
             next_note: now,
             next_sent_away: None,
             earned: BTreeMap::new(),
-            asked: Resources::NONE,
+            asked: Resources::ZERO,
             dice,
         }
     }
@@ -275,7 +275,7 @@
         self.line.clear();
         self.looking = None;
         self.held.clear();
-        self.asked = Resources::NONE;
+        self.asked = Resources::ZERO;
     }
 
     /// Takes up the next offer in line, where none is looked at.
@@ -414,7 +414,7 @@
             unclaimed_until: None,
             mean_use,
             turn: self.dice.between(0.0, 1.0),
-            in_use: Resources::NONE,
+            in_use: Resources::ZERO,
             served: 1.0,
             settled: now,
         });
@@ -539,7 +539,7 @@
 
     /// What the tasks on it ask for, what they use, and how many they are.
     pub fn load(&self) -> (Resources, Resources, usize) {
-        let used = self.held.iter().fold(Resources::NONE, |sum, held| sum + held.in_use);
+        let used = self.held.iter().fold(Resources::ZERO, |sum, held| sum + held.in_use);
         (self.asked, used, self.held.len())
     }
 
@@ -615,7 +615,7 @@
 
     /// Cores and memory not in use, for a probe.
     pub fn unused(&self) -> Resources {
-        let used = self.held.iter().fold(Resources::NONE, |sum, held| sum + held.in_use);
+        let used = self.held.iter().fold(Resources::ZERO, |sum, held| sum + held.in_use);
         self.settings.size - used
     }
 
--- a/crates/standins/src/owner.rs
+++ b/crates/standins/src/owner.rs
@@ -10,7 +10,7 @@
 use crate::worth::{Tally, Worth};
 use mulleinhub_interface::{Duration, Timestamp};
 use mulleinhub_protocol::{self as protocol, Bad, Conversation, Ending, Frames, Message, Shape};
-use mulleinhub_seam::{Connections, End, Link, ListenerId, StateMachine, Timers};
+use mulleinhub_seam::{CloseReason, ConnectionId, Connections, ListenerId, StateMachine, Timers};
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
@@ -130,7 +130,7 @@
 }
 
 struct Desk {
-    link: Option<Link>,
+    link: Option<ConnectionId>,
     up: bool,
     frames: Frames,
 }
@@ -617,11 +617,11 @@
 }
 
 impl StateMachine for Owner {
-    fn opened(&mut self, _: Timestamp, link: Link, _: ListenerId) {
+    fn opened(&mut self, _: Timestamp, link: ConnectionId, _: ListenerId) {
         self.links.abort(link);
     }
 
-    fn up(&mut self, now: Timestamp, link: Link) {
+    fn up(&mut self, now: Timestamp, link: ConnectionId) {
         if let Some(planner) = self.desks.iter().position(|desk| desk.link == Some(link)) {
             let name = self.settings.name.clone();
             let out = |want: &Want| match want.state {
@@ -642,7 +642,7 @@
         }
     }
 
-    fn received(&mut self, now: Timestamp, link: Link, bytes: &[u8]) {
+    fn received(&mut self, now: Timestamp, link: ConnectionId, bytes: &[u8]) {
         let Some(planner) = self.desks.iter().position(|desk| desk.link == Some(link)) else { return };
         let mut frames = std::mem::take(&mut self.desks[planner].frames);
         frames.take(bytes);
@@ -663,7 +663,7 @@
         }
     }
 
-    fn ended(&mut self, now: Timestamp, link: Link, _: End) {
+    fn ended(&mut self, now: Timestamp, link: ConnectionId, _: CloseReason) {
         self.links.forget(link);
         if let Some(planner) = self.desks.iter().position(|desk| desk.link == Some(link)) {
             self.gone(now, planner, self.settings.reconnect);
--- a/crates/standins/src/rack.rs
+++ b/crates/standins/src/rack.rs
@@ -8,7 +8,7 @@
 use crate::worth::Worth;
 use mulleinhub_interface::Timestamp;
 use mulleinhub_protocol::{self as protocol, Bad, Conversation, Ending, Frames, Message, Reason, Side};
-use mulleinhub_seam::{Connections, End, Link, ListenerId, StateMachine};
+use mulleinhub_seam::{CloseReason, ConnectionId, Connections, ListenerId, StateMachine};
 use std::collections::BTreeMap;
 
 /// A connection of a planner to one of the machines.
@@ -34,9 +34,9 @@
     cases: Vec<CaseModel>,
     worth: Worth,
     links: Connections,
-    callers: BTreeMap<Link, Caller>,
+    callers: BTreeMap<ConnectionId, Caller>,
     /// What came to a machine while it hung, in order.
-    kept_in: Vec<(Link, Vec<u8>)>,
+    kept_in: Vec<(ConnectionId, Vec<u8>)>,
     untold: Vec<Untold>,
     happened: Vec<Happened>,
     /// For the day: starts of keys, machines that fell over.
@@ -71,7 +71,7 @@
     pub fn goes_down(&mut self, at: usize) {
         self.machines[at].goes_down();
         self.untold.retain(|untold| untold.machine != at);
-        let links: Vec<Link> =
+        let links: Vec<ConnectionId> =
             self.callers.iter().filter(|(_, c)| c.machine == at).map(|(l, _)| *l).collect();
         for link in links {
             self.callers.remove(&link);
@@ -95,18 +95,18 @@
         }
     }
 
-    fn write(&mut self, link: Link, message: &Message<'_>) {
+    fn write(&mut self, link: ConnectionId, message: &Message<'_>) {
         self.scratch.clear();
         protocol::encode(message, &mut self.scratch);
         self.links.send(link, &self.scratch, None);
     }
 
-    fn link_of(&self, machine: usize, planner: &str) -> Option<Link> {
+    fn link_of(&self, machine: usize, planner: &str) -> Option<ConnectionId> {
         let is = |c: &Caller| c.machine == machine && c.name.as_deref() == Some(planner);
         self.callers.iter().find(|(_, caller)| is(caller)).map(|(link, _)| *link)
     }
 
-    fn hear(&mut self, now: Timestamp, link: Link, bytes: &[u8]) {
+    fn hear(&mut self, now: Timestamp, link: ConnectionId, bytes: &[u8]) {
         let Some(caller) = self.callers.get_mut(&link) else { return };
         let mut frames = std::mem::take(&mut caller.frames);
         frames.take(bytes);
@@ -132,7 +132,7 @@
         }
     }
 
-    fn hear_one(&mut self, now: Timestamp, link: Link, message: &Message<'_>) -> Result<(), Bad> {
+    fn hear_one(&mut self, now: Timestamp, link: ConnectionId, message: &Message<'_>) -> Result<(), Bad> {
         if !message.belongs(Conversation::PlannerMachine, Side::Opener) {
             return Err(Bad("not a message for a machine".into()));
         }
@@ -215,12 +215,12 @@
         Ok(())
     }
 
-    fn close(&mut self, link: Link, task: u64, send: u32, ending: Ending, reason: Reason) {
+    fn close(&mut self, link: ConnectionId, task: u64, send: u32, ending: Ending, reason: Reason) {
         self.write(link, &Message::Closed { task, send, ending, reason });
     }
 
     /// A planner greets: an older connection of its is over, and with it all that it had in line.
-    fn greet(&mut self, now: Timestamp, link: Link, at: usize, planner: &str) {
+    fn greet(&mut self, now: Timestamp, link: ConnectionId, at: usize, planner: &str) {
         if let Some(old) = self.link_of(at, planner) {
             self.callers.remove(&old);
             self.kept_in.retain(|(kept, _)| *kept != old);
@@ -345,7 +345,7 @@
 }
 
 impl StateMachine for Rack {
-    fn opened(&mut self, _: Timestamp, link: Link, door: ListenerId) {
+    fn opened(&mut self, _: Timestamp, link: ConnectionId, door: ListenerId) {
         let machine = door.0 as usize;
         if self.listens(door) {
             self.callers.insert(link, Caller { machine, name: None, frames: Frames::default() });
@@ -354,9 +354,9 @@
         }
     }
 
-    fn up(&mut self, _: Timestamp, _: Link) {}
+    fn up(&mut self, _: Timestamp, _: ConnectionId) {}
 
-    fn received(&mut self, now: Timestamp, link: Link, bytes: &[u8]) {
+    fn received(&mut self, now: Timestamp, link: ConnectionId, bytes: &[u8]) {
         let Some(caller) = self.callers.get(&link) else { return };
         let at = caller.machine;
         if self.machines[at].plight.hangs {
@@ -367,7 +367,7 @@
         self.tell(now, at);
     }
 
-    fn ended(&mut self, now: Timestamp, link: Link, _: End) {
+    fn ended(&mut self, now: Timestamp, link: ConnectionId, _: CloseReason) {
         self.links.forget(link);
         if let Some(Caller { machine, name: Some(planner), .. }) = self.callers.remove(&link) {
             self.machines[machine].forget_line(now, &planner);
--- a/crates/standins/tests/list.rs
+++ b/crates/standins/tests/list.rs
@@ -2,7 +2,7 @@
 
 use mulleinhub_interface::{Duration, Timestamp};
 use mulleinhub_protocol::{self as protocol, Conversation, Frames, ListKind, ListReader, Message, WholeList};
-use mulleinhub_seam::{Ask, Link, ListenerId, StateMachine};
+use mulleinhub_seam::{Command, ConnectionId, ListenerId, StateMachine};
 use mulleinhub_standins::{Fact, ListService, ListSettings};
 
 const FLEET: u64 = 10_000;
@@ -33,7 +33,7 @@
 
 /// A planner, as far as the list service sees it.
 struct Planner {
-    link: Link,
+    link: ConnectionId,
     frames: Frames,
     reader: ListReader,
     /// Lists that came whole, and changes in messages of their own.
@@ -175,6 +175,6 @@
         planner.byes,
         ["2500 machines in a list, 2000 at most in one message; a planner that reads pieces gets it"]
     );
-    let asks: Vec<Ask> = std::iter::from_fn(|| service.links().next_ask()).collect();
-    assert!(matches!(asks[..], [Ask::End { link, at_once: false }] if link == planner.link), "{asks:?}");
+    let asks: Vec<Command> = std::iter::from_fn(|| service.links().next_ask()).collect();
+    assert!(matches!(asks[..], [Command::End { link, at_once: false }] if link == planner.link), "{asks:?}");
 }
--- a/crates/terms/src/lib.rs
+++ b/crates/terms/src/lib.rs
@@ -9,7 +9,7 @@
 
 use garde::Validate;
 use mulleinhub_interface::Duration;
-use mulleinhub_interface::{Effect, KindId, Reach, Resources, UseCase};
+use mulleinhub_interface::{FailureDomain, Idempotency, KindId, Resources, UseCase};
 use mulleinhub_settings::{Args, Bytes, Cores, Directive, Faults, Name, Place, Range, Scope, suggest};
 use std::collections::BTreeMap;
 
@@ -21,7 +21,7 @@
     pub soft_limit: Duration,
     #[garde(custom(some_time))]
     pub client_timeout: Duration,
-    pub effect: Effect,
+    pub effect: Idempotency,
     #[garde(range(min = 0.0, max = 1e9))]
     pub earnings: f64,
     #[garde(range(min = 0.0, max = 1e6))]
@@ -29,7 +29,7 @@
     #[garde(range(max = 3))]
     pub priority: u8,
     pub kind: Option<String>,
-    pub spread: Option<(Reach, usize)>,
+    pub spread: Option<(FailureDomain, usize)>,
     #[garde(range(min = 0.0, max = 10.0))]
     pub full_up_to: f64,
     #[garde(range(min = 0.001, max = 10.0))]
@@ -86,14 +86,14 @@
     block.iter().map(|d| (d.name.text.clone(), d.place.clone())).collect()
 }
 
-fn reach(args: &mut Args<'_>, faults: &mut Faults) -> Option<Reach> {
+fn reach(args: &mut Args<'_>, faults: &mut Faults) -> Option<FailureDomain> {
     let word = args.word()?;
     let known = ["machine", "rack", "hall", "all"];
     match word.text.as_str() {
-        "machine" => Some(Reach::Machine),
-        "rack" => Some(Reach::Cell),
-        "hall" => Some(Reach::Zone),
-        "all" => Some(Reach::All),
+        "machine" => Some(FailureDomain::Machine),
+        "rack" => Some(FailureDomain::Cell),
+        "hall" => Some(FailureDomain::Zone),
+        "all" => Some(FailureDomain::All),
         other => {
             let words = format!("{other} is no group (machine, rack, hall and all are)");
             faults.add_with_hint(&word.place, words, suggest(other, &known));
@@ -102,16 +102,16 @@
     }
 }
 
-fn reach_word(reach: Reach) -> &'static str {
+fn reach_word(reach: FailureDomain) -> &'static str {
     match reach {
-        Reach::Machine => "machine",
-        Reach::Cell => "rack",
-        Reach::Zone => "hall",
-        Reach::All => "all",
+        FailureDomain::Machine => "machine",
+        FailureDomain::Cell => "rack",
+        FailureDomain::Zone => "hall",
+        FailureDomain::All => "all",
     }
 }
 
-fn effect(directive: Option<&Directive>, scope: &Place, faults: &mut Faults) -> Option<Effect> {
+fn effect(directive: Option<&Directive>, scope: &Place, faults: &mut Faults) -> Option<Idempotency> {
     let Some(directive) = directive else {
         faults.add(scope, "effect is missing (replayable, referenced GROUP WINDOW, or single-use)");
         return None;
@@ -119,12 +119,12 @@
     let mut args = Args::of(directive);
     let word = args.word();
     let effect = match word.map(|word| word.text.as_str()) {
-        Some("replayable") => Some(Effect::Replayable),
-        Some("single-use") => Some(Effect::SingleUse),
+        Some("replayable") => Some(Idempotency::Idempotent),
+        Some("single-use") => Some(Idempotency::NonIdempotent),
         Some("referenced") => {
             let group = reach(&mut args, faults);
             let window = args.next::<Duration>(faults);
-            group.zip(window).map(|(group, window)| Effect::Referenced { group, window })
+            group.zip(window).map(|(group, window)| Idempotency::Keyed { domain: group, window })
         }
         other => {
             let known = ["replayable", "referenced", "single-use"];
@@ -251,10 +251,10 @@
     /// The use case as a settings file states it.
     pub fn show(&self) -> String {
         let effect = match self.effect {
-            Effect::Replayable => "replayable".to_owned(),
-            Effect::SingleUse => "single-use".to_owned(),
-            Effect::Referenced { group, window } => {
-                format!("referenced {} {}", reach_word(group), show_span(window))
+            Idempotency::Idempotent => "replayable".to_owned(),
+            Idempotency::NonIdempotent => "single-use".to_owned(),
+            Idempotency::Keyed { domain, window } => {
+                format!("referenced {} {}", reach_word(domain), show_span(window))
             }
         };
         let mut lines = vec![
--- a/src/brain.rs
+++ b/src/brain.rs
@@ -171,7 +171,7 @@
             starting: 0,
             watch_failures: 0,
             news_at: Timestamp::default(),
-            mean_left: Resources::NONE,
+            mean_left: Resources::ZERO,
         }
     }
 
@@ -235,7 +235,7 @@
         self.woken(WATCH);
     }
 
-    pub fn new_task(&mut self, order: Order) {
+    pub fn new_task(&mut self, order: TaskSpec) {
         let mut task = Task::new(order, State::Pending, PEAK_WINDOW, self.now);
         if let Some(at) = self.b.moved.iter().position(|(key, _)| *key == order.key) {
             task.size = self.b.moved.remove(at).map_or(order.ask, |(_, peak)| peak);
@@ -244,7 +244,7 @@
         self.b.pending.push(place);
     }
 
-    pub fn running(&mut self, order: Order, machine: MachineId) {
+    pub fn running(&mut self, order: TaskSpec, machine: MachineId) {
         let at = self.machine(machine);
         let mut task = Task::new(order, State::Placed, PEAK_WINDOW, self.now);
         task.machine = at;
@@ -307,7 +307,7 @@
         let m = &mut self.b.machines[at];
         m.used += task.last_use - before;
         if high {
-            let slack = (ask - task.peak(now)).at_least(Resources::NONE);
+            let slack = (ask - task.peak(now)).at_least(Resources::ZERO);
             m.slack += slack - task.slack;
             task.slack = slack;
         }
@@ -332,7 +332,7 @@
         self.shed(at);
     }
 
-    pub fn probed(&mut self, machine: MachineId, report: Report) {
+    pub fn probed(&mut self, machine: MachineId, report: LoadReport) {
         let (Some(at), Some(unused)) = (self.b.machines.place(machine), report.unused) else { return };
         let m = &mut self.b.machines[at];
         let (cores, memory) = (1.0 - unused.cores / m.size.cores, 1.0 - unused.memory / m.size.memory);
@@ -357,7 +357,7 @@
     }
 
     /// The end of a send. Where `over` is not set, the final answer is still ours to give.
-    pub fn closed(&mut self, id: TaskId, ending: Ending, over: bool, report: Report) {
+    pub fn closed(&mut self, id: TaskId, ending: Outcome, over: bool, report: LoadReport) {
         let Some(place) = self.b.tasks.place(id) else { return };
         let rest = self.b.use_case(place).client_timeout * REST_SHARE;
         let (now, rest) = (self.now, self.b.drawn(rest));
@@ -379,40 +379,43 @@
         task.starting = false;
         match ending {
             // Others were answered since this was sent, or it was moved: a long line, no dead machine.
-            Ending::TimedOut | Ending::Recalled
+            Outcome::TimedOut | Outcome::Cancelled
                 if state != State::Sent || m.dealings[case].answered_at > task.sent_at => {}
             // Let it rest, longer each time.
-            Ending::NoConnection
-            | Ending::Broken(FailureCause::Untold)
-            | Ending::Nacked(Rejection::QueueFull) => {
+            Outcome::NoConnection
+            | Outcome::Lost(FailureCause::Unspecified)
+            | Outcome::Rejected(Rejection::QueueFull) => {
                 m.dealings.iter_mut().for_each(|dealing| dealing.bar(now, rest));
             }
             // Where another machine erred on it too, it is the task. Met: set-ups that no machine could use,
             // each of which had four machines rest.
-            Ending::Errored if std::mem::replace(&mut task.erred, true) => {}
+            Outcome::Failed if std::mem::replace(&mut task.erred, true) => {}
             // Errors, silence, or a nack without a reason: it may be this use case alone that suffers.
-            Ending::Errored | Ending::TimedOut | Ending::Recalled | Ending::Nacked(Rejection::Untold) => {
+            Outcome::Failed
+            | Outcome::TimedOut
+            | Outcome::Cancelled
+            | Outcome::Rejected(Rejection::Unspecified) => {
                 m.dealings[case].bar(now, rest);
             }
             // The machine knows its room: for as long as a view may be stale, there is less than this ask.
-            Ending::Nacked(nack @ (Rejection::NoCores | Rejection::NoMemory)) => {
+            Outcome::Rejected(nack @ (Rejection::InsufficientCores | Rejection::InsufficientMemory)) => {
                 let beyond = self.b.taking.beyond(m.size);
-                let less = (ask.times(0.99, 0.99) - beyond - m.free()).at_most(Resources::NONE);
-                let cores = nack == Rejection::NoCores;
+                let less = (ask.times(0.99, 0.99) - beyond - m.free()).at_most(Resources::ZERO);
+                let cores = nack == Rejection::InsufficientCores;
                 m.changes(now, less.times(f64::from(cores), f64::from(!cores)));
             }
             // Out of memory, whoever used it up.
-            Ending::Broken(FailureCause::Evicted) | Ending::Nacked(Rejection::HandedBack) => {
+            Outcome::Lost(FailureCause::Evicted) | Outcome::Rejected(Rejection::Returned) => {
                 m.pressed.memory = now + PRESSED;
                 m.poor.note(now, 1.0);
             }
             _ => {}
         }
-        let never_ran = matches!(ending, Ending::Nacked(_) | Ending::NoConnection | Ending::NotSent);
+        let never_ran = matches!(ending, Outcome::Rejected(_) | Outcome::NoConnection | Outcome::NotSent);
         if !never_ran && state == State::Sent && task.may_run.is_none() {
             task.may_run = Some((task.sent_at, m.spot()));
         }
-        task.slack = Resources::NONE;
+        task.slack = Resources::ZERO;
         task.turned_down = Some(at);
         let machine = m.id;
         if over || state != State::Sent {
@@ -422,7 +425,7 @@
             (task.state, task.waited) = (State::Pending, false);
             self.b.pending.push(place);
         }
-        if matches!(ending, Ending::NoConnection | Ending::Broken(FailureCause::Untold)) {
+        if matches!(ending, Outcome::NoConnection | Outcome::Lost(FailureCause::Unspecified)) {
             self.b.machines[at].lost_at = Some(now);
         }
         self.probed(machine, report);
@@ -466,18 +469,18 @@
         self.out.wake_at(WATCH, self.now + wait);
     }
 
-    pub fn list(&mut self, kind: ListKind, entries: &[Entry]) {
+    pub fn list(&mut self, kind: ListKind, entries: &[MachineEntry]) {
         let now = self.now;
         let fresh = (FRESH_CAP / f64::from(self.b.cold.schedulers.max(1))).max(1.0);
-        if kind != ListKind::Saved {
+        if kind != ListKind::Cached {
             self.b.watch_failures = 0;
         }
-        if kind != ListKind::Changes {
-            self.b.machines.iter_mut().for_each(|(_, m)| m.mode = Mode::Left);
+        if kind != ListKind::Delta {
+            self.b.machines.iter_mut().for_each(|(_, m)| m.mode = MachineState::Removed);
         }
         for entry in entries {
             let at = self.machine(entry.id);
-            let size = self.b.kinds.get(entry.kind.0).copied().unwrap_or(Resources::NONE);
+            let size = self.b.kinds.get(entry.kind.0).copied().unwrap_or(Resources::ZERO);
             let fresh_start = self.b.is_fresh(entry.since, now);
             let m = &mut self.b.machines[at];
             (m.kind, m.cell, m.zone, m.size) = (entry.kind, entry.cell, entry.zone, size);
@@ -490,15 +493,16 @@
             m.since = entry.since;
         }
         // Not one that drains, nor a cold one: it may come back, and what was dealt to it still counts.
-        let is_over = |m: &Machine| m.mode == Mode::Left && m.tasks.is_empty() && !self.b.is_cold(m, now);
+        let is_over =
+            |m: &Machine| m.mode == MachineState::Removed && m.tasks.is_empty() && !self.b.is_cold(m, now);
         let over = self.b.machines.iter().find(|(_, m)| is_over(m)).map(|(at, _)| at);
         over.and_then(|at| self.b.machines.remove(at));
         // Whoever is not named has not changed: its view is as fresh as the named ones'.
         self.b.news_at = now;
-        let (mut left, mut size) = (Resources::NONE, Resources::NONE);
+        let (mut left, mut size) = (Resources::ZERO, Resources::ZERO);
         for (_, m) in self.b.machines.iter_mut() {
             m.seen(now, VIEW_AGE);
-            if m.mode == Mode::Active {
+            if m.mode == MachineState::Active {
                 left += m.left;
                 size += m.size;
             }
@@ -530,7 +534,7 @@
         m.use_memory.forget();
         // What is being stopped, by us or its owner, is over soon. Met: one heat, and two tasks gone for it.
         let stops = m.tasks.iter().map(|(place, _)| &self.b.tasks[*place]).filter(|t| t.state == State::Over);
-        let stops = stops.fold(Resources::NONE, |sum, task| sum + task.last_use);
+        let stops = stops.fold(Resources::ZERO, |sum, task| sum + task.last_use);
         let (total, used) = (total - stops, m.used - stops);
         if most.fits(total) {
             return;
@@ -542,7 +546,7 @@
             let (place, _) = self.b.machines[at].tasks[n];
             let task = &self.b.tasks[place];
             // One that came again stays: moving it on would only pass the heat around.
-            let stays = task.order.again || task.state != State::Placed || task.last_use == Resources::NONE;
+            let stays = task.order.again || task.state != State::Placed || task.last_use == Resources::ZERO;
             if stays || !self.b.is_low(place) || !self.has_calm_room(place) {
                 continue;
             }
@@ -608,8 +612,10 @@
     fn give_up(&mut self, place: usize) {
         let use_case = self.b.use_case(place);
         let task = &self.b.tasks[place];
-        let anywhere =
-            matches!(use_case.effect, Effect::Replayable | Effect::Referenced { group: Reach::All, .. });
+        let anywhere = matches!(
+            use_case.effect,
+            Idempotency::Idempotent | Idempotency::Keyed { domain: FailureDomain::All, .. }
+        );
         if anywhere || task.may_run.is_none() {
             self.out.nack(task.order.id, Duration::ZERO);
         } else {
@@ -657,9 +663,9 @@
         let task = &self.b.tasks[place];
         let time_left = task.order.deadline - now;
         let resend_barred = match (use_case.effect, task.may_run) {
-            (_, None) | (Effect::Replayable, _) => false,
-            (Effect::SingleUse, _) => true,
-            (Effect::Referenced { window, .. }, Some((first, _))) => now - first >= window * WINDOW_SHARE,
+            (_, None) | (Idempotency::Idempotent, _) => false,
+            (Idempotency::NonIdempotent, _) => true,
+            (Idempotency::Keyed { window, .. }, Some((first, _))) => now - first >= window * WINDOW_SHARE,
         };
         if resend_barred
             || task.sends >= self.b.taking.max_sends
@@ -686,7 +692,7 @@
         m.tasks.push((place, task.order.service));
         m.starting += 1;
         self.b.starting += 1;
-        m.changes(now, Resources::NONE - task.order.ask);
+        m.changes(now, Resources::ZERO - task.order.ask);
         if cold {
             m.sent_cold(now, self.b.cold.fall * FALL_STRETCH);
         }
@@ -700,7 +706,7 @@
         let (mut fits, mut held) = (std::mem::take(&mut self.b.fits), std::mem::take(&mut self.b.held));
         fits.clear();
         let (task, use_case, home) = (&self.b.tasks[place], self.b.use_case(place), self.b.home);
-        let Order { ask, service, .. } = task.order;
+        let TaskSpec { ask, service, .. } = task.order;
         self.find_held(service, use_case, &mut held);
         let (low, fade) = (use_case.priority == self.b.low, self.b.fade(self.now));
         let schedulers = f64::from(self.b.cold.schedulers.max(1));
@@ -752,7 +758,7 @@
     /// of 133.
     fn find_held(&self, service: ServiceId, use_case: &UseCase, held: &mut Vec<(Spot, usize)>) {
         held.clear();
-        if use_case.spread.is_some_and(|(reach, _)| reach != Reach::Machine) {
+        if use_case.spread.is_some_and(|(reach, _)| reach != FailureDomain::Machine) {
             let there = self.b.machines.iter().map(|(_, m)| (m.spot(), m.tasks_of(service)));
             held.extend(there.filter(|(_, tasks)| *tasks > 0));
         }
@@ -769,14 +775,14 @@
     ) -> bool {
         let now = self.now;
         let barred = now < m.dealings[task.order.use_case.0].barred_until || task.turned_down == Some(at);
-        if m.mode != Mode::Active || barred || m.starting as f64 >= m.cap {
+        if m.mode != MachineState::Active || barred || m.starting as f64 >= m.cap {
             return false;
         }
         if use_case.kind.is_some_and(|kind| kind != m.kind) || m.size.cores <= 0.0 || m.size.memory <= 0.0 {
             return false;
         }
-        if let (Effect::Referenced { group, .. }, Some((_, first))) = (use_case.effect, task.may_run)
-            && !m.is_within(group, first)
+        if let (Idempotency::Keyed { domain, .. }, Some((_, first))) = (use_case.effect, task.may_run)
+            && !m.is_within(domain, first)
         {
             return false;
         }
@@ -784,7 +790,7 @@
             let service = task.order.service;
             let there = held.iter().filter(|(spot, _)| m.is_within(reach, *spot));
             let held = match reach {
-                Reach::Machine => m.tasks_of(service),
+                FailureDomain::Machine => m.tasks_of(service),
                 _ => there.map(|(_, tasks)| *tasks).sum(),
             };
             if held >= most {
@@ -813,7 +819,7 @@
 
     /// Room asked, plus predicted slack for low-priority tasks, as far as the machine accepts.
     fn has_room(&self, task: &Task, low: bool, m: &Machine, free: Resources) -> bool {
-        let slack = if low { m.slack } else { Resources::NONE };
+        let slack = if low { m.slack } else { Resources::ZERO };
         (free + slack).fits(task.size) && (free + self.b.taking.beyond(m.size)).fits(task.order.ask)
     }
 }
--- a/src/mind.rs
+++ b/src/mind.rs
@@ -7,10 +7,10 @@
     fn start(&mut self) {
         self.start();
     }
-    fn new_task(&mut self, order: Order) {
+    fn new_task(&mut self, order: TaskSpec) {
         self.new_task(order);
     }
-    fn running(&mut self, order: Order, machine: MachineId) {
+    fn running(&mut self, order: TaskSpec, machine: MachineId) {
         self.running(order, machine);
     }
     fn accepted(&mut self, task: TaskId) {
@@ -28,13 +28,13 @@
     fn machine_memory(&mut self, task: TaskId, share: f64) {
         self.machine_memory(task, share);
     }
-    fn probed(&mut self, machine: MachineId, report: Report) {
+    fn probed(&mut self, machine: MachineId, report: LoadReport) {
         self.probed(machine, report);
     }
     fn restarted(&mut self, machine: MachineId) {
         self.restarted(machine);
     }
-    fn closed(&mut self, task: TaskId, ending: Ending, over: bool, report: Report) {
+    fn closed(&mut self, task: TaskId, ending: Outcome, over: bool, report: LoadReport) {
         self.closed(task, ending, over, report);
     }
     fn abandoned(&mut self, task: TaskId) {
@@ -49,7 +49,7 @@
     fn list_failed(&mut self) {
         self.list_failed();
     }
-    fn list(&mut self, kind: ListKind, entries: &[Entry]) {
+    fn list(&mut self, kind: ListKind, entries: &[MachineEntry]) {
         self.list(kind, entries);
     }
 }
--- a/src/properties.rs
+++ b/src/properties.rs
@@ -33,7 +33,7 @@
     /// Of the tasks that wait for an answer or run, the one of this number.
     Accepted(usize),
     Started(usize),
-    Closed(usize, Ending),
+    Closed(usize, Outcome),
     Abandoned(usize),
     Noted(usize, f64, f64),
     Fares(usize, f64, f64),
@@ -41,7 +41,7 @@
     Heats(usize),
     /// Of a task that is over, or never was.
     Odd(u64, usize),
-    Listed(usize, Mode, bool),
+    Listed(usize, MachineState, bool),
     WholeList,
     ListFailed,
     Restarted(usize),
@@ -58,23 +58,23 @@
 
 fn event() -> impl Strategy<Value = Event> {
     let endings = vec![
-        Ending::Ok,
-        Ending::Errored,
-        Ending::Nacked(Rejection::Untold),
-        Ending::Nacked(Rejection::HandedBack),
-        Ending::Nacked(Rejection::NoCores),
-        Ending::Nacked(Rejection::NoMemory),
-        Ending::Nacked(Rejection::QueueFull),
-        Ending::Nacked(Rejection::NotHere),
-        Ending::TimedOut,
-        Ending::NoConnection,
-        Ending::Broken(FailureCause::Untold),
-        Ending::Broken(FailureCause::Evicted),
-        Ending::Recalled,
-        Ending::NotSent,
+        Outcome::Ok,
+        Outcome::Failed,
+        Outcome::Rejected(Rejection::Unspecified),
+        Outcome::Rejected(Rejection::Returned),
+        Outcome::Rejected(Rejection::InsufficientCores),
+        Outcome::Rejected(Rejection::InsufficientMemory),
+        Outcome::Rejected(Rejection::QueueFull),
+        Outcome::Rejected(Rejection::NotHere),
+        Outcome::TimedOut,
+        Outcome::NoConnection,
+        Outcome::Lost(FailureCause::Unspecified),
+        Outcome::Lost(FailureCause::Evicted),
+        Outcome::Cancelled,
+        Outcome::NotSent,
     ];
     let (m, n) = (0..MACHINES, 0..12usize);
-    let mode = prop_oneof![4 => Just(Mode::Active), 1 => Just(Mode::Leaving), 1 => Just(Mode::Left)];
+    let mode = prop_oneof![4 => Just(MachineState::Active), 1 => Just(MachineState::Draining), 1 => Just(MachineState::Removed)];
     prop_oneof![
         12 => (0..4usize, 0..3u64, 1..8u32, prop_oneof![3 => Just(8_000u64), 1 => 1..8_000u64]).prop_map(
             |(case, service, ask, patience)| Event::New { case, service, ask: f64::from(ask) * 0.5, patience }
@@ -179,7 +179,7 @@
     brain: Option<PlacementPolicy>,
     tasks: BTreeMap<u64, Task>,
     wakes: BTreeSet<(u64, u64)>,
-    listed: Vec<Option<Mode>>,
+    listed: Vec<Option<MachineState>>,
     /// Until when it must take each machine for cold.
     cold_until: [u64; MACHINES],
 }
@@ -219,15 +219,15 @@
         fade: 0.2,
     };
     vec![
-        case(Effect::Replayable, 0, None),
-        case(Effect::Referenced { group: Reach::Cell, window }, 1, None),
-        case(Effect::SingleUse, 1, Some((Reach::Machine, 1))),
-        case(Effect::Replayable, 1, Some((Reach::Cell, 2))),
+        case(Idempotency::Idempotent, 0, None),
+        case(Idempotency::Keyed { domain: FailureDomain::Cell, window }, 1, None),
+        case(Idempotency::NonIdempotent, 1, Some((FailureDomain::Machine, 1))),
+        case(Idempotency::Idempotent, 1, Some((FailureDomain::Cell, 2))),
     ]
 }
 
-fn entry(m: usize, mode: Mode, since: Option<u64>) -> Entry {
-    Entry {
+fn entry(m: usize, mode: MachineState, since: Option<u64>) -> MachineEntry {
+    MachineEntry {
         id: MachineId(m as u64),
         kind: KindId(0),
         cell: CellId(m as u32 / 2),
@@ -309,7 +309,7 @@
                 .filter(|(_, t)| is_due(t, self.now))
                 .map(|(id, _)| *id)
                 .collect();
-            late.into_iter().for_each(|id| self.close(s, id, Ending::TimedOut, round));
+            late.into_iter().for_each(|id| self.close(s, id, Outcome::TimedOut, round));
         });
         let starting: usize = brain.machines.iter().map(|(_, m)| m.starting).sum();
         assert_eq!(brain.starting, starting, "starts under way on all machines");
@@ -330,7 +330,8 @@
                 let order = self.order(s, case, service, ask, deadline);
                 round.new_task(order);
             }
-            Event::Runs { machine, .. } if self.schedulers[s].listed[machine] == Some(Mode::Left) => {}
+            Event::Runs { machine, .. }
+                if self.schedulers[s].listed[machine] == Some(MachineState::Removed) => {}
             Event::Runs { case, service, machine } => {
                 let order = self.order(s, case, service, 1.0, u64::MAX);
                 let sent = Sent { machine, at: self.now, due: u64::MAX, over: false, never_ran: false };
@@ -391,7 +392,12 @@
                     0 => round.accepted(id),
                     1 => round.runs(id),
                     2 => round.abandoned(id),
-                    _ => round.closed(id, Ending::Broken(FailureCause::Untold), true, Report::default()),
+                    _ => round.closed(
+                        id,
+                        Outcome::Lost(FailureCause::Unspecified),
+                        true,
+                        LoadReport::default(),
+                    ),
                 }
             }
             Event::Listed(m, mode, fresh) => {
@@ -400,17 +406,18 @@
                 }
                 let since = self.up_at[m];
                 self.listed(s, m, mode, since);
-                round.list(ListKind::Changes, &[entry(m, mode, since)]);
+                round.list(ListKind::Delta, &[entry(m, mode, since)]);
             }
             Event::WholeList => {
                 let up_at = self.up_at;
-                let entries: Vec<Entry> = (0..MACHINES).map(|m| entry(m, Mode::Active, up_at[m])).collect();
-                (0..MACHINES).for_each(|m| self.listed(s, m, Mode::Active, up_at[m]));
-                round.list(ListKind::Whole, &entries);
+                let entries: Vec<MachineEntry> =
+                    (0..MACHINES).map(|m| entry(m, MachineState::Active, up_at[m])).collect();
+                (0..MACHINES).for_each(|m| self.listed(s, m, MachineState::Active, up_at[m]));
+                round.list(ListKind::Snapshot, &entries);
             }
             Event::ListFailed => round.list_failed(),
             // Nobody is connected to a machine that has left.
-            Event::Restarted(m) if self.schedulers[s].listed[m] == Some(Mode::Left) => {}
+            Event::Restarted(m) if self.schedulers[s].listed[m] == Some(MachineState::Removed) => {}
             Event::Restarted(m) => {
                 self.is_cold(s, m, self.now);
                 round.restarted(MachineId(m as u64));
@@ -418,7 +425,7 @@
         }
     }
 
-    fn order(&mut self, s: usize, case: usize, service: u64, ask: f64, deadline: u64) -> Order {
+    fn order(&mut self, s: usize, case: usize, service: u64, ask: f64, deadline: u64) -> TaskSpec {
         let id = self.next;
         self.next += 1;
         let service = service + 10 * case as u64;
@@ -434,7 +441,7 @@
             moved: false,
         };
         self.schedulers[s].tasks.insert(id, task);
-        Order {
+        TaskSpec {
             id: TaskId(id),
             key: TaskKey(id),
             use_case: UseCaseId(case),
@@ -445,9 +452,9 @@
         }
     }
 
-    fn listed(&mut self, s: usize, m: usize, mode: Mode, since: Option<u64>) {
+    fn listed(&mut self, s: usize, m: usize, mode: MachineState, since: Option<u64>) {
         let before = self.schedulers[s].listed[m].replace(mode);
-        self.met.drains += u64::from(mode != Mode::Active && before == Some(Mode::Active));
+        self.met.drains += u64::from(mode != MachineState::Active && before == Some(MachineState::Active));
         if let Some(since) = since {
             self.is_cold(s, m, since);
         }
@@ -459,19 +466,25 @@
     }
 
     /// The send that is out, or the task that runs, ends.
-    fn close(&mut self, s: usize, id: u64, ending: Ending, round: &mut crate::SchedulingRound<'_, Notebook>) {
+    fn close(
+        &mut self,
+        s: usize,
+        id: u64,
+        ending: Outcome,
+        round: &mut crate::SchedulingRound<'_, Notebook>,
+    ) {
         let task = self.schedulers[s].tasks.get_mut(&id).expect("is open");
         let sent = task.sends.last_mut().expect("is open");
-        let (m, handed_back) = (sent.machine, ending == Ending::Nacked(Rejection::HandedBack));
+        let (m, handed_back) = (sent.machine, ending == Outcome::Rejected(Rejection::Returned));
         sent.over = true;
-        sent.never_ran = matches!(ending, Ending::Nacked(_) | Ending::NoConnection | Ending::NotSent)
+        sent.never_ran = matches!(ending, Outcome::Rejected(_) | Outcome::NoConnection | Outcome::NotSent)
             && (!task.placed || handed_back);
         let over = task.placed || task.abandoned;
         task.over |= over;
-        if matches!(ending, Ending::NoConnection | Ending::Broken(FailureCause::Untold)) {
+        if matches!(ending, Outcome::NoConnection | Outcome::Lost(FailureCause::Unspecified)) {
             self.is_cold(s, m, self.now);
         }
-        round.closed(TaskId(id), ending, over, Report::default());
+        round.closed(TaskId(id), ending, over, LoadReport::default());
     }
 
     fn said(&mut self, s: usize, said: Said) {
@@ -496,7 +509,7 @@
                 assert!(!task.abandoned, "task {id} is answered though nobody waits");
                 assert!(task.sends.iter().all(|sent| sent.over), "rule 2: {id} is answered with a send out");
                 let may_run = task.sends.iter().any(|sent| !sent.never_ran);
-                let harmless = !may_run || cases[task.case].effect == Effect::Replayable;
+                let harmless = !may_run || cases[task.case].effect == Idempotency::Idempotent;
                 let nack = matches!(said, Said::Rejection(_));
                 assert!(!nack || harmless, "rule 2: task {id} is nacked though it may have run");
                 task.over = true;
@@ -518,9 +531,9 @@
         self.met.bound_again += u64::from(!task.sends.is_empty());
         if let Some(first) = task.sends.iter().find(|sent| !sent.never_ran) {
             match case.effect {
-                Effect::Replayable => {}
-                Effect::SingleUse => panic!("rule 2: single-use task {id} is sent again"),
-                Effect::Referenced { window, .. } => {
+                Idempotency::Idempotent => {}
+                Idempotency::NonIdempotent => panic!("rule 2: single-use task {id} is sent again"),
+                Idempotency::Keyed { window, .. } => {
                     assert_eq!(first.machine / 2, m / 2, "rule 2: task {id} leaves its group");
                     assert!(now <= first.at + window.nanos(), "rule 2: task {id} is sent after its window");
                 }
@@ -530,7 +543,7 @@
         let service = task.service;
         assert_eq!(
             scheduler.listed[m],
-            Some(Mode::Active),
+            Some(MachineState::Active),
             "rule 3: task {id} is sent to closed machine {m}"
         );
         if now < scheduler.cold_until[m] {
@@ -543,7 +556,7 @@
         }
         if let Some((reach, most)) = case.spread {
             let there = |sent: &Sent| match reach {
-                Reach::Machine => sent.machine == m,
+                FailureDomain::Machine => sent.machine == m,
                 _ => sent.machine / 2 == m / 2,
             };
             let holds =
@@ -580,7 +593,7 @@
     fn falls_quiet(&mut self) {
         self.passes(10_000 * MS, None);
         for s in 0..SCHEDULERS {
-            let ends: Vec<Event> = (0..500).map(|_| Event::Closed(0, Ending::Ok)).collect();
+            let ends: Vec<Event> = (0..500).map(|_| Event::Closed(0, Outcome::Ok)).collect();
             self.round(s, &ends);
         }
         self.passes(60_000 * MS, None);
--- a/src/state.rs
+++ b/src/state.rs
@@ -17,7 +17,7 @@
 pub type Spot = (MachineId, CellId, ZoneId);
 
 pub struct Task {
-    pub order: Order,
+    pub order: TaskSpec,
     pub state: State,
     pub came: Timestamp,
     /// What it is sized at: its ask, or its peak use where we moved it off.
@@ -64,7 +64,7 @@
     pub zone: ZoneId,
     pub size: Resources,
     /// As the list has it; one that no list names has left.
-    pub mode: Mode,
+    pub mode: MachineState,
     pub since: Option<Timestamp>,
     pub left: Resources,
     /// Our own asks (below nought) and ends (above) that the view may not show yet.
@@ -92,7 +92,7 @@
 }
 
 impl Task {
-    pub fn new(order: Order, state: State, window: Duration, now: Timestamp) -> Self {
+    pub fn new(order: TaskSpec, state: State, window: Duration, now: Timestamp) -> Self {
         Self {
             order,
             state,
@@ -109,8 +109,8 @@
             erred: false,
             cores: Peak::new(window),
             memory: Peak::new(window),
-            last_use: Resources::NONE,
-            slack: Resources::NONE,
+            last_use: Resources::ZERO,
+            slack: Resources::ZERO,
         }
     }
 
@@ -128,16 +128,16 @@
             kind: KindId(usize::MAX),
             cell: CellId(u32::MAX),
             zone: ZoneId(u32::MAX),
-            size: Resources::NONE,
-            mode: Mode::Left,
+            size: Resources::ZERO,
+            mode: MachineState::Removed,
             since: None,
-            left: Resources::NONE,
+            left: Resources::ZERO,
             unseen: VecDeque::with_capacity(16),
-            unseen_sum: Resources::NONE,
+            unseen_sum: Resources::ZERO,
             tasks: Vec::with_capacity(32),
-            used: Resources::NONE,
+            used: Resources::ZERO,
             lately: VecDeque::with_capacity(16),
-            slack: Resources::NONE,
+            slack: Resources::ZERO,
             use_cores: Peak::new(window),
             use_memory: Peak::new(window),
             poor: Peak::new(window),
@@ -158,12 +158,12 @@
         self.pressed.cores <= now && self.pressed.memory <= now
     }
 
-    pub fn is_within(&self, reach: Reach, of: Spot) -> bool {
+    pub fn is_within(&self, reach: FailureDomain, of: Spot) -> bool {
         match reach {
-            Reach::All => true,
-            Reach::Zone => self.zone == of.2,
-            Reach::Cell => self.cell == of.1,
-            Reach::Machine => self.id == of.0,
+            FailureDomain::All => true,
+            FailureDomain::Zone => self.zone == of.2,
+            FailureDomain::Cell => self.cell == of.1,
+            FailureDomain::Machine => self.id == of.0,
         }
     }
 
@@ -191,7 +191,7 @@
         while self.unseen.front().is_some_and(|(at, _)| now - *at > view_age) {
             self.unseen.pop_front();
         }
-        self.unseen_sum = self.unseen.iter().fold(Resources::NONE, |sum, (_, change)| sum + *change);
+        self.unseen_sum = self.unseen.iter().fold(Resources::ZERO, |sum, (_, change)| sum + *change);
     }
 
     /// Notes a send to this cold machine, and forgets those of long ago.
--- a/tests/host/mod.rs
+++ b/tests/host/mod.rs
@@ -72,7 +72,7 @@
         let use_case = |priority| UseCase {
             soft_limit: secs(1),
             client_timeout: secs(8),
-            effect: Effect::Replayable,
+            effect: Idempotency::Idempotent,
             earnings: f64::from(priority) + 1.0,
             priority,
             kind: None,
@@ -96,9 +96,9 @@
         }
     }
 
-    pub fn up(mut self, machines: &[Entry]) -> Self {
+    pub fn up(mut self, machines: &[MachineEntry]) -> Self {
         self.restart();
-        self.tell(|r| r.list(ListKind::Saved, machines));
+        self.tell(|r| r.list(ListKind::Cached, machines));
         self
     }
 
@@ -146,8 +146,8 @@
         self.tell(|r| r.woken(0))
     }
 
-    pub fn order(&self, id: u64, use_case: usize, ask: f64) -> Order {
-        Order {
+    pub fn order(&self, id: u64, use_case: usize, ask: f64) -> TaskSpec {
+        TaskSpec {
             id: TaskId(id),
             key: TaskKey(id),
             use_case: UseCaseId(use_case),
@@ -168,19 +168,19 @@
         self.tell(|r| r.running(order, MachineId(machine)));
     }
 
-    pub fn ends(&mut self, id: u64, ending: Ending) -> Vec<Said> {
-        self.tell(|r| r.closed(TaskId(id), ending, false, Report::default()))
+    pub fn ends(&mut self, id: u64, ending: Outcome) -> Vec<Said> {
+        self.tell(|r| r.closed(TaskId(id), ending, false, LoadReport::default()))
     }
 }
 
 /// A machine of ten cores and ten of memory, with so much of both left, in cell and zone 0.
-pub fn machine(id: u64, left: f64) -> Entry {
-    Entry {
+pub fn machine(id: u64, left: f64) -> MachineEntry {
+    MachineEntry {
         id: MachineId(id),
         kind: KindId(0),
         cell: CellId(0),
         zone: ZoneId(0),
-        mode: Mode::Active,
+        mode: MachineState::Active,
         since: None,
         left: Some(Resources::new(left, left)),
     }
--- a/tests/stories.rs
+++ b/tests/stories.rs
@@ -21,7 +21,7 @@
 fn our_own_sends_count_until_a_view_can_show_them() {
     let mut host = Host::new().up(&[machine(1, 9.9), machine(2, 5.0)]);
     assert_eq!(host.ask(1, HIGH, 5.0), [Said::Send(1, 1)]);
-    host.tell(|r| r.list(ListKind::Changes, &[machine(1, 9.9)]));
+    host.tell(|r| r.list(ListKind::Delta, &[machine(1, 9.9)]));
     assert_eq!(host.ask(2, HIGH, 5.0), [Said::Send(2, 2)], "the list is as old as the send");
 }
 
@@ -32,7 +32,7 @@
     let place = |host: &mut Host, id| {
         // The view shows what was asked for before: that alone would leave the first one least requested.
         host.millis += 1_000;
-        host.tell(|r| r.list(ListKind::Changes, &all));
+        host.tell(|r| r.list(ListKind::Delta, &all));
         sent_to(&host.ask(id, HIGH, 0.1))
     };
     let goes_to_one = |id: &u64| place(&mut Host { schedulers: 16, ..Host::new() }.up(&all), *id) == Some(1);
@@ -48,8 +48,8 @@
 }
 
 /// A service that goes to machine 1 of two equal ones, and a task of it.
-fn homed_on_one(host: &Host, id: u64, use_case: usize, ask: f64) -> Order {
-    let of = |service| Order { service: ServiceId(service), ..host.order(id, use_case, ask) };
+fn homed_on_one(host: &Host, id: u64, use_case: usize, ask: f64) -> TaskSpec {
+    let of = |service| TaskSpec { service: ServiceId(service), ..host.order(id, use_case, ask) };
     let goes_to_one = |service: &u64| {
         let mut equal = Host::new().up(&[machine(1, 9.0), machine(2, 9.0)]);
         sent_to(&equal.tell(|r| r.new_task(of(*service)))) == Some(1)
@@ -59,7 +59,7 @@
 
 /// Machine 1 is full but for two units and a task of ours that used the most told; machine 2 has room.
 fn goes_to(use_case: usize, used: &[f64]) -> Option<u64> {
-    let roomy = Entry { kind: KindId(1), ..machine(2, 3.0) };
+    let roomy = MachineEntry { kind: KindId(1), ..machine(2, 3.0) };
     let mut host = Host { accepts: 2.0, ..Host::new() }.up(&[machine(1, 2.0), roomy]);
     host.runs_on(1, HIGH, 8.0, 1);
     for used in used {
@@ -81,7 +81,7 @@
 fn what_fits_nowhere_waits_and_goes_when_room_comes() {
     let mut host = Host::new().up(&[machine(1, 0.5)]);
     assert_eq!(host.ask(1, HIGH, 1.0), []);
-    host.tell(|r| r.list(ListKind::Changes, &[machine(1, 5.0)]));
+    host.tell(|r| r.list(ListKind::Delta, &[machine(1, 5.0)]));
     assert_eq!(host.after(60), [Said::Send(1, 1)]);
 }
 
@@ -92,7 +92,7 @@
         host.ask(1, early, 1.0);
         host.millis += wait;
         host.ask(2, late, 1.0);
-        host.tell(|r| r.list(ListKind::Changes, &[machine(1, 1.0)]));
+        host.tell(|r| r.list(ListKind::Delta, &[machine(1, 1.0)]));
         assert_eq!(host.after(60), [Said::Send(2, 1)]);
     }
 }
@@ -124,7 +124,7 @@
     assert_eq!(host.tell(|r| r.machine_memory(TaskId(3), 1.2)), [Said::Move(4)], "2.5 too much: one goes");
     assert_eq!(host.after(100), [], "no more before the next report");
     assert_eq!(host.tell(|r| r.machine_memory(TaskId(3), 1.2)), [], "the first is not off yet");
-    host.ends(4, Ending::Broken(FailureCause::SentAway));
+    host.ends(4, Outcome::Lost(FailureCause::SentAway));
     host.runs_on(5, HIGH, 1.0, 1);
     host.tell(|r| (r.uses(TaskId(5), Some(2.5), None), r.uses(TaskId(5), None, Some(2.5))));
     assert_eq!(host.tell(|r| r.machine_memory(TaskId(3), 1.2)), [Said::Move(2)]);
@@ -168,14 +168,14 @@
     host.runs_on(1, LOW, 4.0, 1);
     host.tell(|r| (r.uses(TaskId(1), Some(2.0), None), r.uses(TaskId(1), None, Some(2.0))));
     assert_eq!(host.tell(|r| r.machine_memory(TaskId(1), 1.2)), [Said::Move(1)]);
-    host.tell(|r| r.closed(TaskId(1), Ending::Recalled, true, Report::default()));
-    host.tell(|r| r.list(ListKind::Changes, &[machine(1, 0.0), machine(2, 3.0)]));
-    let back = Order { id: TaskId(2), key: TaskKey(1), again: true, ..host.order(2, LOW, 4.0) };
+    host.tell(|r| r.closed(TaskId(1), Outcome::Cancelled, true, LoadReport::default()));
+    host.tell(|r| r.list(ListKind::Delta, &[machine(1, 0.0), machine(2, 3.0)]));
+    let back = TaskSpec { id: TaskId(2), key: TaskKey(1), again: true, ..host.order(2, LOW, 4.0) };
     assert_eq!(host.tell(|r| r.new_task(back)), [Said::Send(2, 2)], "three are enough for its peak of two");
     host.tell(|r| {
         (r.accepted(TaskId(2)), r.uses(TaskId(2), Some(2.0), None), r.uses(TaskId(2), None, Some(2.0)))
     });
-    host.tell(|r| r.list(ListKind::Changes, &[machine(3, 9.0)]));
+    host.tell(|r| r.list(ListKind::Delta, &[machine(3, 9.0)]));
     assert_eq!(host.tell(|r| r.machine_memory(TaskId(2), 0.96)), []);
 }
 
@@ -200,20 +200,20 @@
     let mut host = Host::new().up(&[machine(1, 0.5)]);
     host.ask(1, HIGH, 1.0);
     host.millis += 7_000;
-    host.tell(|r| r.list(ListKind::Changes, &[machine(1, 5.0)]));
+    host.tell(|r| r.list(ListKind::Delta, &[machine(1, 5.0)]));
     assert_eq!(host.after(60), [Said::Send(1, 1)]);
     host.ask(2, HIGH, 9.0);
     host.millis += 940;
-    assert_eq!(host.ends(1, Ending::TimedOut), [Said::Rejection(1)], "no tick came in between");
+    assert_eq!(host.ends(1, Outcome::TimedOut), [Said::Rejection(1)], "no tick came in between");
 }
 
 #[test]
 fn a_task_out_of_sends_is_answered_at_once() {
     let mut host = Host::new().up(&[machine(1, 9.0), machine(2, 8.0), machine(3, 7.0), machine(4, 6.0)]);
     host.ask(1, HIGH, 1.0);
-    assert!(sent_to(&host.ends(1, Ending::Errored)).is_some());
-    assert!(sent_to(&host.ends(1, Ending::Errored)).is_some());
-    assert_eq!(host.ends(1, Ending::Errored), [Said::Rejection(1)], "three sends are all that it has");
+    assert!(sent_to(&host.ends(1, Outcome::Failed)).is_some());
+    assert!(sent_to(&host.ends(1, Outcome::Failed)).is_some());
+    assert_eq!(host.ends(1, Outcome::Failed), [Said::Rejection(1)], "three sends are all that it has");
 }
 
 #[test]
@@ -221,70 +221,70 @@
     let mut host = Host::new().up(&[machine(1, 9.0)]);
     host.ask(1, HIGH, 1.0);
     assert_eq!(host.tell(|r| r.abandoned(TaskId(1))), []);
-    assert_eq!(host.ends(1, Ending::TimedOut), []);
+    assert_eq!(host.ends(1, Outcome::TimedOut), []);
     assert_eq!(host.tell(|r| (r.abandoned(TaskId(1)), r.accepted(TaskId(99)))), []);
 }
 
 // Rule 2: no effect twice.
 
-fn with_effect(effect: Effect) -> Host {
+fn with_effect(effect: Idempotency) -> Host {
     let mut host = Host::new();
     host.use_cases[HIGH].effect = effect;
     let mut far = machine(2, 4.0);
     (far.cell, far.zone) = (CellId(1), ZoneId(0));
     let mut host = host.up(&[machine(1, 9.5), far]);
     let said = host.tell(|r| {
-        let order = Order { deadline: Timestamp::from_nanos(u64::MAX), ..order() };
+        let order = TaskSpec { deadline: Timestamp::from_nanos(u64::MAX), ..order() };
         r.new_task(order);
     });
     assert_eq!(sent_to(&said), Some(1));
     host
 }
 
-fn order() -> Order {
+fn order() -> TaskSpec {
     Host::new().order(1, HIGH, 1.0)
 }
 
 #[test]
 fn a_single_use_task_that_may_have_run_is_errored_and_one_that_did_not_goes_on() {
-    assert_eq!(with_effect(Effect::SingleUse).ends(1, Ending::TimedOut), [Said::Error(1)]);
-    assert_eq!(with_effect(Effect::SingleUse).ends(1, Ending::Errored), [Said::Error(1)]);
+    assert_eq!(with_effect(Idempotency::NonIdempotent).ends(1, Outcome::TimedOut), [Said::Error(1)]);
+    assert_eq!(with_effect(Idempotency::NonIdempotent).ends(1, Outcome::Failed), [Said::Error(1)]);
     assert_eq!(
-        with_effect(Effect::SingleUse).ends(1, Ending::Nacked(Rejection::QueueFull)),
+        with_effect(Idempotency::NonIdempotent).ends(1, Outcome::Rejected(Rejection::QueueFull)),
         [Said::Send(1, 2)]
     );
-    assert_eq!(with_effect(Effect::SingleUse).ends(1, Ending::NoConnection), [Said::Send(1, 2)]);
+    assert_eq!(with_effect(Idempotency::NonIdempotent).ends(1, Outcome::NoConnection), [Said::Send(1, 2)]);
 }
 
 #[test]
 fn a_referenced_task_that_may_have_run_stays_in_its_group() {
-    let cell = Effect::Referenced { group: Reach::Cell, window: secs(5) };
+    let cell = Idempotency::Keyed { domain: FailureDomain::Cell, window: secs(5) };
     let mut host = with_effect(cell);
-    assert_eq!(host.ends(1, Ending::TimedOut), [], "the other machine is of another cell");
+    assert_eq!(host.ends(1, Outcome::TimedOut), [], "the other machine is of another cell");
     let mut near = machine(3, 1.5);
     near.cell = CellId(0);
-    host.tell(|r| r.list(ListKind::Changes, &[near]));
+    host.tell(|r| r.list(ListKind::Delta, &[near]));
     assert_eq!(host.after(100), [Said::Send(1, 3)]);
-    let zone = Effect::Referenced { group: Reach::Zone, window: secs(5) };
-    assert_eq!(with_effect(zone).ends(1, Ending::TimedOut), [Said::Send(1, 2)]);
+    let zone = Idempotency::Keyed { domain: FailureDomain::Zone, window: secs(5) };
+    assert_eq!(with_effect(zone).ends(1, Outcome::TimedOut), [Said::Send(1, 2)]);
 }
 
 #[test]
 fn after_the_window_a_referenced_task_is_nacked_only_where_all_machines_drop_repeats() {
-    for (group, answer) in [(Reach::Cell, Said::Error(1)), (Reach::All, Said::Rejection(1))] {
-        let mut host = with_effect(Effect::Referenced { group, window: secs(5) });
+    for (group, answer) in [(FailureDomain::Cell, Said::Error(1)), (FailureDomain::All, Said::Rejection(1))] {
+        let mut host = with_effect(Idempotency::Keyed { domain: group, window: secs(5) });
         host.millis += 4_600;
-        assert_eq!(host.ends(1, Ending::TimedOut), [answer], "a send now might arrive too late");
+        assert_eq!(host.ends(1, Outcome::TimedOut), [answer], "a send now might arrive too late");
     }
 }
 
 #[test]
 fn an_early_send_that_may_have_run_binds_the_later_ones() {
-    let mut host = with_effect(Effect::Referenced { group: Reach::All, window: secs(5) });
+    let mut host = with_effect(Idempotency::Keyed { domain: FailureDomain::All, window: secs(5) });
     host.millis += 1_000;
-    assert_eq!(host.ends(1, Ending::TimedOut), [Said::Send(1, 2)]);
+    assert_eq!(host.ends(1, Outcome::TimedOut), [Said::Send(1, 2)]);
     host.millis += 3_700;
-    let said = host.ends(1, Ending::Nacked(Rejection::QueueFull));
+    let said = host.ends(1, Outcome::Rejected(Rejection::QueueFull));
     assert_eq!(said, [Said::Rejection(1)], "the window runs from the first send that may have run");
 }
 
@@ -294,10 +294,10 @@
 fn nothing_goes_to_a_machine_that_drains_or_is_gone() {
     let mut host = Host::new().up(&[machine(1, 9.9), machine(2, 9.0), machine(3, 2.0)]);
     host.runs_on(100, HIGH, 1.0, 5);
-    let leaving = Entry { mode: Mode::Leaving, ..machine(1, 9.0) };
-    host.tell(|r| r.list(ListKind::Changes, &[leaving]));
+    let leaving = MachineEntry { mode: MachineState::Draining, ..machine(1, 9.0) };
+    host.tell(|r| r.list(ListKind::Delta, &[leaving]));
     assert_eq!(host.ask(1, HIGH, 1.0), [Said::Send(1, 2)]);
-    host.tell(|r| r.list(ListKind::Whole, &[machine(3, 2.0)]));
+    host.tell(|r| r.list(ListKind::Snapshot, &[machine(3, 2.0)]));
     assert_eq!(host.ask(2, HIGH, 1.0), [Said::Send(2, 3)]);
 }
 
@@ -326,8 +326,8 @@
     let mut host = Host::new();
     host.young_limit = 300.0;
     let mut host = host.up(&[machine(1, 9.0)]);
-    let cold = Entry { since: Some(host.now()), ..machine(1, 9.0) };
-    host.tell(|r| r.list(ListKind::Changes, &[cold]));
+    let cold = MachineEntry { since: Some(host.now()), ..machine(1, 9.0) };
+    host.tell(|r| r.list(ListKind::Delta, &[cold]));
     let sent: usize = (0..8).map(|id| host.ask(id, LOW, 0.1).len()).sum();
     assert_eq!(sent, 2, "few are in flight at first");
     host.tell(|r| (r.accepted(TaskId(0)), r.accepted(TaskId(1))));
@@ -340,18 +340,20 @@
 
 #[test]
 fn spread_counts_running_tasks_and_sends_without_an_outcome() {
-    for (reach, cell, zone) in [(Reach::Machine, 0, 0), (Reach::Cell, 1, 0), (Reach::Zone, 1, 1)] {
+    for (reach, cell, zone) in
+        [(FailureDomain::Machine, 0, 0), (FailureDomain::Cell, 1, 0), (FailureDomain::Zone, 1, 1)]
+    {
         let mut host = Host::new();
         host.use_cases[HIGH].spread = Some((reach, 2));
         let mut host = host.up(&[machine(1, 9.0)]);
-        let of_service = |host: &Host, id| Order { service: ServiceId(77), ..host.order(id, HIGH, 1.0) };
+        let of_service = |host: &Host, id| TaskSpec { service: ServiceId(77), ..host.order(id, HIGH, 1.0) };
         let (one, two, three) = (of_service(&host, 1), of_service(&host, 2), of_service(&host, 3));
         host.tell(|r| r.running(one, MachineId(1)));
         assert_eq!(host.tell(|r| r.new_task(two)), [Said::Send(2, 1)]);
         host.tell(|r| r.abandoned(TaskId(2)));
         assert_eq!(host.tell(|r| r.new_task(three)), [], "the dropped send has no outcome yet");
-        let elsewhere = Entry { cell: CellId(cell), zone: ZoneId(zone), ..machine(2, 1.5) };
-        host.tell(|r| r.list(ListKind::Changes, &[elsewhere]));
+        let elsewhere = MachineEntry { cell: CellId(cell), zone: ZoneId(zone), ..machine(2, 1.5) };
+        host.tell(|r| r.list(ListKind::Delta, &[elsewhere]));
         assert_eq!(host.after(60), [Said::Send(3, 2)]);
     }
 }
@@ -364,7 +366,7 @@
     let mut sends = 0;
     for id in 0..100 {
         sends += host.ask(id, LOW, 0.1).len();
-        host.tell(|r| r.closed(TaskId(id), Ending::Errored, true, Report::default()));
+        host.tell(|r| r.closed(TaskId(id), Outcome::Failed, true, LoadReport::default()));
         host.tell(|r| r.abandoned(TaskId(id)));
         host.millis += 300;
     }
@@ -377,7 +379,7 @@
     (1..=8).for_each(|id| assert_eq!(host.ask(id, LOW, 0.1), [Said::Send(id, 1)]));
     host.millis += 1_000;
     for id in 1..=8 {
-        host.tell(|r| r.closed(TaskId(id), Ending::TimedOut, true, Report::default()));
+        host.tell(|r| r.closed(TaskId(id), Outcome::TimedOut, true, LoadReport::default()));
         host.millis += 10;
     }
     host.millis += 3_500;
@@ -414,7 +416,7 @@
     poor.tell(|r| (r.served(TaskId(1), 0.5), r.machine_memory(TaskId(1), 0.5)));
     assert!(!calm(&mut poor), "it serves poorly, whatever memory is left");
     let mut evicts = host();
-    evicts.tell(|r| r.closed(TaskId(2), Ending::Broken(FailureCause::Evicted), true, Report::default()));
+    evicts.tell(|r| r.closed(TaskId(2), Outcome::Lost(FailureCause::Evicted), true, LoadReport::default()));
     evicts.tell(|r| r.served(TaskId(1), 1.0));
     assert!(!calm(&mut evicts), "it has just evicted, however well it serves");
     evicts.tell(|r| r.machine_memory(TaskId(1), 0.5));
@@ -425,8 +427,8 @@
 fn a_nack_for_room_outlives_the_next_stale_view() {
     let mut host = Host::new().up(&[machine(1, 9.0), machine(2, 3.0)]);
     host.ask(1, HIGH, 2.0);
-    assert_eq!(host.ends(1, Ending::Nacked(Rejection::NoMemory)), [Said::Send(1, 2)]);
-    host.tell(|r| r.list(ListKind::Changes, &[machine(1, 9.0)]));
+    assert_eq!(host.ends(1, Outcome::Rejected(Rejection::InsufficientMemory)), [Said::Send(1, 2)]);
+    host.tell(|r| r.list(ListKind::Delta, &[machine(1, 9.0)]));
     assert_ne!(sent_to(&host.ask(2, HIGH, 2.0)), Some(1));
 }
 
@@ -436,7 +438,7 @@
     let mut host = Host { accepts: 1.5, ..Host::new() }.up(&full);
     assert!(sent_to(&host.ask(1, HIGH, 1.0)).is_some(), "none has the room asked for");
     host.millis += 2_000;
-    host.tell(|r| r.list(ListKind::Changes, &[machine(2, 1.2), machine(3, 1.2)]));
+    host.tell(|r| r.list(ListKind::Delta, &[machine(2, 1.2), machine(3, 1.2)]));
     assert_ne!(sent_to(&host.ask(3, HIGH, 1.0)), Some(1), "the design's room first, where most have it");
     let mut host = Host::new().up(&full);
     assert_eq!(host.ask(1, HIGH, 1.0), [], "no more than machines accept");
@@ -460,9 +462,9 @@
         let (held, next) = (homed_on_one(&host, 50, HIGH, 0.1), homed_on_one(&host, 1, HIGH, 0.1));
         host.tell(|r| r.running(held, MachineId(2)));
         if ended {
-            host.tell(|r| r.closed(TaskId(50), Ending::Ok, true, Report::default()));
+            host.tell(|r| r.closed(TaskId(50), Outcome::Ok, true, LoadReport::default()));
             host.millis += 1_000;
-            host.tell(|r| r.list(ListKind::Changes, &[]));
+            host.tell(|r| r.list(ListKind::Delta, &[]));
         }
         assert_eq!(host.tell(|r| r.new_task(next)), [Said::Send(1, 2)]);
     }
@@ -470,7 +472,7 @@
 
 #[test]
 fn a_priced_zone_counts_only_where_less_than_half_at_home_have_room() {
-    let away = Entry { zone: ZoneId(1), ..machine(1, 9.9) };
+    let away = MachineEntry { zone: ZoneId(1), ..machine(1, 9.9) };
     let mut host = Host::new().up(&[away, machine(2, 1.5)]);
     assert_eq!(host.ask(1, HIGH, 1.0), [Said::Send(1, 2)]);
     assert_eq!(host.ask(2, HIGH, 1.0), [Said::Send(2, 1)]);
@@ -481,16 +483,16 @@
 #[test]
 fn odd_input_neither_panics_nor_sends_astray() {
     let mut host = Host::new().up(&[machine(1, 9.0)]);
-    let sizeless = Entry { kind: KindId(9), left: None, ..machine(2, 99.0) };
-    host.tell(|r| r.list(ListKind::Changes, &[sizeless]));
+    let sizeless = MachineEntry { kind: KindId(9), left: None, ..machine(2, 99.0) };
+    host.tell(|r| r.list(ListKind::Delta, &[sizeless]));
     assert_eq!(host.ask(1, HIGH, 99.0), [], "larger than any machine");
     assert_eq!(host.ask(2, LOW, 0.0), [Said::Send(2, 1)]);
     host.tell(|r| (r.uses(TaskId(2), Some(f64::MAX), None), r.uses(TaskId(2), None, Some(-1.0))));
     host.tell(|r| (r.served(TaskId(2), -5.0), r.machine_memory(TaskId(77), 2.0)));
-    host.tell(|r| r.closed(TaskId(1), Ending::Ok, true, Report::default()));
+    host.tell(|r| r.closed(TaskId(1), Outcome::Ok, true, LoadReport::default()));
     host.millis -= 50_000;
     host.after(0);
-    host.tell(|r| r.list(ListKind::Whole, &[]));
+    host.tell(|r| r.list(ListKind::Snapshot, &[]));
     assert_eq!(host.ask(3, LOW, 0.1), [], "the empty list leaves no machine");
     host.millis += 3_600_000;
     assert!(host.after(0).contains(&Said::Rejection(3)));
@@ -507,7 +509,7 @@
     host.ask(3, LOW, 0.1);
     assert_eq!(host.after(600), [], "the machine answered one since");
     assert_eq!(host.after(300), [Said::Recall(3, 0)], "silent for a tenth of the client timeout");
-    assert_eq!(sent_to(&host.ends(3, Ending::Recalled)), Some(2));
+    assert_eq!(sent_to(&host.ends(3, Outcome::Cancelled)), Some(2));
 }
 
 #[test]
@@ -516,16 +518,16 @@
         let mut host = Host::new().up(&[machine(1, 8.0), machine(2, 8.9)]);
         host.runs_on(100, HIGH, 0.1, 1);
         if evicts {
-            host.ends(100, Ending::Broken(FailureCause::Evicted));
+            host.ends(100, Outcome::Lost(FailureCause::Evicted));
         } else {
             host.tell(|r| (r.served(TaskId(100), 0.0), r.served(TaskId(100), 1.0)));
         }
         for (id, wait, to) in [(1, 3_500, 2), (2, 40_000, 1)] {
             host.millis += wait;
-            host.tell(|r| r.list(ListKind::Changes, &[]));
+            host.tell(|r| r.list(ListKind::Delta, &[]));
             let order = homed_on_one(&host, id, HIGH, 0.1);
             assert_eq!(sent_to(&host.tell(|r| r.new_task(order))), Some(to));
-            host.ends(id, Ending::Ok);
+            host.ends(id, Outcome::Ok);
         }
     }
 }
@@ -548,11 +550,11 @@
         for number in 0..schedulers {
             let all = Host { schedulers, number, young_limit: f64::from(limit), ..Host::new() };
             let mut host = all.up(&[]);
-            let cold = Entry { since: Some(host.now()), ..machine(1, 9.0) };
-            host.tell(|r| r.list(ListKind::Changes, &[cold]));
+            let cold = MachineEntry { since: Some(host.now()), ..machine(1, 9.0) };
+            host.tell(|r| r.list(ListKind::Delta, &[cold]));
             for id in 0..20 {
                 sent += host.ask(id, LOW, 0.1).len();
-                host.ends(id, Ending::Nacked(Rejection::NotHere));
+                host.ends(id, Outcome::Rejected(Rejection::NotHere));
                 host.millis += 10;
             }
         }
@@ -562,29 +564,31 @@
 
 #[test]
 fn a_cold_machine_that_drains_and_comes_back_has_no_budget_anew() {
-    let fresh = |host: &Host, mode| Entry { mode, since: Some(host.now()), ..machine(1, 10.0) };
+    let fresh = |host: &Host, mode| MachineEntry { mode, since: Some(host.now()), ..machine(1, 10.0) };
     let mut host = Host::new().up(&[]);
-    let (cold, drains) = (fresh(&host, Mode::Active), fresh(&host, Mode::Leaving));
-    host.tell(|r| r.list(ListKind::Changes, &[cold]));
+    let (cold, drains) = (fresh(&host, MachineState::Active), fresh(&host, MachineState::Draining));
+    host.tell(|r| r.list(ListKind::Delta, &[cold]));
     for id in 1..=4 {
         assert_eq!(host.ask(id, HIGH, 1.0), [Said::Send(id, 1)], "it is dealt four of twelve");
-        host.ends(id, Ending::Nacked(Rejection::NotHere));
+        host.ends(id, Outcome::Rejected(Rejection::NotHere));
     }
-    host.tell(|r| r.list(ListKind::Changes, &[drains]));
-    host.tell(|r| r.list(ListKind::Changes, &[cold]));
+    host.tell(|r| r.list(ListKind::Delta, &[drains]));
+    host.tell(|r| r.list(ListKind::Delta, &[cold]));
     assert_eq!(host.ask(5, HIGH, 1.0), [], "the window is not over");
 }
 
 #[test]
 fn a_task_handed_over_on_a_draining_machine_counts_for_spread_in_its_cell() {
     let mut host = Host::new();
-    host.use_cases[HIGH].spread = Some((Reach::Cell, 1));
+    host.use_cases[HIGH].spread = Some((FailureDomain::Cell, 1));
     let mut host = host.up(&[machine(1, 10.0), machine(2, 10.0)]);
-    host.tell(|r| r.list(ListKind::Changes, &[Entry { mode: Mode::Leaving, ..machine(1, 10.0) }]));
+    host.tell(|r| {
+        r.list(ListKind::Delta, &[MachineEntry { mode: MachineState::Draining, ..machine(1, 10.0) }])
+    });
     let service = ServiceId(7);
-    let running = Order { service, ..host.order(1, HIGH, 1.0) };
+    let running = TaskSpec { service, ..host.order(1, HIGH, 1.0) };
     host.tell(|r| r.running(running, MachineId(1)));
-    let another = Order { service, ..host.order(2, HIGH, 1.0) };
+    let another = TaskSpec { service, ..host.order(2, HIGH, 1.0) };
     assert_eq!(host.tell(|r| r.new_task(another)), [], "its cell has one of the service");
 }
 
@@ -592,7 +596,7 @@
 fn a_machine_with_a_full_queue_is_left_alone_for_a_while() {
     let mut host = Host::new().up(&[machine(1, 9.0), machine(2, 4.0)]);
     host.ask(1, LOW, 0.1);
-    assert_eq!(host.ends(1, Ending::Nacked(Rejection::QueueFull)), [Said::Send(1, 2)]);
+    assert_eq!(host.ends(1, Outcome::Rejected(Rejection::QueueFull)), [Said::Send(1, 2)]);
     host.millis += 500;
     assert_eq!(sent_to(&host.ask(2, LOW, 0.1)), Some(2));
     host.millis += 3_100;
@@ -601,7 +605,7 @@
 
 #[test]
 fn a_use_case_left_unanswered_or_turned_away_leaves_the_machine_and_the_other_stays() {
-    for ending in [Ending::Recalled, Ending::Errored, Ending::Nacked(Rejection::Untold)] {
+    for ending in [Outcome::Cancelled, Outcome::Failed, Outcome::Rejected(Rejection::Unspecified)] {
         let mut host = Host::new().up(&[machine(1, 9.0), machine(2, 4.0)]);
         host.ask(1, LOW, 0.1);
         host.millis += 2_000;
@@ -630,7 +634,7 @@
 fn a_machine_that_was_lost_counts_as_cold_before_the_list_tells_of_its_start() {
     let mut host = Host::new().up(&[machine(1, 9.0)]);
     host.runs_on(100, HIGH, 0.1, 1);
-    host.ends(100, Ending::Broken(FailureCause::Untold));
+    host.ends(100, Outcome::Lost(FailureCause::Unspecified));
     host.millis += 3_600;
     let sent: usize = (0..20).map(|id| host.ask(id, LOW, 0.1).len()).sum();
     assert_eq!(sent, 4, "a third of twelve");
@@ -675,9 +679,9 @@
 fn a_task_on_which_every_machine_errs_rests_one_machine_alone() {
     let mut host = Host::new().up(&[machine(1, 9.0), machine(2, 9.0), machine(3, 9.0)]);
     let first = sent_to(&host.ask(1, LOW, 0.1));
-    let second = sent_to(&host.ends(1, Ending::Errored));
+    let second = sent_to(&host.ends(1, Outcome::Failed));
     assert!(second.is_some() && second != first);
-    host.ends(1, Ending::Errored);
+    host.ends(1, Outcome::Failed);
     let to: Vec<_> = (10..60).filter_map(|id| sent_to(&host.ask(id, LOW, 0.01))).collect();
     let rests = |machine: Option<u64>| !to.contains(&machine.expect("a machine"));
     assert!(!rests(second), "it is the task that errs");
@@ -689,8 +693,8 @@
     // Met: in a fleet of 400 in three zones a pick looked at each machine for each machine, and a scheduler
     // with a fifth of a core answered seconds late. The least of several times, as others use this machine
     // too.
-    let fleet: Vec<Entry> =
-        (1..=400).map(|n| Entry { zone: ZoneId(n as u32 % 3), ..machine(n, 1_000.0) }).collect();
+    let fleet: Vec<MachineEntry> =
+        (1..=400).map(|n| MachineEntry { zone: ZoneId(n as u32 % 3), ..machine(n, 1_000.0) }).collect();
     let least = |reach| {
         let mut host = Host::new();
         host.use_cases[HIGH].spread = Some((reach, 1_000));
@@ -702,6 +706,6 @@
         };
         (1..9).map(|n| took(n * 20..n * 20 + 20)).min().expect("some")
     };
-    let (machines, zones) = (least(Reach::Machine), least(Reach::Zone));
+    let (machines, zones) = (least(FailureDomain::Machine), least(FailureDomain::Zone));
     assert!(zones < machines * 3, "{zones:?} against {machines:?}");
 }
