--- a/crates/baselines/src/lib.rs
+++ b/crates/baselines/src/lib.rs
@@ -162,9 +162,9 @@
                 Idempotency::Idempotent | Idempotency::Keyed { domain: FailureDomain::All, .. }
             );
             if anywhere || task.may_run.is_none() {
-                out.nack(id, Duration::ZERO);
+                out.reject(id, Duration::ZERO);
             } else {
-                out.error(id);
+                out.fail(id);
             }
             self.tasks.remove(&id);
             return;
@@ -191,20 +191,20 @@
 }
 
 impl PolicyEvents for Heard<'_> {
-    fn start(&mut self) {
+    fn on_start(&mut self) {
         if self.b.listing.asked {
-            self.out.watch_list();
+            self.out.watch_endpoints();
         }
     }
 
-    fn new_task(&mut self, order: TaskSpec) {
+    fn on_new_task(&mut self, order: TaskSpec) {
         let state = State::Pending;
         let task =
             Task { order, state, machine: None, sent_at: self.now, sends: 0, may_run: None, last: None };
         self.b.tasks.insert(order.id, task);
     }
 
-    fn running(&mut self, order: TaskSpec, machine: MachineId) {
+    fn on_adopted_task(&mut self, order: TaskSpec, machine: MachineId) {
         let (state, machine) = (State::Placed, Some(machine));
         self.b.tasks.insert(
             order.id,
@@ -212,13 +212,13 @@
         );
     }
 
-    fn accepted(&mut self, task: TaskId) {
+    fn on_accepted(&mut self, task: TaskId) {
         if let Some(task) = self.b.tasks.get_mut(&task) {
             task.state = State::Placed;
         }
     }
 
-    fn closed(&mut self, id: TaskId, ending: Outcome, over: bool, _: LoadReport) {
+    fn on_attempt_ended(&mut self, id: TaskId, ending: Outcome, over: bool, _: LoadReport) {
         let Some(task) = self.b.tasks.get_mut(&id) else { return };
         let Some(machine) = task.machine.take() else { return };
         let never_ran = matches!(ending, Outcome::Rejected(_) | Outcome::NoConnection | Outcome::NotSent);
@@ -235,29 +235,29 @@
         }
     }
 
-    fn abandoned(&mut self, id: TaskId) {
+    fn on_client_cancelled(&mut self, id: TaskId) {
         if self.b.tasks.get(&id).is_some_and(|task| task.state == State::Pending) {
             self.b.tasks.remove(&id);
         }
     }
 
-    fn ends_by(&mut self, at: Timestamp) {
+    fn on_shutdown(&mut self, at: Timestamp) {
         self.b.tasks.values_mut().for_each(|task| task.order.deadline = task.order.deadline.min(at));
     }
 
-    fn woken(&mut self, token: u64) {
+    fn on_timer(&mut self, token: u64) {
         match token {
             0 => self.b.ticking = false,
-            _ if self.b.listing.asked => self.out.watch_list(),
+            _ if self.b.listing.asked => self.out.watch_endpoints(),
             _ => {}
         }
     }
 
-    fn list_failed(&mut self) {
+    fn on_watch_failed(&mut self) {
         self.out.wake_at(1, self.now + Duration::from_secs(1));
     }
 
-    fn list(&mut self, kind: ListKind, entries: &[MachineEntry]) {
+    fn on_endpoint_list(&mut self, kind: ListKind, entries: &[MachineEntry]) {
         if kind != ListKind::Delta {
             self.b.machines.values_mut().for_each(|machine| machine.entry.mode = MachineState::Removed);
         }
@@ -272,17 +272,17 @@
         }
     }
 
-    fn restarted(&mut self, machine: MachineId) {
+    fn on_machine_restarted(&mut self, machine: MachineId) {
         if let Some(machine) = self.b.machines.get_mut(&machine) {
             machine.entry.since = Some(self.now);
         }
     }
 
-    fn runs(&mut self, _: TaskId) {}
-    fn uses(&mut self, _: TaskId, _: Option<f64>, _: Option<f64>) {}
-    fn served(&mut self, _: TaskId, _: f64) {}
-    fn machine_memory(&mut self, _: TaskId, _: f64) {}
-    fn probed(&mut self, _: MachineId, _: LoadReport) {}
+    fn on_running(&mut self, _: TaskId) {}
+    fn on_usage(&mut self, _: TaskId, _: Option<f64>, _: Option<f64>) {}
+    fn on_service_level(&mut self, _: TaskId, _: f64) {}
+    fn on_machine_memory(&mut self, _: TaskId, _: f64) {}
+    fn on_health_check(&mut self, _: MachineId, _: LoadReport) {}
 }
 
 impl Policy for Baseline {
--- a/crates/benchlink/src/batch.rs
+++ b/crates/benchlink/src/batch.rs
@@ -109,12 +109,12 @@
                     "FULL" => ListKind::Snapshot,
                     "SAVED" => ListKind::Cached,
                     "FAILED" => {
-                        round.list_failed();
+                        round.on_watch_failed();
                         return Ok(());
                     }
                     other => return Err(format!("TARGETS: unknown kind {other:?}")),
                 };
-                round.list(kind, line.roster.as_ref().ok_or("TARGETS without a list")?);
+                round.on_endpoint_list(kind, line.roster.as_ref().ok_or("TARGETS without a list")?);
             }
             "NEW_TASK" => {
                 let (id, class) = (TaskId(v.must("rid")?), reporting.use_case(v.must("category")?)?);
@@ -125,7 +125,7 @@
                 let service = ServiceId(v.hex("app")?);
                 let ask = Resources::new(v.amount("cpus")?, v.amount("mem")?);
                 let bits: u64 = v.maybe("stateBits")?.unwrap_or(0);
-                round.new_task(TaskSpec {
+                round.on_new_task(TaskSpec {
                     id,
                     key,
                     use_case: class,
@@ -148,19 +148,22 @@
                 let service = ServiceId(v.hex("app")?);
                 let key = TaskKey(v.hex("taskName")?);
                 let again = bits & 16 != 0;
-                round.running(TaskSpec { id, key, use_case: class, service, ask, deadline, again }, machine);
+                round.on_adopted_task(
+                    TaskSpec { id, key, use_case: class, service, ask, deadline, again },
+                    machine,
+                );
             }
-            "ACCEPTED" => round.accepted(TaskId(v.must("rid")?)),
+            "ACCEPTED" => round.on_accepted(TaskId(v.must("rid")?)),
             "NOTE" => {
                 let id = TaskId(v.must("rid")?);
                 let topic = v.whole("topic")?;
                 let x: Option<f64> = v.maybe("x")?;
                 match (topic, x.filter(|x| x.is_finite())) {
-                    (1, _) => round.runs(id),
-                    (2, Some(x)) => round.uses(id, Some(x), None),
-                    (3, Some(x)) => round.uses(id, None, Some(x)),
-                    (4, Some(x)) => round.served(id, x),
-                    (5, Some(x)) => round.machine_memory(id, x),
+                    (1, _) => round.on_running(id),
+                    (2, Some(x)) => round.on_usage(id, Some(x), None),
+                    (3, Some(x)) => round.on_usage(id, None, Some(x)),
+                    (4, Some(x)) => round.on_service_level(id, x),
+                    (5, Some(x)) => round.on_machine_memory(id, x),
                     _ => {}
                 }
             }
@@ -172,15 +175,20 @@
                 v.text("node")?;
                 let detail: u64 = v.maybe("detail")?.unwrap_or(0);
                 v.text("duration")?;
-                round.closed(id, ending(reason, detail)?, over, reporting.read(v.text("feedback")?)?);
+                round.on_attempt_ended(
+                    id,
+                    ending(reason, detail)?,
+                    over,
+                    reporting.read(v.text("feedback")?)?,
+                );
             }
-            "ABANDONED" => round.abandoned(TaskId(v.must("rid")?)),
-            "FIRED" => round.woken(v.whole("token")?),
+            "ABANDONED" => round.on_client_cancelled(TaskId(v.must("rid")?)),
+            "FIRED" => round.on_timer(v.whole("token")?),
             "PONG" => {
                 let _ended = v.text("reason")?;
                 v.text("duration")?;
                 let machine = MachineId(v.must("node")?);
-                round.probed(machine, reporting.read(v.text("feedback")?)?);
+                round.on_health_check(machine, reporting.read(v.text("feedback")?)?);
             }
             // Schedulers share nothing: what another one tells is passed over.
             "NOTE_FROM" => {}
--- a/crates/benchlink/src/main.rs
+++ b/crates/benchlink/src/main.rs
@@ -79,7 +79,7 @@
     let mut writer = writer::WireWriter { instance, reply };
     brain.round(Timestamp::from_nanos(batch.clock), &mut writer, |round| {
         if fresh {
-            round.start();
+            round.on_start();
         }
         lines.iter().try_for_each(|line| batch.tell(line, round, reporting))
     })
--- a/crates/benchlink/src/writer.rs
+++ b/crates/benchlink/src/writer.rs
@@ -20,19 +20,19 @@
         self.line("BIND", format_args!("\t{}\t{}\t{}", task.0, machine.0, time_out.nanos()));
     }
 
-    fn recall(&mut self, task: TaskId, send: u32) {
+    fn cancel_attempt(&mut self, task: TaskId, send: u32) {
         self.line("RECALL", format_args!("\t{}\t{send}", task.0));
     }
 
-    fn nack(&mut self, task: TaskId, stay_away: Duration) {
+    fn reject(&mut self, task: TaskId, stay_away: Duration) {
         self.line("REJECT", format_args!("\t{}\t{}", task.0, stay_away.nanos()));
     }
 
-    fn error(&mut self, task: TaskId) {
+    fn fail(&mut self, task: TaskId) {
         self.line("REPORT_FAILURE", format_args!("\t{}", task.0));
     }
 
-    fn move_off(&mut self, task: TaskId) {
+    fn preempt(&mut self, task: TaskId) {
         self.line("UNSEAT", format_args!("\t{}", task.0));
     }
 
@@ -40,7 +40,7 @@
         self.line("SET_TIMER", format_args!("\t{token}\t{}", at.nanos()));
     }
 
-    fn watch_list(&mut self) {
+    fn watch_endpoints(&mut self) {
         self.line("KEEP_INFORMED", format_args!("\t1"));
     }
 }
--- a/crates/day/src/stage.rs
+++ b/crates/day/src/stage.rs
@@ -128,10 +128,10 @@
 
     fn wake(&self) -> Option<Timestamp> {
         match self {
-            Self::Rack(rack) => rack.wake(),
-            Self::List(list) => list.wake(),
-            Self::Owner(owner) => owner.wake(),
-            Self::Crowd(crowd) => crowd.wake(),
+            Self::Rack(rack) => rack.next_wakeup(),
+            Self::List(list) => list.next_wakeup(),
+            Self::Owner(owner) => owner.next_wakeup(),
+            Self::Crowd(crowd) => crowd.next_wakeup(),
         }
     }
 }
@@ -1129,7 +1129,7 @@
     fn hand_bytes(&mut self, now: Timestamp, at: At, link: ConnectionId, bytes: &[u8]) {
         match at {
             At::Node(node) => {
-                self.nodes[node].party().received(now, link, bytes);
+                self.nodes[node].party().on_data(now, link, bytes);
                 self.touched.insert(node);
             }
             At::Outside => self.outside.send(link, bytes, None),
@@ -1139,7 +1139,7 @@
     fn hand_end(&mut self, now: Timestamp, at: At, link: ConnectionId, end: CloseReason) {
         match at {
             At::Node(node) => {
-                self.nodes[node].party().ended(now, link, end);
+                self.nodes[node].party().on_closed(now, link, end);
                 self.touched.insert(node);
             }
             At::Outside if end == CloseReason::Broken => {
@@ -1251,7 +1251,7 @@
         match at {
             At::Outside => self.outside.pause(link, blocked),
             At::Node(node) if !blocked => {
-                let links = self.nodes[node].party().links();
+                let links = self.nodes[node].party().connections();
                 let bytes = links.outgoing(link).to_vec();
                 if !bytes.is_empty() {
                     links.wrote(link, bytes.len());
@@ -1290,7 +1290,7 @@
             Parcel::Open => self.hand_open(now, id),
             Parcel::Up => {
                 if let Some((At::Node(node), link)) = far {
-                    self.nodes[node].party().up(now, link);
+                    self.nodes[node].party().on_connected(now, link);
                     self.touched.insert(node);
                 }
             }
@@ -1333,8 +1333,8 @@
                     return self.refuse(now, id);
                 }
                 let party = self.nodes[node].party();
-                let link = party.links().fresh();
-                party.opened(now, link, ListenerId(door));
+                let link = party.connections().register();
+                party.on_connection_accepted(now, link, ListenerId(door));
                 self.touched.insert(node);
                 self.pipes.get_mut(&id).expect("is there").ends[1] = Some((At::Node(node), link));
                 self.by_end.insert((At::Node(node), link), (id, 1));
@@ -1353,7 +1353,7 @@
     /// Carries out what the nodes that were touched ask for.
     fn settle(&mut self, now: Timestamp) {
         while let Some(node) = self.touched.pop_first() {
-            self.nodes[node].party().turn(now);
+            self.nodes[node].party().poll(now);
             self.gather(now, node);
             self.note_wake(node);
         }
@@ -1372,14 +1372,14 @@
 
     fn gather(&mut self, now: Timestamp, node: usize) {
         loop {
-            let links = self.nodes[node].party().links();
+            let links = self.nodes[node].party().connections();
             if let Some(link) = links.next_dirty() {
                 if let Some((id, side)) = self.by_end.get(&(At::Node(node), link)).copied() {
                     self.pump_side(now, id, side);
                 }
                 continue;
             }
-            let Some(ask) = links.next_ask() else { break };
+            let Some(ask) = links.next_command() else { break };
             match ask {
                 Command::Open(link, address) => {
                     let planner =
@@ -1391,10 +1391,10 @@
                 Command::End { link, at_once } => {
                     if let Some((id, side)) = self.by_end.get(&(At::Node(node), link)).copied() {
                         if !at_once {
-                            let bytes = self.nodes[node].party().links().outgoing(link).to_vec();
+                            let bytes = self.nodes[node].party().connections().outgoing(link).to_vec();
                             self.enter(now, id, side, &bytes);
                         }
-                        self.nodes[node].party().links().drop_link(link);
+                        self.nodes[node].party().connections().discard(link);
                         self.leave(
                             now,
                             id,
@@ -1457,7 +1457,7 @@
 }
 
 impl<W: Write> StateMachine for Stage<W> {
-    fn opened(&mut self, now: Timestamp, link: ConnectionId, door: ListenerId) {
+    fn on_connection_accepted(&mut self, now: Timestamp, link: ConnectionId, door: ListenerId) {
         let now = now.max(self.now);
         let (planner, n) = ((door.0 / DOORS) as usize, door.0 % DOORS);
         if (BOOKS_DOORS..LIST_DOOR).contains(&n) {
@@ -1475,7 +1475,7 @@
         self.new_pipe(now, (At::Outside, link), format!("planner-{}", planner + 1), name, to, planner, None);
     }
 
-    fn up(&mut self, now: Timestamp, link: ConnectionId) {
+    fn on_connected(&mut self, now: Timestamp, link: ConnectionId) {
         let now = now.max(self.now);
         if let Some((id, side)) = self.by_end.get(&(At::Outside, link)).copied() {
             let delay = self.delay(id);
@@ -1483,7 +1483,7 @@
         }
     }
 
-    fn received(&mut self, now: Timestamp, link: ConnectionId, bytes: &[u8]) {
+    fn on_data(&mut self, now: Timestamp, link: ConnectionId, bytes: &[u8]) {
         let now = now.max(self.now);
         if let Some((id, side)) = self.by_end.get(&(At::Outside, link)).copied() {
             self.enter(now, id, side, bytes);
@@ -1491,7 +1491,7 @@
         }
     }
 
-    fn ended(&mut self, now: Timestamp, link: ConnectionId, end: CloseReason) {
+    fn on_closed(&mut self, now: Timestamp, link: ConnectionId, end: CloseReason) {
         let now = now.max(self.now);
         self.outside.forget(link);
         if let Some((id, side)) = self.by_end.get(&(At::Outside, link)).copied() {
@@ -1499,7 +1499,7 @@
         }
     }
 
-    fn turn(&mut self, now: Timestamp) {
+    fn poll(&mut self, now: Timestamp) {
         let now = now.max(self.now);
         self.now = now;
         if !std::mem::replace(&mut self.begun, true) {
@@ -1520,7 +1520,7 @@
         }
     }
 
-    fn wake(&self) -> Option<Timestamp> {
+    fn next_wakeup(&self) -> Option<Timestamp> {
         if !self.begun {
             return Some(Timestamp::default());
         }
@@ -1530,11 +1530,11 @@
         [node, due, act, Some(self.next_look)].into_iter().flatten().min()
     }
 
-    fn links(&mut self) -> &mut Connections {
+    fn connections(&mut self) -> &mut Connections {
         &mut self.outside
     }
 
-    fn listens(&self, door: ListenerId) -> bool {
+    fn is_listening(&self, door: ListenerId) -> bool {
         let (planner, n) = ((door.0 / DOORS) as usize, door.0 % DOORS);
         if (BOOKS_DOORS..LIST_DOOR).contains(&n) {
             return !self.weather_between(planner, (n - BOOKS_DOORS) as usize).cut;
--- a/crates/engine/examples/idle.rs
+++ b/crates/engine/examples/idle.rs
@@ -89,19 +89,19 @@
         self.bytes.clear();
         protocol::encode(message, &mut self.bytes);
         let began = Instant::now();
-        self.engine.received(self.now, link, &self.bytes);
+        self.engine.on_data(self.now, link, &self.bytes);
         self.cpu += began.elapsed();
     }
 
     fn turn(&mut self) {
         let began = Instant::now();
-        self.engine.turn(self.now);
+        self.engine.poll(self.now);
         let took = began.elapsed();
         self.cpu += took;
         self.longest = self.longest.max(took);
         self.turns += 1;
-        while let Some(link) = self.engine.links().next_dirty() {
-            let bytes = self.engine.links().outgoing(link);
+        while let Some(link) = self.engine.connections().next_dirty() {
+            let bytes = self.engine.connections().outgoing(link);
             // The kind of a message is the first item of its frame.
             match bytes.get(5).copied() {
                 Some(1) => self.welcomed += 1,
@@ -109,11 +109,11 @@
                 _ => {}
             }
             let len = bytes.len();
-            self.engine.links().wrote(link, len);
+            self.engine.connections().wrote(link, len);
         }
-        while let Some(ask) = self.engine.links().next_ask() {
+        while let Some(ask) = self.engine.connections().next_command() {
             if let Command::End { link, .. } = ask {
-                self.engine.links().drop_link(link);
+                self.engine.connections().discard(link);
                 self.ended += 1;
             }
         }
@@ -122,11 +122,11 @@
     fn open(&mut self, all: usize) -> Vec<ConnectionId> {
         let mut links = Vec::with_capacity(all);
         while links.len() < all {
-            let room = self.engine.takes(ListenerId(0)).min(all - links.len());
+            let room = self.engine.accept_budget(ListenerId(0)).min(all - links.len());
             for n in links.len()..links.len() + room {
-                let link = self.engine.links().fresh();
+                let link = self.engine.connections().register();
                 let began = Instant::now();
-                self.engine.opened(self.now, link, ListenerId(0));
+                self.engine.on_connection_accepted(self.now, link, ListenerId(0));
                 self.cpu += began.elapsed();
                 let clock = self.now.nanos();
                 self.tell(link, &hello(&format!("tool-{}/{n}", n % 100), clock));
@@ -178,11 +178,11 @@
         longest: StdDuration::ZERO,
         ended: 0,
     };
-    bench.engine.turn(now);
-    let Some(Command::Open(list, _)) = bench.engine.links().next_ask() else {
+    bench.engine.poll(now);
+    let Some(Command::Open(list, _)) = bench.engine.connections().next_command() else {
         panic!("the list is asked for")
     };
-    bench.engine.up(now, list);
+    bench.engine.on_connected(now, list);
     bench.tell(list, &Message::Welcome { version: 1, features: 0, name: "list", life: 1, silence: None });
     bench.tell(list, &Message::List { kind: protocol::ListKind::Whole, version: 1, entries: vec![] });
     bench.turn();
@@ -209,7 +209,7 @@
     let end = bench.now + Duration::from_secs(silent_for);
     let mut answered = 0;
     while bench.now < end {
-        let next = bench.engine.wake().unwrap_or(end).min(end);
+        let next = bench.engine.next_wakeup().unwrap_or(end).min(end);
         bench.now = bench.now.max(next);
         if bench.turns.is_multiple_of(10) {
             bench.tell(steady, &Message::Pong { nonce: 0 });
@@ -251,7 +251,7 @@
     let told = began.elapsed();
     let took = bench.ask(steady, 500_000, 1);
     let before = bench.turns;
-    while bench.engine.wake().is_some_and(|at| at <= bench.now) && bench.turns < before + 100_000 {
+    while bench.engine.next_wakeup().is_some_and(|at| at <= bench.now) && bench.turns < before + 100_000 {
         bench.turn();
     }
     println!(
@@ -267,10 +267,10 @@
     let began = Instant::now();
     (bench.turns, bench.longest) = (0, StdDuration::ZERO);
     for link in &links {
-        bench.engine.ended(bench.now, *link, CloseReason::Closed);
+        bench.engine.on_closed(bench.now, *link, CloseReason::Closed);
     }
     bench.turn();
-    while bench.engine.wake().is_some_and(|at| at <= bench.now) {
+    while bench.engine.next_wakeup().is_some_and(|at| at <= bench.now) {
         bench.turn();
     }
     let gone = began.elapsed();
--- a/crates/engine/examples/ordinary_path.rs
+++ b/crates/engine/examples/ordinary_path.rs
@@ -78,15 +78,15 @@
     fn tell(&mut self, link: ConnectionId, message: &Message<'_>) {
         self.bytes.clear();
         protocol::encode(message, &mut self.bytes);
-        self.engine.received(self.now, link, &self.bytes);
+        self.engine.on_data(self.now, link, &self.bytes);
     }
 
     fn turn(&mut self) {
-        self.engine.turn(self.now);
-        while let Some(link) = self.engine.links().next_dirty() {
+        self.engine.poll(self.now);
+        while let Some(link) = self.engine.connections().next_dirty() {
             // Links are numbered in the order in which they were asked for.
             let place = self.machines.binary_search(&link).ok();
-            let bytes = self.engine.links().outgoing(link);
+            let bytes = self.engine.connections().outgoing(link);
             let (mut at, len) = (0, bytes.len());
             while at < len {
                 let size = u32::from_be_bytes(bytes[at..at + 4].try_into().expect("a frame")) as usize + 4;
@@ -95,20 +95,20 @@
                 }
                 at += size;
             }
-            self.engine.links().wrote(link, len);
+            self.engine.connections().wrote(link, len);
         }
     }
 
     fn up(many: usize) -> Self {
         let mut engine = Engine::new(settings(), 1, None);
         let now = Timestamp::from_nanos(1_000_000_000);
-        engine.turn(now);
-        let Some(Command::Open(list, _)) = engine.links().next_ask() else { panic!("the list is asked for") };
-        let client = engine.links().fresh();
-        engine.opened(now, client, ListenerId(0));
+        engine.poll(now);
+        let Some(Command::Open(list, _)) = engine.connections().next_command() else { panic!("the list is asked for") };
+        let client = engine.connections().register();
+        engine.on_connection_accepted(now, client, ListenerId(0));
         let (bytes, offers, machines) = (Vec::new(), VecDeque::new(), Vec::new());
         let mut bench = Self { engine, now, machines, client, bytes, offers };
-        bench.engine.up(now, list);
+        bench.engine.on_connected(now, list);
         bench.tell(list, &Message::Welcome { version: 1, features: 0, name: "list", life: 1, silence: None });
         let entries: Vec<_> = (1..=many as u64)
             .map(|machine| protocol::Entry {
@@ -126,15 +126,15 @@
             .collect();
         let mut frames = Vec::new();
         protocol::encode_list(protocol::ListKind::Whole, 1, &entries, &mut frames);
-        bench.engine.received(now, list, &frames);
+        bench.engine.on_data(now, list, &frames);
         bench.turn();
-        while let Some(ask) = bench.engine.links().next_ask() {
+        while let Some(ask) = bench.engine.connections().next_command() {
             if let Command::Open(link, _) = ask {
                 bench.machines.push(link);
             }
         }
         for link in bench.machines.clone() {
-            bench.engine.up(now, link);
+            bench.engine.on_connected(now, link);
             bench
                 .tell(link, &Message::Welcome { version: 1, features: 0, name: "m", life: 1, silence: None });
             bench.tell(link, &Message::Holds { tasks: vec![], last: true });
--- a/crates/engine/src/desk.rs
+++ b/crates/engine/src/desk.rs
@@ -703,7 +703,7 @@
     pub fn take_back(&mut self, id: TaskId) -> bool {
         let Some(open) = self.jobs.get(&id).and_then(|job| job.open) else { return false };
         let back = match open.link {
-            Some(link) => self.links.take_back(link, open.mark),
+            Some(link) => self.links.retract(link, open.mark),
             None => {
                 self.machines.get(&open.machine).is_some_and(|m| m.waiting.contains(&(id.0, open.number)))
             }
@@ -919,7 +919,7 @@
         }
     }
 
-    fn recall(&mut self, task: TaskId, send: u32) {
+    fn cancel_attempt(&mut self, task: TaskId, send: u32) {
         let desk = &mut *self.0.borrow_mut();
         let Some(open) = desk.jobs.get(&task).and_then(|job| job.open) else { return };
         // A send called back in this very turn has its end on the way already.
@@ -936,7 +936,7 @@
         desk.closings.push_back((task, send, Outcome::Cancelled));
     }
 
-    fn nack(&mut self, task: TaskId, stay_away: Duration) {
+    fn reject(&mut self, task: TaskId, stay_away: Duration) {
         let desk = &mut *self.0.borrow_mut();
         let job = &desk.jobs[&task];
         assert!(job.open.is_none(), "task {}: nacked with a send out", task.0);
@@ -949,14 +949,14 @@
         desk.answer(task, Answer::Nacked(stay_away.nanos()));
     }
 
-    fn error(&mut self, task: TaskId) {
+    fn fail(&mut self, task: TaskId) {
         let desk = &mut *self.0.borrow_mut();
         assert!(desk.jobs[&task].open.is_none(), "task {}: errored with a send out", task.0);
         desk.counts.errored += 1;
         desk.answer(task, Answer::Errored);
     }
 
-    fn move_off(&mut self, task: TaskId) {
+    fn preempt(&mut self, task: TaskId) {
         let desk = &mut *self.0.borrow_mut();
         let Some(open) = desk.jobs.get_mut(&task).and_then(|job| job.open.as_mut()) else { return };
         open.stopping = true;
@@ -970,7 +970,7 @@
         self.0.borrow_mut().timers.set(at, Due::Token(token));
     }
 
-    fn watch_list(&mut self) {
+    fn watch_endpoints(&mut self) {
         let desk = &mut *self.0.borrow_mut();
         desk.list_wanted = true;
         match desk.list_link.filter(|link| desk.peers.get(link).is_some_and(|peer| peer.greeted)) {
--- a/crates/engine/src/lib.rs
+++ b/crates/engine/src/lib.rs
@@ -153,23 +153,23 @@
 }
 
 impl StateMachine for Engine {
-    fn opened(&mut self, now: Timestamp, link: ConnectionId, _: ListenerId) {
+    fn on_connection_accepted(&mut self, now: Timestamp, link: ConnectionId, _: ListenerId) {
         self.desk.get_mut().client_came(now, link);
     }
 
-    fn up(&mut self, now: Timestamp, link: ConnectionId) {
+    fn on_connected(&mut self, now: Timestamp, link: ConnectionId) {
         self.desk.get_mut().is_up(now, link);
     }
 
-    fn received(&mut self, now: Timestamp, link: ConnectionId, bytes: &[u8]) {
+    fn on_data(&mut self, now: Timestamp, link: ConnectionId, bytes: &[u8]) {
         self.desk.get_mut().came_in(now, link, bytes);
     }
 
-    fn ended(&mut self, _: Timestamp, link: ConnectionId, end: CloseReason) {
+    fn on_closed(&mut self, _: Timestamp, link: ConnectionId, end: CloseReason) {
         self.desk.get_mut().has_ended(link, end);
     }
 
-    fn turn_early(&mut self, now: Timestamp) {
+    fn poll_early(&mut self, now: Timestamp) {
         let Self { mind, desk, begun, .. } = self;
         if !*begun || !desk.get_mut().begin_early(now) {
             return;
@@ -182,11 +182,11 @@
         self.desk.get_mut().after_round();
     }
 
-    fn is_prompt(&self, link: ConnectionId) -> bool {
+    fn is_priority(&self, link: ConnectionId) -> bool {
         self.desk.borrow().is_prompt(link)
     }
 
-    fn turn(&mut self, now: Timestamp) {
+    fn poll(&mut self, now: Timestamp) {
         let Self { mind, desk, begun, saved } = self;
         desk.get_mut().begin_turn(now);
         let first = !std::mem::replace(begun, true);
@@ -197,7 +197,7 @@
         let desk = &*desk;
         mind.round(now, &mut Pen(desk), &mut |round| {
             if first {
-                round.start();
+                round.on_start();
                 receive::start(desk, round, saved.take());
             }
             receive::receive_pending(desk, round);
@@ -206,7 +206,7 @@
             loop {
                 let due = desk.borrow_mut().due(mark);
                 match due {
-                    Some(Due::Token(token)) => round.woken(token),
+                    Some(Due::Token(token)) => round.on_timer(token),
                     Some(Due::Send(task, send)) => receive::on_time_out(desk, round, task, send),
                     Some(other) => receive::on_timer(desk, round, other),
                     None => break,
@@ -219,23 +219,23 @@
         self.desk.get_mut().end_turn();
     }
 
-    fn wake(&self) -> Option<Timestamp> {
+    fn next_wakeup(&self) -> Option<Timestamp> {
         if self.begun { self.desk.borrow().wake() } else { Some(Timestamp::default()) }
     }
 
-    fn links(&mut self) -> &mut Connections {
+    fn connections(&mut self) -> &mut Connections {
         &mut self.desk.get_mut().links
     }
 
-    fn takes(&self, _: ListenerId) -> usize {
+    fn accept_budget(&self, _: ListenerId) -> usize {
         self.desk.borrow().limits.takes()
     }
 
-    fn pinched(&mut self, now: Timestamp) {
+    fn on_descriptors_exhausted(&mut self, now: Timestamp) {
         self.desk.get_mut().pinched(now);
     }
 
-    fn keep(&mut self) -> Option<Vec<u8>> {
+    fn state_to_persist(&mut self) -> Option<Vec<u8>> {
         self.desk.get_mut().list_to_keep()
     }
 }
--- a/crates/engine/src/properties.rs
+++ b/crates/engine/src/properties.rs
@@ -350,7 +350,7 @@
     fn tell(&mut self, link: ConnectionId, message: &Message<'_>) -> Vec<u8> {
         let mut bytes = Vec::new();
         protocol::encode(message, &mut bytes);
-        self.engine.received(self.time(), link, &bytes);
+        self.engine.on_data(self.time(), link, &bytes);
         bytes
     }
 
@@ -368,9 +368,9 @@
     fn turn(&mut self) {
         self.hears_list();
         for _ in 0..50 {
-            self.engine.turn(self.time());
+            self.engine.poll(self.time());
             self.drain();
-            if self.engine.wake().is_none_or(|at| at > self.time()) {
+            if self.engine.next_wakeup().is_none_or(|at| at > self.time()) {
                 break;
             }
         }
@@ -390,7 +390,7 @@
 
     fn early_turn(&mut self) {
         self.hears_list();
-        self.engine.turn_early(self.time());
+        self.engine.poll_early(self.time());
         self.drain();
     }
 
@@ -404,11 +404,11 @@
 
     fn drain(&mut self) {
         loop {
-            if let Some(link) = self.engine.links().next_dirty() {
+            if let Some(link) = self.engine.connections().next_dirty() {
                 self.take(link);
                 continue;
             }
-            match self.engine.links().next_ask() {
+            match self.engine.connections().next_command() {
                 None => return self.check_offers(),
                 Some(Command::Open(link, address)) => match address.strip_prefix('m') {
                     Some(n) => {
@@ -419,7 +419,7 @@
                     }
                     None => {
                         self.list = link;
-                        self.engine.up(self.time(), link);
+                        self.engine.on_connected(self.time(), link);
                         let welcome = Message::Welcome {
                             version: 1,
                             features: 0,
@@ -431,7 +431,7 @@
                     }
                 },
                 Some(Command::End { link, .. }) => {
-                    self.engine.links().drop_link(link);
+                    self.engine.connections().discard(link);
                     self.coming.retain(|(coming, _)| *coming != link);
                     if let Some(m) = self.machines.iter().position(|m| m.link == Some(link)) {
                         self.machines[m].link = None;
@@ -449,9 +449,9 @@
                 self.coming.push((link, m));
             } else if self.machines[m].refuses {
                 self.machines[m].link = None;
-                self.engine.ended(self.time(), link, CloseReason::Refused);
+                self.engine.on_closed(self.time(), link, CloseReason::Refused);
             } else {
-                self.engine.up(self.time(), link);
+                self.engine.on_connected(self.time(), link);
             }
         }
     }
@@ -466,8 +466,8 @@
         if m.is_some_and(|m| self.machines[m].deaf) {
             return;
         }
-        let bytes = self.engine.links().outgoing(link).to_vec();
-        self.engine.links().wrote(link, bytes.len());
+        let bytes = self.engine.connections().outgoing(link).to_vec();
+        self.engine.connections().wrote(link, bytes.len());
         let mut frames = self.frames.remove(&link).unwrap_or_default();
         frames.take(&bytes);
         while let Some(frame) = frames.next_frame().expect("planners write frames") {
@@ -577,7 +577,7 @@
         let welcome = Message::Welcome { version: 1, features: 0, name: "m", life, silence: None };
         [welcome, holds].iter().for_each(|message| protocol::encode(message, &mut bytes));
         let now = self.time();
-        self.engine.received(now, link, &bytes);
+        self.engine.on_data(now, link, &bytes);
         // What this proves of the sends of older connections.
         for (id, task) in &mut self.tasks {
             for (n, sent) in task.sends.iter_mut().filter(|(_, s)| s.machine == m && s.link != link) {
@@ -784,10 +784,10 @@
         if self.owner.is_some() {
             return;
         }
-        let link = self.engine.links().fresh();
+        let link = self.engine.connections().register();
         self.owner = Some(link);
         let now = self.time();
-        self.engine.opened(now, link, ListenerId(0));
+        self.engine.on_connection_accepted(now, link, ListenerId(0));
         self.tell(
             link,
             &Message::hello(Conversation::ClientPlanner, protocol::HAS_TASKS, "owner", 1, self.now),
@@ -862,7 +862,7 @@
             self.coming.retain(|(coming, _)| *coming != link);
             self.cut(link);
             let now = self.time();
-            self.engine.ended(now, link, CloseReason::Broken);
+            self.engine.on_closed(now, link, CloseReason::Broken);
         }
     }
 
@@ -895,7 +895,7 @@
                     (machine.link, machine.greeted, machine.last_words.clone())
                 {
                     let now = self.time();
-                    self.engine.received(now, link, &words);
+                    self.engine.on_data(now, link, &words);
                 }
             }
             Event::Odd(m, task) => {
@@ -951,7 +951,7 @@
             Event::OwnerGoes => {
                 if let Some(link) = self.owner.take() {
                     let now = self.time();
-                    self.engine.ended(now, link, CloseReason::Broken);
+                    self.engine.on_closed(now, link, CloseReason::Broken);
                 }
             }
             Event::OwnerComes => self.owner_comes(),
@@ -1030,7 +1030,7 @@
         let end = self.now + ms * MS;
         self.turn();
         while self.now < end {
-            let wake = self.engine.wake().map_or(end, Timestamp::nanos);
+            let wake = self.engine.next_wakeup().map_or(end, Timestamp::nanos);
             let waits: Vec<(u64, &'static str)> = self
                 .tasks
                 .iter()
--- a/crates/engine/src/receive/client.rs
+++ b/crates/engine/src/receive/client.rs
@@ -26,7 +26,7 @@
                 take(desk, link, name, *task, shape, left)?
             };
             if let Some(order) = order {
-                round.new_task(order);
+                round.on_new_task(order);
             }
             Ok(())
         }
@@ -207,14 +207,14 @@
     let Some(open) = job.open.as_mut() else {
         desk.answer(id, Answer::Withdrawn);
         drop(borrowed);
-        round.abandoned(id);
+        round.on_client_cancelled(id);
         return Ok(());
     };
     open.stopping |= open.placed;
     let open = *open;
     call_back(desk, id, &open);
     drop(borrowed);
-    round.abandoned(id);
+    round.on_client_cancelled(id);
     Ok(())
 }
 
--- a/crates/engine/src/receive/inventory.rs
+++ b/crates/engine/src/receive/inventory.rs
@@ -96,7 +96,7 @@
         };
         desk.jobs.insert(id, adopted);
     }
-    round.running(order, machine);
+    round.on_adopted_task(order, machine);
 }
 
 /// The inventory is complete: what it lacks is known never to have been accepted, and offers may go.
--- a/crates/engine/src/receive/machine.rs
+++ b/crates/engine/src/receive/machine.rs
@@ -37,13 +37,13 @@
                 return Ok(());
             }
             if cores.is_some() || memory.is_some() {
-                round.uses(TaskId(*task), *cores, *memory);
+                round.on_usage(TaskId(*task), *cores, *memory);
             }
             if let Some(served) = served {
-                round.served(TaskId(*task), *served);
+                round.on_service_level(TaskId(*task), *served);
             }
             if let Some(share) = machine_memory {
-                round.machine_memory(TaskId(*task), *share);
+                round.on_machine_memory(TaskId(*task), *share);
             }
         }
         Message::Closed { task, send, ending, reason } => {
@@ -52,7 +52,7 @@
         Message::Report { cores_unused, memory_unused, .. } => {
             let unused =
                 cores_unused.zip(*memory_unused).map(|(cores, memory)| Resources::new(cores, memory));
-            round.probed(machine, LoadReport { unused });
+            round.on_health_check(machine, LoadReport { unused });
         }
         _ => return Err(Bad("not a message of a machine".into())),
     }
@@ -90,7 +90,7 @@
     desk.closings.extend(lost);
     desk.closings.extend(waiting.into_iter().map(|(id, send)| (TaskId(id), send, Outcome::NotSent)));
     drop(borrowed);
-    round.restarted(machine);
+    round.on_machine_restarted(machine);
     Ok(())
 }
 
--- a/crates/engine/src/receive/machine_list.rs
+++ b/crates/engine/src/receive/machine_list.rs
@@ -42,7 +42,7 @@
     desk.list_reader.clear();
     if desk.settings.listing.asked {
         drop(borrowed);
-        return round.list_failed();
+        return round.on_watch_failed();
     }
     let (drawn, failures) = (desk.chance.part(), desk.list_failures);
     desk.list_failures += 1;
@@ -88,7 +88,7 @@
     entries: &[protocol::Entry<'_>],
 ) {
     let listed = update_machines(&mut shared.borrow_mut(), kind, version, entries);
-    round.list(kind, &listed);
+    round.on_endpoint_list(kind, &listed);
 }
 
 fn update_machines(
--- a/crates/engine/src/receive/outcome.rs
+++ b/crates/engine/src/receive/outcome.rs
@@ -73,7 +73,7 @@
     }
     let _task = tell_placed(desk, machine, id, send);
     drop(borrowed);
-    if claiming { round.running(order, machine) } else { round.accepted(id) }
+    if claiming { round.on_adopted_task(order, machine) } else { round.on_accepted(id) }
 }
 
 /// Counts a task as placed, and tells its owner. What is logged while the span is held belongs to the task.
@@ -106,7 +106,7 @@
             .is_some_and(|open| !std::mem::replace(&mut open.runs, true))
     };
     if first {
-        round.runs(id);
+        round.on_running(id);
     }
 }
 
@@ -175,7 +175,7 @@
         desk.answer(id, Answer::Withdrawn);
     }
     drop(borrowed);
-    round.closed(id, ending, over, LoadReport::default());
+    round.on_attempt_ended(id, ending, over, LoadReport::default());
 }
 
 /// Ends that this side made: in the round before, or while receiving.
--- a/crates/engine/tests/host/mod.rs
+++ b/crates/engine/tests/host/mod.rs
@@ -109,27 +109,27 @@
     }
 
     pub fn turn(&mut self) -> Vec<Said> {
-        self.engine.turn(self.now);
+        self.engine.poll(self.now);
         self.drain()
     }
 
     /// More lies unread than is told before the planner answers some.
     pub fn early(&mut self) -> Vec<Said> {
-        self.engine.turn_early(self.now);
+        self.engine.poll_early(self.now);
         self.drain()
     }
 
     fn drain(&mut self) -> Vec<Said> {
         let mut said = Vec::new();
         loop {
-            let links = self.engine.links();
+            let links = self.engine.connections();
             if let Some(link) = links.next_dirty() {
                 if !self.unread.contains(&link) {
                     self.take(link, usize::MAX, &mut said);
                 }
                 continue;
             }
-            match links.next_ask() {
+            match links.next_command() {
                 None => return said,
                 Some(Command::Open(link, address)) => {
                     self.links.insert(link, address.clone());
@@ -137,7 +137,7 @@
                 }
                 Some(Command::End { link, .. }) => {
                     self.take(link, usize::MAX, &mut said);
-                    self.engine.links().drop_link(link);
+                    self.engine.connections().discard(link);
                     self.ended.push(link);
                 }
             }
@@ -146,9 +146,9 @@
 
     /// Takes so many bytes of what waits on a link.
     pub fn take(&mut self, link: ConnectionId, most: usize, said: &mut Vec<Said>) {
-        let waits = self.engine.links().outgoing(link);
+        let waits = self.engine.connections().outgoing(link);
         let bytes = waits[..waits.len().min(most)].to_vec();
-        self.engine.links().wrote(link, bytes.len());
+        self.engine.connections().wrote(link, bytes.len());
         let frames = self.frames.entry(link).or_default();
         frames.take(&bytes);
         let who = self.links.get(&link).cloned().unwrap_or_default();
@@ -175,7 +175,7 @@
 
     /// A turn whenever the planner wants one until then; `each` sees what it did in a turn.
     pub fn goes_on(&mut self, until: Timestamp, mut each: impl FnMut(&mut Self, Vec<Said>)) {
-        while let Some(at) = self.engine.wake().filter(|at| *at <= until) {
+        while let Some(at) = self.engine.next_wakeup().filter(|at| *at <= until) {
             self.now = self.now.max(at);
             let said = self.turn();
             each(self, said);
@@ -190,7 +190,7 @@
 
     pub fn accept(&mut self, address: &str) -> Vec<Said> {
         let link = self.link(address);
-        self.engine.up(self.now, link);
+        self.engine.on_connected(self.now, link);
         let mut said = self.turn();
         said.extend(self.tell(
             link,
@@ -229,7 +229,7 @@
             self.lives(200);
         }
         let link = self.link(&address);
-        self.engine.up(self.now, link);
+        self.engine.on_connected(self.now, link);
         let mut said = self.turn();
         let name = format!("machine-{id}");
         let welcome = Message::Welcome { version: 1, features: 0, name: &name, life, silence: None };
@@ -251,14 +251,14 @@
     pub fn only_tell(&mut self, link: ConnectionId, messages: &[Message<'_>]) {
         let mut bytes = Vec::new();
         messages.iter().for_each(|message| protocol::encode(message, &mut bytes));
-        self.engine.received(self.now, link, &bytes);
+        self.engine.on_data(self.now, link, &bytes);
     }
 
     /// Somebody opens a connection, and has said nothing yet.
     pub fn opens(&mut self, name: &str) -> ConnectionId {
-        let link = self.engine.links().fresh();
+        let link = self.engine.connections().register();
         self.links.insert(link, name.to_owned());
-        self.engine.opened(self.now, link, ListenerId(0));
+        self.engine.on_connection_accepted(self.now, link, ListenerId(0));
         link
     }
 
@@ -275,7 +275,7 @@
     }
 
     pub fn ends(&mut self, link: ConnectionId, end: CloseReason) -> Vec<Said> {
-        self.engine.ended(self.now, link, end);
+        self.engine.on_closed(self.now, link, end);
         self.turn()
     }
 }
--- a/crates/engine/tests/list/mod.rs
+++ b/crates/engine/tests/list/mod.rs
@@ -50,7 +50,7 @@
 fn hears(host: &mut Host, link: ConnectionId, bytes: &[u8]) -> Vec<Said> {
     let mut said = Vec::new();
     for part in bytes.chunks(50_000) {
-        host.engine.received(host.now, link, part);
+        host.engine.on_data(host.now, link, part);
         said.extend(host.turn());
     }
     said
@@ -66,7 +66,7 @@
 
 /// The list that the planner keeps on its disk.
 fn kept(host: &mut Host) -> WholeList {
-    protocol::decode_list(&host.engine.keep().expect("the list changed")).expect("is a list")
+    protocol::decode_list(&host.engine.state_to_persist().expect("the list changed")).expect("is a list")
 }
 
 #[test]
@@ -80,7 +80,7 @@
     assert_eq!((host.engine.not_ready(), host.engine.counts().machines_ready), (None, FLEET as usize));
     let said = places(&mut host, 1);
     assert!(says(&said, "owner", "placed 1"), "{said:?}");
-    let kept = host.engine.keep().expect("the list changed");
+    let kept = host.engine.state_to_persist().expect("the list changed");
     let whole = protocol::decode_list(&kept).expect("is a list");
     assert_eq!((whole.version, whole.entries().len()), (5, FLEET as usize));
 
@@ -122,7 +122,7 @@
     let (mut host, link) = that_watches(None);
     let list = told(ListKind::Whole, 5, FLEET);
     hears(&mut host, link, &list[..list.len() - 1]);
-    assert_eq!((host.engine.counts().machines, host.engine.keep()), (0, None));
+    assert_eq!((host.engine.counts().machines, host.engine.state_to_persist()), (0, None));
     let why = host.engine.not_ready().expect("no list is whole");
     assert!(why.ends_with("pieces of list version 5 came"), "{why}");
     assert!(host.engine.status().contains(&format!("not ready: {why}")));
--- a/crates/engine/tests/pieces/mod.rs
+++ b/crates/engine/tests/pieces/mod.rs
@@ -13,7 +13,7 @@
 }
 
 fn receive(host: &mut Host, link: ConnectionId, bytes: &[u8]) -> Vec<Said> {
-    host.engine.received(host.now, link, bytes);
+    host.engine.on_data(host.now, link, bytes);
     host.turn()
 }
 
--- a/crates/engine/tests/stories.rs
+++ b/crates/engine/tests/stories.rs
@@ -52,7 +52,7 @@
     let links: Vec<_> = (1..=4).map(|id| host.link(&format!("m{id}"))).collect();
     host.unread.clone_from(&links);
     host.ask(client, 1, SINGLE_USE);
-    let stuck = links.into_iter().find(|link| host.engine.links().unwritten(*link) > 0).expect("is offered");
+    let stuck = links.into_iter().find(|link| host.engine.connections().unwritten(*link) > 0).expect("is offered");
     host.unread.clear();
     let said = host.ends(stuck, CloseReason::Broken);
     assert!(offered(&said, 1).is_some_and(|(_, send)| send == 1), "{said:?}");
@@ -65,7 +65,7 @@
     let links: Vec<_> = (1..=4).map(|id| host.link(&format!("m{id}"))).collect();
     host.unread.clone_from(&links);
     host.ask(client, 1, SINGLE_USE);
-    let stuck = links.into_iter().find(|link| host.engine.links().unwritten(*link) > 0).expect("is offered");
+    let stuck = links.into_iter().find(|link| host.engine.connections().unwritten(*link) > 0).expect("is offered");
     host.take(stuck, 5, &mut Vec::new());
     host.unread.clear();
     let address = host.links[&stuck].clone();
@@ -126,7 +126,7 @@
     for ms in (100..4_000).step_by(100) {
         let tries: Vec<_> = host.opening.drain(..).filter(|(_, to)| *to == format!("m{machine}")).collect();
         for (link, _) in tries {
-            host.engine.ended(host.now, link, CloseReason::Refused);
+            host.engine.on_closed(host.now, link, CloseReason::Refused);
         }
         if says(&host.after(100), "owner", "ended 1 Lost") {
             lost_after.get_or_insert(ms);
@@ -245,7 +245,7 @@
 #[test]
 fn a_planner_starts_with_its_kept_list_and_hears_clients_when_machines_told_what_they_hold() {
     let mut host = Host::with_machines(2);
-    let kept = host.engine.keep().expect("the list changed");
+    let kept = host.engine.state_to_persist().expect("the list changed");
     let mut host = Host::new(settings(), 2, Some(kept));
     host.turn();
     let client = host.opens("owner");
@@ -259,7 +259,7 @@
 #[test]
 fn a_machine_that_can_not_be_reached_holds_up_a_start_for_a_second_at_most() {
     let mut host = Host::with_machines(2);
-    let kept = host.engine.keep().expect("the list changed");
+    let kept = host.engine.state_to_persist().expect("the list changed");
     let mut host = Host::new(settings(), 2, Some(kept));
     host.turn();
     let client = host.opens("owner");
@@ -271,7 +271,7 @@
 #[test]
 fn what_waited_for_a_machine_is_decided_anew_when_it_tells_of_tasks_of_a_former_life() {
     let mut host = Host::with_machines(2);
-    let kept = host.engine.keep().expect("the list changed");
+    let kept = host.engine.state_to_persist().expect("the list changed");
     let mut limited = settings();
     limited.use_cases[0].spread = Some((mulleinhub_interface::FailureDomain::Machine, 1));
     let mut host = Host::new(limited, 2, Some(kept));
@@ -328,7 +328,7 @@
     host.unread.extend(links);
     host.ask(client, 1, SINGLE_USE);
     let first =
-        links.into_iter().position(|link| host.engine.links().unwritten(link) > 0).expect("is offered");
+        links.into_iter().position(|link| host.engine.connections().unwritten(link) > 0).expect("is offered");
     host.unread.retain(|link| *link == links[first]);
     let said = host.after(6_050);
     assert!(
@@ -363,11 +363,11 @@
     host.unread.extend(links);
     host.ask(client, 1, SINGLE_USE);
     let first =
-        links.into_iter().position(|link| host.engine.links().unwritten(link) > 0).expect("is offered");
+        links.into_iter().position(|link| host.engine.connections().unwritten(link) > 0).expect("is offered");
     host.unread.retain(|link| *link == links[first]);
     let said = host.list(&[(first as u64 + 1, Mode::Leaving)]);
     assert!(offered(&said, 1).is_some_and(|(machine, _)| machine != first as u64 + 1), "{said:?}");
-    assert_eq!(host.engine.links().unwritten(links[first]), 0);
+    assert_eq!(host.engine.connections().unwritten(links[first]), 0);
 }
 
 #[test]
@@ -432,7 +432,7 @@
         (&[0, 0, 0, 2, 0xff, 0xff][..], "bye byte"),
     ] {
         let link = host.opens("bad");
-        host.engine.received(host.now, link, bytes);
+        host.engine.on_data(host.now, link, bytes);
         let said = host.turn();
         assert!(says(&said, "bad", why), "{why}: {said:?}");
     }
@@ -546,7 +546,7 @@
     assert!(offered(&said, 1).is_none(), "it waits for the connection: {said:?}");
     host.now = host.now + Duration::from_secs(7);
     let link = host.link("m1");
-    host.engine.up(host.now, link);
+    host.engine.on_connected(host.now, link);
     let welcome = Message::Welcome { version: 1, features: 0, name: "m1", life: 101, silence: None };
     host.only_tell(link, &[welcome, Message::Holds { tasks: vec![], last: true }]);
     let mut said = host.early();
@@ -652,7 +652,7 @@
 #[test]
 fn a_machine_that_restarted_while_the_planner_was_down_is_cold_at_its_first_greeting() {
     let mut host = Host::with_machines(1);
-    let kept = host.engine.keep().expect("the list changed");
+    let kept = host.engine.state_to_persist().expect("the list changed");
     let mut host = Host::new(settings(), 2, Some(kept));
     host.turn();
     host.meets(1, 999, vec![]);
@@ -727,8 +727,8 @@
 #[test]
 fn silent_strangers_and_silent_clients_are_ended_and_a_sign_of_life_keeps_a_client() {
     let mut host = limited(|_| ());
-    let stranger = host.engine.links().fresh();
-    host.engine.opened(host.now, stranger, mulleinhub_seam::ListenerId(0));
+    let stranger = host.engine.connections().register();
+    host.engine.on_connection_accepted(host.now, stranger, mulleinhub_seam::ListenerId(0));
     let client = host.client("quiet");
     host.lives(5_200);
     assert!(host.ended.contains(&stranger) && !host.ended.contains(&client));
@@ -839,10 +839,10 @@
     }
     assert!(host.engine.buffers() < 2 * 64 * 16 * 1024, "{} bytes", host.engine.buffers());
     let half = [0, 0, 0, 40, 1, 2, 3];
-    host.engine.received(host.now, all[3], &half);
+    host.engine.on_data(host.now, all[3], &half);
     host.turn();
     let owned = host.engine.buffers();
-    host.engine.received(host.now, all[3], &[0; 37]);
+    host.engine.on_data(host.now, all[3], &[0; 37]);
     host.turn();
     assert!(host.engine.buffers() <= owned + 16 * 1024 && host.ended.contains(&all[3]));
 }
@@ -854,7 +854,7 @@
     host.ask(busy, 1, REPLAYABLE);
     let idle: Vec<_> = (0..20).map(|n| host.client(&format!("idle{n}"))).collect();
     let now = host.now;
-    host.engine.pinched(now);
+    host.engine.on_descriptors_exhausted(now);
     let said = host.turn();
     assert!(says(&said, "idle0", "bye room was needed"), "{said:?}");
     let gone = idle.iter().filter(|link| host.ended.contains(link)).count();
@@ -868,7 +868,7 @@
     let mut bytes = Vec::new();
     mulleinhub_protocol::encode(&Message::Learn { task: u64::MAX }, &mut bytes);
     for byte in bytes.iter().take(12) {
-        host.engine.received(host.now, slow, &[*byte]);
+        host.engine.on_data(host.now, slow, &[*byte]);
         host.only_tell(fine, &[Message::Learn { task: 1 }]);
         host.lives(1_000);
     }
@@ -888,7 +888,7 @@
     // The process stands still; then so much lies unread that the steady one is answered between.
     host.now = host.now + Duration::from_secs(2);
     host.only_tell(steady, &[ask(2, REPLAYABLE, host.now)]);
-    host.engine.turn_early(host.now);
+    host.engine.poll_early(host.now);
     assert!(host.engine.counts().taken == 2 && !host.ended.contains(&stranger));
     host.only_tell(stranger, &[hello("stranger", host.now)]);
     host.turn();
--- a/crates/interface/src/lib.rs
+++ b/crates/interface/src/lib.rs
@@ -253,63 +253,63 @@
 /// Takes the answers, in the order in which they are given.
 pub trait Dispatch {
     fn send(&mut self, task: TaskId, machine: MachineId, time_out: Duration);
-    fn recall(&mut self, task: TaskId, send: u32);
-    fn nack(&mut self, task: TaskId, stay_away: Duration);
-    fn error(&mut self, task: TaskId);
+    fn cancel_attempt(&mut self, task: TaskId, send: u32);
+    fn reject(&mut self, task: TaskId, stay_away: Duration);
+    fn fail(&mut self, task: TaskId);
     /// Stops a placed task, so that its owner asks again.
-    fn move_off(&mut self, task: TaskId);
+    fn preempt(&mut self, task: TaskId);
     fn wake_at(&mut self, token: u64, at: Timestamp);
-    fn watch_list(&mut self);
+    fn watch_endpoints(&mut self);
 }
 
 impl<W: Dispatch + ?Sized> Dispatch for &mut W {
     fn send(&mut self, task: TaskId, machine: MachineId, time_out: Duration) {
         (**self).send(task, machine, time_out);
     }
-    fn recall(&mut self, task: TaskId, send: u32) {
-        (**self).recall(task, send);
+    fn cancel_attempt(&mut self, task: TaskId, send: u32) {
+        (**self).cancel_attempt(task, send);
     }
-    fn nack(&mut self, task: TaskId, stay_away: Duration) {
-        (**self).nack(task, stay_away);
+    fn reject(&mut self, task: TaskId, stay_away: Duration) {
+        (**self).reject(task, stay_away);
     }
-    fn error(&mut self, task: TaskId) {
-        (**self).error(task);
+    fn fail(&mut self, task: TaskId) {
+        (**self).fail(task);
     }
-    fn move_off(&mut self, task: TaskId) {
-        (**self).move_off(task);
+    fn preempt(&mut self, task: TaskId) {
+        (**self).preempt(task);
     }
     fn wake_at(&mut self, token: u64, at: Timestamp) {
         (**self).wake_at(token, at);
     }
-    fn watch_list(&mut self) {
-        (**self).watch_list();
+    fn watch_endpoints(&mut self) {
+        (**self).watch_endpoints();
     }
 }
 
 /// Hears what came in during one round.
 pub trait PolicyEvents {
-    fn start(&mut self);
-    fn new_task(&mut self, order: TaskSpec);
+    fn on_start(&mut self);
+    fn on_new_task(&mut self, order: TaskSpec);
     /// A task that runs already has become this scheduler's charge.
-    fn running(&mut self, order: TaskSpec, machine: MachineId);
-    fn accepted(&mut self, task: TaskId);
-    fn runs(&mut self, task: TaskId);
-    fn uses(&mut self, task: TaskId, cores: Option<f64>, memory: Option<f64>);
+    fn on_adopted_task(&mut self, order: TaskSpec, machine: MachineId);
+    fn on_accepted(&mut self, task: TaskId);
+    fn on_running(&mut self, task: TaskId);
+    fn on_usage(&mut self, task: TaskId, cores: Option<f64>, memory: Option<f64>);
     /// The part of full service that a task gets.
-    fn served(&mut self, task: TaskId, share: f64);
+    fn on_service_level(&mut self, task: TaskId, share: f64);
     /// The part of its machine's memory in use.
-    fn machine_memory(&mut self, task: TaskId, share: f64);
-    fn probed(&mut self, machine: MachineId, report: LoadReport);
+    fn on_machine_memory(&mut self, task: TaskId, share: f64);
+    fn on_health_check(&mut self, machine: MachineId, report: LoadReport);
     /// The machine itself told that it started anew, before any list does.
-    fn restarted(&mut self, machine: MachineId);
+    fn on_machine_restarted(&mut self, machine: MachineId);
     /// The end of a send. Where `over` is not set, the final answer is still to be given.
-    fn closed(&mut self, task: TaskId, ending: Outcome, over: bool, report: LoadReport);
-    fn abandoned(&mut self, task: TaskId);
+    fn on_attempt_ended(&mut self, task: TaskId, ending: Outcome, over: bool, report: LoadReport);
+    fn on_client_cancelled(&mut self, task: TaskId);
     /// This scheduler is to end: no final answer may come later than then.
-    fn ends_by(&mut self, at: Timestamp);
-    fn woken(&mut self, token: u64);
-    fn list_failed(&mut self);
-    fn list(&mut self, kind: ListKind, entries: &[MachineEntry]);
+    fn on_shutdown(&mut self, at: Timestamp);
+    fn on_timer(&mut self, token: u64);
+    fn on_watch_failed(&mut self);
+    fn on_endpoint_list(&mut self, kind: ListKind, entries: &[MachineEntry]);
 }
 
 /// Decides: hears all that came in during a round, and writes its answers by the end of it.
--- a/crates/ledger/src/exchange/mod.rs
+++ b/crates/ledger/src/exchange/mod.rs
@@ -277,17 +277,17 @@
 }
 
 impl StateMachine for Exchange {
-    fn opened(&mut self, now: Timestamp, link: ConnectionId, _: ListenerId) {
+    fn on_connection_accepted(&mut self, now: Timestamp, link: ConnectionId, _: ListenerId) {
         self.now = self.now.max(now);
         self.peers.insert(link, Peer::accepted(self.now));
     }
 
-    fn up(&mut self, now: Timestamp, link: ConnectionId) {
+    fn on_connected(&mut self, now: Timestamp, link: ConnectionId) {
         self.now = self.now.max(now);
         self.write_hello(link, now);
     }
 
-    fn received(&mut self, now: Timestamp, link: ConnectionId, bytes: &[u8]) {
+    fn on_data(&mut self, now: Timestamp, link: ConnectionId, bytes: &[u8]) {
         self.now = self.now.max(now);
         self.figures.bytes_in += bytes.len() as u64;
         if let Some(peer) = self.peers.get_mut(&link) {
@@ -296,13 +296,13 @@
         }
     }
 
-    fn ended(&mut self, now: Timestamp, link: ConnectionId, _: CloseReason) {
+    fn on_closed(&mut self, now: Timestamp, link: ConnectionId, _: CloseReason) {
         self.now = self.now.max(now);
         self.links.forget(link);
         self.failed(link);
     }
 
-    fn turn(&mut self, now: Timestamp) {
+    fn poll(&mut self, now: Timestamp) {
         self.now = self.now.max(now);
         self.turn_again = false;
         self.excuse_pause();
@@ -315,10 +315,10 @@
         self.update_connections();
         self.replicate();
         self.update_status();
-        self.promised = self.wake();
+        self.promised = self.next_wakeup();
     }
 
-    fn wake(&self) -> Option<Timestamp> {
+    fn next_wakeup(&self) -> Option<Timestamp> {
         if self.turn_again || !self.begun {
             return Some(self.now);
         }
@@ -326,7 +326,7 @@
         due.into_iter().flatten().min()
     }
 
-    fn links(&mut self) -> &mut Connections {
+    fn connections(&mut self) -> &mut Connections {
         &mut self.links
     }
 }
--- a/crates/ledger/tests/net/mod.rs
+++ b/crates/ledger/tests/net/mod.rs
@@ -182,7 +182,7 @@
             if let Some((other, link)) = self.wires.remove(&end) {
                 self.wires.remove(&(other, link));
                 if let Some(node) = &mut self.nodes[other] {
-                    node.exchange.ended(self.now, link, CloseReason::Broken);
+                    node.exchange.on_closed(self.now, link, CloseReason::Broken);
                 }
             }
         }
@@ -214,7 +214,7 @@
         let utc = MIDDLE + self.utc_off + now.nanos() / 1_000_000;
         let Some(node) = &mut self.nodes[n] else { return };
         node.exchange.set_clock(utc);
-        node.exchange.turn(now);
+        node.exchange.poll(now);
         let changes = node.exchange.take_changes();
         if !changes.is_empty() {
             let last = node.exchange.last_own(&changes);
@@ -244,12 +244,12 @@
     fn carry(&mut self, n: usize) {
         loop {
             let Some(node) = &mut self.nodes[n] else { return };
-            let links = node.exchange.links();
+            let links = node.exchange.connections();
             if let Some(link) = links.next_dirty() {
                 self.carry_link(n, link);
                 continue;
             }
-            let Some(ask) = links.next_ask() else { return };
+            let Some(ask) = links.next_command() else { return };
             match ask {
                 Command::Open(link, address) => {
                     let other: usize = address.parse().expect("is a number");
@@ -257,23 +257,23 @@
                     let now = self.now;
                     match self.nodes[other].as_mut().filter(|_| !apart) {
                         Some(node) => {
-                            let theirs = node.exchange.links().fresh();
-                            node.exchange.opened(now, theirs, ListenerId(0));
+                            let theirs = node.exchange.connections().register();
+                            node.exchange.on_connection_accepted(now, theirs, ListenerId(0));
                             self.wires.insert((n, link), (other, theirs));
                             self.wires.insert((other, theirs), (n, link));
-                            self.node(n).exchange.up(now, link);
+                            self.node(n).exchange.on_connected(now, link);
                         }
-                        None => self.node(n).exchange.ended(now, link, CloseReason::Refused),
+                        None => self.node(n).exchange.on_closed(now, link, CloseReason::Refused),
                     }
                 }
                 Command::End { link, .. } => {
                     self.carry_link(n, link);
-                    self.node(n).exchange.links().drop_link(link);
+                    self.node(n).exchange.connections().discard(link);
                     if let Some((other, theirs)) = self.wires.remove(&(n, link)) {
                         self.wires.remove(&(other, theirs));
                         let now = self.now;
                         if let Some(node) = &mut self.nodes[other] {
-                            node.exchange.ended(now, theirs, CloseReason::Closed);
+                            node.exchange.on_closed(now, theirs, CloseReason::Closed);
                         }
                     } else if self.stranger_link == Some((n, link)) {
                         self.stranger_link = None;
@@ -288,7 +288,7 @@
         let wire = self.wires.get(&(n, link)).copied();
         let is_strange = self.stranger_link == Some((n, link));
         let apart = wire.is_some_and(|(other, _)| self.cut.contains(&(n.min(other), n.max(other))));
-        let links = self.node(n).exchange.links();
+        let links = self.node(n).exchange.connections();
         let bytes = links.outgoing(link).to_vec();
         if bytes.is_empty() || apart {
             return;
@@ -315,7 +315,7 @@
             *self.counted.entry(kind).or_default() += 1;
         }
         if let Some(node) = &mut self.nodes[other] {
-            node.exchange.received(now, theirs, &bytes);
+            node.exchange.on_data(now, theirs, &bytes);
         }
     }
 
@@ -324,8 +324,8 @@
         let mut bytes = Vec::new();
         if self.stranger_link.is_none() {
             let now = self.now;
-            let link = self.node(n).exchange.links().fresh();
-            self.node(n).exchange.opened(now, link, ListenerId(0));
+            let link = self.node(n).exchange.connections().register();
+            self.node(n).exchange.on_connection_accepted(now, link, ListenerId(0));
             self.stranger_link = Some((n, link));
             let features = protocol::BOOKS;
             protocol::encode(&Message::hello(Conversation::PlannerPlanner, features, name, 1, 0), &mut bytes);
@@ -337,7 +337,7 @@
     pub fn stranger_writes(&mut self, n: usize, bytes: &[u8]) {
         let now = self.now;
         if let Some((_, link)) = self.stranger_link {
-            self.node(n).exchange.received(now, link, bytes);
+            self.node(n).exchange.on_data(now, link, bytes);
         }
         self.turn(n);
     }
--- a/crates/load/src/busy.rs
+++ b/crates/load/src/busy.rs
@@ -181,11 +181,11 @@
 }
 
 impl StateMachine for Busy {
-    fn opened(&mut self, _: Timestamp, link: ConnectionId, _: ListenerId) {
+    fn on_connection_accepted(&mut self, _: Timestamp, link: ConnectionId, _: ListenerId) {
         self.links.abort(link);
     }
 
-    fn up(&mut self, now: Timestamp, link: ConnectionId) {
+    fn on_connected(&mut self, now: Timestamp, link: ConnectionId) {
         let Some(desk) = self.desks.iter().position(|desk| desk.link == Some(link)) else { return };
         let has_tasks = self.out.values().any(|out| out.desk == desk);
         let name = format!("busy/{desk}");
@@ -199,7 +199,7 @@
         self.write(desk, &hello);
     }
 
-    fn received(&mut self, now: Timestamp, link: ConnectionId, bytes: &[u8]) {
+    fn on_data(&mut self, now: Timestamp, link: ConnectionId, bytes: &[u8]) {
         let Some(desk) = self.desks.iter().position(|desk| desk.link == Some(link)) else { return };
         self.desks[desk].frames.take(bytes);
         let mut frames = std::mem::take(&mut self.desks[desk].frames);
@@ -211,7 +211,7 @@
         self.desks[desk].frames = frames;
     }
 
-    fn ended(&mut self, now: Timestamp, link: ConnectionId, _: CloseReason) {
+    fn on_closed(&mut self, now: Timestamp, link: ConnectionId, _: CloseReason) {
         self.links.forget(link);
         if let Some(desk) = self.desks.iter().position(|desk| desk.link == Some(link)) {
             let to = std::mem::take(&mut self.desks[desk].to);
@@ -220,7 +220,7 @@
         }
     }
 
-    fn turn(&mut self, now: Timestamp) {
+    fn poll(&mut self, now: Timestamp) {
         if !std::mem::replace(&mut self.begun, true) {
             (0..self.desks.len()).for_each(|desk| self.timers.set(now, Due::Open(desk)));
         }
@@ -238,14 +238,14 @@
         }
     }
 
-    fn wake(&self) -> Option<Timestamp> {
+    fn next_wakeup(&self) -> Option<Timestamp> {
         if !self.begun {
             return Some(Timestamp::default());
         }
         [self.timers.next(), self.next].into_iter().flatten().min()
     }
 
-    fn links(&mut self) -> &mut Connections {
+    fn connections(&mut self) -> &mut Connections {
         &mut self.links
     }
 }
--- a/crates/load/src/idle.rs
+++ b/crates/load/src/idle.rs
@@ -94,7 +94,7 @@
     fn step(&mut self) -> Result<(), String> {
         // The system's poll wakes to whole milliseconds; an ask's instant is met more closely without it.
         let now = self.busy.now();
-        let soon = self.busy.party.wake().is_some_and(|at| at - now < CLOSE);
+        let soon = self.busy.party.next_wakeup().is_some_and(|at| at - now < CLOSE);
         let wait = if soon { StdDuration::ZERO } else { StdDuration::from_millis(1) };
         self.busy.step(wait).map_err(|e| format!("poll: {e}"))?;
         self.crowds.iter_mut().for_each(CrowdProcess::look);
--- a/crates/planner/src/daemon.rs
+++ b/crates/planner/src/daemon.rs
@@ -45,81 +45,81 @@
              Content-Length: {}\r\nConnection: close\r\n\r\n",
             body.len()
         );
-        self.engine.links().send(link, format!("{head}{body}").as_bytes(), None);
-        self.engine.links().end(link);
+        self.engine.connections().send(link, format!("{head}{body}").as_bytes(), None);
+        self.engine.connections().end(link);
     }
 }
 
 impl StateMachine for Daemon {
-    fn opened(&mut self, now: Timestamp, link: ConnectionId, door: ListenerId) {
+    fn on_connection_accepted(&mut self, now: Timestamp, link: ConnectionId, door: ListenerId) {
         if door == METRICS {
             self.readers.insert(link, Vec::new());
         } else {
-            self.engine.opened(now, link, door);
+            self.engine.on_connection_accepted(now, link, door);
         }
     }
 
-    fn up(&mut self, now: Timestamp, link: ConnectionId) {
-        self.engine.up(now, link);
+    fn on_connected(&mut self, now: Timestamp, link: ConnectionId) {
+        self.engine.on_connected(now, link);
     }
 
-    fn received(&mut self, now: Timestamp, link: ConnectionId, bytes: &[u8]) {
+    fn on_data(&mut self, now: Timestamp, link: ConnectionId, bytes: &[u8]) {
         let Some(request) = self.readers.get_mut(&link) else {
-            return self.engine.received(now, link, bytes);
+            return self.engine.on_data(now, link, bytes);
         };
         request.extend_from_slice(bytes);
         if request.len() > MOST_REQUEST {
             self.readers.remove(&link);
-            self.engine.links().abort(link);
+            self.engine.connections().abort(link);
         } else if request.windows(4).any(|end| end == b"\r\n\r\n") {
             self.answer(link);
         }
     }
 
-    fn ended(&mut self, now: Timestamp, link: ConnectionId, end: CloseReason) {
+    fn on_closed(&mut self, now: Timestamp, link: ConnectionId, end: CloseReason) {
         if self.readers.remove(&link).is_some() {
-            self.engine.links().forget(link);
+            self.engine.connections().forget(link);
         } else {
-            self.engine.ended(now, link, end);
+            self.engine.on_closed(now, link, end);
         }
     }
 
-    fn turn_early(&mut self, now: Timestamp) {
-        self.engine.turn_early(now);
+    fn poll_early(&mut self, now: Timestamp) {
+        self.engine.poll_early(now);
     }
 
-    fn is_prompt(&self, link: ConnectionId) -> bool {
-        self.engine.is_prompt(link)
+    fn is_priority(&self, link: ConnectionId) -> bool {
+        self.engine.is_priority(link)
     }
 
-    fn turn(&mut self, now: Timestamp) {
+    fn poll(&mut self, now: Timestamp) {
         let began = Instant::now();
-        self.engine.turn(now);
+        self.engine.poll(now);
         self.engine.turn_took(now, mulleinhub_shell::span(began.elapsed()));
     }
 
-    fn wake(&self) -> Option<Timestamp> {
-        self.engine.wake()
+    fn next_wakeup(&self) -> Option<Timestamp> {
+        self.engine.next_wakeup()
     }
 
-    fn links(&mut self) -> &mut Connections {
-        self.engine.links()
+    fn connections(&mut self) -> &mut Connections {
+        self.engine.connections()
     }
 
-    fn takes(&self, door: ListenerId) -> usize {
+    fn accept_budget(&self, door: ListenerId) -> usize {
         if door == METRICS {
             MOST_READERS.saturating_sub(self.readers.len())
         } else {
-            self.engine.takes(door)
+            self.engine.accept_budget(door)
         }
     }
 
-    fn pinched(&mut self, now: Timestamp) {
-        self.engine.pinched(now);
+    fn on_descriptors_exhausted(&mut self, now: Timestamp) {
+        self.engine.on_descriptors_exhausted(now);
     }
 
-    fn keep(&mut self) -> Option<Vec<u8>> {
-        self.engine.keep()
+    fn state_to_persist(&mut self) -> Option<Vec<u8>> {
+        self.engine.state_to_persist()
     }
 }
 
@@ -191,7 +191,7 @@
     }
     let daemon = Daemon { engine, metrics: Metrics, readers: BTreeMap::new() };
     let mut shell = EventLoop::new(daemon).map_err(|e| words("poll", e))?.with_clock(clock);
-    shell.hear_signals(&[SIGTERM, SIGINT, SIGHUP]).map_err(|e| words("signals", e))?;
+    shell.handle_signals(&[SIGTERM, SIGINT, SIGHUP]).map_err(|e| words("signals", e))?;
     let at = shell
         .listen_at(listen, ListenerId(0), conf.shared)
         .map_err(|e| words(&format!("listen {listen}"), e))?;
@@ -243,7 +243,7 @@
     let mut ending: Option<Instant> = None;
     loop {
         let step = shell.step(Duration::from_secs(1)).map_err(|error| format!("poll: {error}"))?;
-        if let (Some(bytes), Some(kept)) = (shell.party.keep(), kept)
+        if let (Some(bytes), Some(kept)) = (shell.party.state_to_persist(), kept)
             && let Err(error) = save(kept, &bytes)
         {
             tracing::error!(%error, path = %kept.display(), "the list can't be kept");
--- a/crates/planner/src/platform.rs
+++ b/crates/planner/src/platform.rs
@@ -59,7 +59,7 @@
     let words = |what: &'static str| move |error: std::io::Error| format!("{what}: {error}");
     let shell = EventLoop::new(Platform::new(conf)).map_err(words("no poll"))?;
     let mut shell = shell.from_origin(origin);
-    shell.hear_signals(&[SIGHUP, SIGTERM, SIGINT]).map_err(words("no signals"))?;
+    shell.handle_signals(&[SIGHUP, SIGTERM, SIGINT]).map_err(words("no signals"))?;
     listen_once_free(&mut shell, listen).map_err(words("listen"))?;
     // It is done only if a second look, without waiting, finds nothing new either.
     let mut was_done = false;
--- a/crates/platform/src/desk.rs
+++ b/crates/platform/src/desk.rs
@@ -700,7 +700,7 @@
             return;
         }
         if let Some(link) = open.link {
-            if !self.links.take_back(link, open.mark) {
+            if !self.links.retract(link, open.mark) {
                 return;
             }
             if let Some(connection) = self.machines.connections.get_mut(&link) {
@@ -748,7 +748,7 @@
             }
             return Some(Outcome::NotSent);
         };
-        let back = self.links.take_back(link, open.mark);
+        let back = self.links.retract(link, open.mark);
         let connection = self.machines.connections.get_mut(&link)?;
         connection.open.retain(|task| *task != id);
         if back {
--- a/crates/platform/src/hear.rs
+++ b/crates/platform/src/hear.rs
@@ -66,7 +66,7 @@
         }
         by
     };
-    round.ends_by(by);
+    round.on_shutdown(by);
 }
 
 // The bulletin.
@@ -92,7 +92,7 @@
         }
         entries
     };
-    round.list(kind, &entries);
+    round.on_endpoint_list(kind, &entries);
     let listed = {
         let d = &mut *desk.borrow_mut();
         let known = &d.machines.by_id;
@@ -266,7 +266,7 @@
     for id in taken.unwrap_or_default() {
         let order = desk.borrow().tasks.by_id.get(&id).filter(|job| !job.answered).map(|job| job.order);
         if let Some(order) = order {
-            round.new_task(order);
+            round.on_new_task(order);
         }
     }
 }
@@ -416,7 +416,7 @@
     d.tasks.by_id.insert(id, job);
     d.look_after(machine);
     drop(borrowed);
-    round.running(order, machine);
+    round.on_adopted_task(order, machine);
 }
 
 /// The connection lives; "errored" promises nothing.
@@ -500,7 +500,7 @@
 /// Tells the module of the tasks that nobody wants any more.
 pub fn tell_gone(desk: &RefCell<Desk>, round: &mut dyn PolicyEvents) {
     let gone = std::mem::take(&mut desk.borrow_mut().gone);
-    gone.into_iter().for_each(|id| round.abandoned(id));
+    gone.into_iter().for_each(|id| round.on_client_cancelled(id));
 }
 
 /// Tasks that are to be answered on this connection.
@@ -625,11 +625,11 @@
             if placed {
                 tracing::debug!(task = hex(id), note = ?protocol::note(frame), "note");
                 match protocol::note(frame) {
-                    Some(("running", _)) => round.runs(id),
-                    Some(("use_cpu", cores @ Some(_))) => round.uses(id, cores, None),
-                    Some(("use_ram", memory @ Some(_))) => round.uses(id, None, memory),
-                    Some(("health", Some(share))) => round.served(id, share),
-                    Some(("ram_high", Some(share))) => round.machine_memory(id, share),
+                    Some(("running", _)) => round.on_running(id),
+                    Some(("use_cpu", cores @ Some(_))) => round.on_usage(id, cores, None),
+                    Some(("use_ram", memory @ Some(_))) => round.on_usage(id, None, memory),
+                    Some(("health", Some(share))) => round.on_service_level(id, share),
+                    Some(("ram_high", Some(share))) => round.on_machine_memory(id, share),
                     _ => {}
                 }
             }
@@ -685,7 +685,7 @@
     }
     d.look_after(open.machine);
     drop(borrowed);
-    round.accepted(id);
+    round.on_accepted(id);
 }
 
 /// A machine said something of a send: what was written before it has arrived too.
@@ -815,7 +815,7 @@
             abandoned
         }
     };
-    round.closed(id, ending, over, LoadReport::default());
+    round.on_attempt_ended(id, ending, over, LoadReport::default());
 }
 
 /// A connection to a machine is over, and what that proves of the set-ups on it.
--- a/crates/platform/src/lib.rs
+++ b/crates/platform/src/lib.rs
@@ -63,30 +63,30 @@
 }
 
 impl StateMachine for Platform {
-    fn opened(&mut self, now: Timestamp, link: ConnectionId, _: ListenerId) {
+    fn on_connection_accepted(&mut self, now: Timestamp, link: ConnectionId, _: ListenerId) {
         self.desk.get_mut().owner_came(now, link);
     }
 
-    fn up(&mut self, now: Timestamp, link: ConnectionId) {
+    fn on_connected(&mut self, now: Timestamp, link: ConnectionId) {
         self.desk.get_mut().is_up(now, link);
     }
 
-    fn received(&mut self, now: Timestamp, link: ConnectionId, bytes: &[u8]) {
+    fn on_data(&mut self, now: Timestamp, link: ConnectionId, bytes: &[u8]) {
         self.desk.get_mut().came_in(now, link, bytes);
     }
 
-    fn ended(&mut self, now: Timestamp, link: ConnectionId, end: CloseReason) {
+    fn on_closed(&mut self, now: Timestamp, link: ConnectionId, end: CloseReason) {
         self.desk.get_mut().has_ended(now, link, end);
     }
 
-    fn turn(&mut self, now: Timestamp) {
+    fn poll(&mut self, now: Timestamp) {
         let Self { mind, desk, begun } = self;
         desk.get_mut().begin_turn(now);
         let first = !std::mem::replace(begun, true);
         let desk = &*desk;
         Policy::round(mind, now, &mut Pen(desk), &mut |round| {
             if first {
-                round.start();
+                round.on_start();
                 hear::begin(desk, round);
             }
             hear::bulletin(desk, round);
@@ -100,7 +100,7 @@
             loop {
                 let due = desk.borrow_mut().timers.due_of(now, mark);
                 match due {
-                    Some(Due::Token(token)) => round.woken(token),
+                    Some(Due::Token(token)) => round.on_timer(token),
                     Some(due) => hear::due(desk, due),
                     None => break,
                 }
@@ -113,23 +113,23 @@
         self.desk.get_mut().end_turn();
     }
 
-    fn is_prompt(&self, link: ConnectionId) -> bool {
+    fn is_priority(&self, link: ConnectionId) -> bool {
         !matches!(self.desk.borrow().who(link), Some(desk::Who::Owner) | None)
     }
 
-    fn wake(&self) -> Option<Timestamp> {
+    fn next_wakeup(&self) -> Option<Timestamp> {
         if self.begun { self.desk.borrow().wake() } else { Some(Timestamp::default()) }
     }
 
-    fn links(&mut self) -> &mut Connections {
+    fn connections(&mut self) -> &mut Connections {
         &mut self.desk.get_mut().links
     }
 
-    fn takes(&self, _: ListenerId) -> usize {
+    fn accept_budget(&self, _: ListenerId) -> usize {
         self.desk.borrow().takes()
     }
 
-    fn pinched(&mut self, now: Timestamp) {
+    fn on_descriptors_exhausted(&mut self, now: Timestamp) {
         let desk = self.desk.get_mut();
         desk.now = desk.now.max(now);
         for conn in desk.limits.pinched(now) {
--- a/crates/platform/src/pen.rs
+++ b/crates/platform/src/pen.rs
@@ -58,7 +58,7 @@
         }
     }
 
-    fn recall(&mut self, task: TaskId, send: u32) {
+    fn cancel_attempt(&mut self, task: TaskId, send: u32) {
         let desk = &mut *self.0.borrow_mut();
         let Some(open) = desk.tasks.by_id.get(&task).and_then(|job| job.open) else { return };
         if open.number == send && open.placed_at.is_none() {
@@ -66,7 +66,7 @@
         }
     }
 
-    fn nack(&mut self, task: TaskId, stay_away: Duration) {
+    fn reject(&mut self, task: TaskId, stay_away: Duration) {
         let desk = &mut *self.0.borrow_mut();
         let job = &desk.tasks.by_id[&task];
         assert!(job.open.is_none(), "task {}: nacked with a send out", task.0);
@@ -79,14 +79,14 @@
         answer(desk, task, why::FULL, stay_away);
     }
 
-    fn error(&mut self, task: TaskId) {
+    fn fail(&mut self, task: TaskId) {
         let desk = &mut *self.0.borrow_mut();
         assert!(desk.tasks.by_id[&task].open.is_none(), "task {}: errored with a send out", task.0);
         desk.counts.errored += 1;
         answer(desk, task, why::ERROR, Duration::ZERO);
     }
 
-    fn move_off(&mut self, task: TaskId) {
+    fn preempt(&mut self, task: TaskId) {
         let desk = &mut *self.0.borrow_mut();
         let Some(job) = desk.tasks.by_id.get(&task).filter(|job| job.placed().is_some()) else { return };
         if let Some(link) = desk.owners.to_tell(job.owner) {
@@ -98,7 +98,7 @@
         self.0.borrow_mut().timers.set(at, Due::Token(token));
     }
 
-    fn watch_list(&mut self) {
+    fn watch_endpoints(&mut self) {
         self.0.borrow_mut().open_watch();
     }
 }
--- a/crates/platform/src/stories/crossings.rs
+++ b/crates/platform/src/stories/crossings.rs
@@ -96,8 +96,8 @@
                 rig.now = rig.now + ms(2_000);
                 for event in order {
                     match event {
-                        0 => rig.platform.received(rig.now, connection, &release(1, cause)),
-                        _ => rig.platform.received(rig.now, owner, &release(1, why::ENDED)),
+                        0 => rig.platform.on_data(rig.now, connection, &release(1, cause)),
+                        _ => rig.platform.on_data(rig.now, owner, &release(1, why::ENDED)),
                     }
                 }
                 rig.turn();
@@ -117,9 +117,9 @@
     rig.say(owner, &set_up(1, "front", ""));
     let (connection, _) = rig.set_ups().pop().expect("it is sent");
     rig.now = rig.now + ms(1_990);
-    rig.platform.turn(rig.now);
+    rig.platform.poll(rig.now);
     // Given up in that turn; the yes comes before the module has heard of it.
-    rig.platform.received(rig.now, connection, &yes(1));
+    rig.platform.on_data(rig.now, connection, &yes(1));
     rig.turn();
     rig.pass(Duration::from_secs(2));
     let heard = rig.heard_on(owner);
--- a/crates/platform/src/stories/fleet.rs
+++ b/crates/platform/src/stories/fleet.rs
@@ -89,7 +89,7 @@
     let late: Vec<ConnectionId> = (0..strangers).map(|_| rig.comes()).collect();
     for (task, link) in (1..).zip(&early) {
         let bytes = set_up(task, "front", "");
-        rig.platform.received(rig.now, *link, &bytes);
+        rig.platform.on_data(rig.now, *link, &bytes);
     }
     rig.turn();
     assert_eq!(rig.set_ups().len(), strangers, "each goes on, on a connection of its own");
@@ -121,13 +121,13 @@
     assert!(rig.closed.contains(&silent));
     // More than are refused at a time wait outside.
     (0..40).for_each(|_| {
-        if rig.platform.takes(ListenerId(0)) > 0 {
+        if rig.platform.accept_budget(ListenerId(0)) > 0 {
             rig.owner();
         }
     });
-    assert_eq!(rig.platform.takes(ListenerId(0)), 0);
+    assert_eq!(rig.platform.accept_budget(ListenerId(0)), 0);
     rig.pass(ms(300));
-    assert!(rig.platform.takes(ListenerId(0)) > 0);
+    assert!(rig.platform.accept_budget(ListenerId(0)) > 0);
 }
 
 #[test]
--- a/crates/platform/src/stories/rig.rs
+++ b/crates/platform/src/stories/rig.rs
@@ -139,8 +139,8 @@
     /// One turn after another until nothing is left to do at this instant.
     pub fn turn(&mut self) {
         for _ in 0..50 {
-            self.platform.turn(self.now);
-            if !self.carry() && self.platform.wake().is_none_or(|wake| wake > self.now) {
+            self.platform.poll(self.now);
+            if !self.carry() && self.platform.next_wakeup().is_none_or(|wake| wake > self.now) {
                 return;
             }
         }
@@ -151,16 +151,16 @@
     fn carry(&mut self) -> bool {
         let mut back = false;
         loop {
-            while let Some(link) = self.platform.links().next_dirty() {
+            while let Some(link) = self.platform.connections().next_dirty() {
                 self.take_from(link);
             }
-            let Some(ask) = self.platform.links().next_ask() else { return back };
+            let Some(ask) = self.platform.connections().next_command() else { return back };
             match ask {
                 Command::Open(link, to) => {
                     self.opened.insert(link, to.clone());
                     match self.doors.get(&to).copied().unwrap_or(Entrance::Open) {
                         Entrance::Open => {
-                            self.platform.up(self.now, link);
+                            self.platform.on_connected(self.now, link);
                             self.take_from(link);
                         }
                         door @ (Entrance::Refuses | Entrance::Untried) => {
@@ -170,7 +170,7 @@
                             } else {
                                 CloseReason::Untried
                             };
-                            self.platform.ended(self.now, link, end);
+                            self.platform.on_closed(self.now, link, end);
                         }
                         Entrance::Silent => {
                             self.stuck.insert(link);
@@ -180,7 +180,7 @@
                 }
                 Command::End { link, .. } => {
                     self.take_from(link);
-                    self.platform.links().drop_link(link);
+                    self.platform.connections().discard(link);
                     self.opened.remove(&link);
                     self.closed.insert(link);
                 }
@@ -193,8 +193,8 @@
         if !is_there || self.stuck.contains(&link) {
             return;
         }
-        let bytes = self.platform.links().outgoing(link).to_vec();
-        self.platform.links().wrote(link, bytes.len());
+        let bytes = self.platform.connections().outgoing(link).to_vec();
+        self.platform.connections().wrote(link, bytes.len());
         if self.opened.get(&link).is_some_and(|to| to.ends_with(":8500") || to.ends_with(":8501")) {
             return self.raw.entry(link).or_default().extend(bytes);
         }
@@ -210,7 +210,7 @@
     pub fn pass(&mut self, span: Duration) {
         let until = self.now + span;
         while self.now < until {
-            let wake = self.platform.wake().unwrap_or(until).max(self.now + ms(1));
+            let wake = self.platform.next_wakeup().unwrap_or(until).max(self.now + ms(1));
             self.now = wake.min(until);
             self.bulletin_lives();
             self.turn();
@@ -222,7 +222,7 @@
         let open: Vec<ConnectionId> =
             self.on(BULLETIN).into_iter().filter(|l| !self.stuck.contains(l)).collect();
         for link in open {
-            self.platform.received(self.now, link, b": \n\n");
+            self.platform.on_data(self.now, link, b": \n\n");
         }
     }
 
@@ -239,29 +239,29 @@
 
     /// An owner's connection is taken, and no turn follows yet.
     pub fn comes(&mut self) -> ConnectionId {
-        let link = self.platform.links().fresh();
+        let link = self.platform.connections().register();
         self.owners.insert(link);
-        self.platform.opened(self.now, link, ListenerId(0));
+        self.platform.on_connection_accepted(self.now, link, ListenerId(0));
         link
     }
 
     pub fn say(&mut self, link: ConnectionId, bytes: &[u8]) {
-        self.platform.received(self.now, link, bytes);
+        self.platform.on_data(self.now, link, bytes);
         self.turn();
     }
 
     /// The other side ends this connection.
     pub fn end(&mut self, link: ConnectionId, end: CloseReason) {
         self.opened.remove(&link);
-        self.platform.ended(self.now, link, end);
+        self.platform.on_closed(self.now, link, end);
         self.turn();
     }
 
     /// A connection that was held back comes up: what waits for it leaves once the scheduler has had its
     /// turn.
     pub fn comes_up(&mut self, link: ConnectionId) {
-        self.platform.up(self.now, link);
-        self.platform.turn(self.now);
+        self.platform.on_connected(self.now, link);
+        self.platform.poll(self.now);
         self.stuck.remove(&link);
         self.take_from(link);
         self.turn();
--- a/crates/platform/src/stories/rules.rs
+++ b/crates/platform/src/stories/rules.rs
@@ -134,12 +134,12 @@
         }
         let gone = if chance.below(3) == 0 {
             let end = if chance.below(2) == 0 { CloseReason::Closed } else { CloseReason::Broken };
-            self.rig.platform.ended(self.rig.now, owner, end);
+            self.rig.platform.on_closed(self.rig.now, owner, end);
             owners[at] = self.rig.comes();
             waiting
         } else {
             let id = waiting[chance.below(waiting.len())];
-            self.rig.platform.received(self.rig.now, owner, &release(id, why::ENDED));
+            self.rig.platform.on_data(self.rig.now, owner, &release(id, why::ENDED));
             vec![id]
         };
         self.seen.left += gone.len();
--- a/crates/runner/src/books.rs
+++ b/crates/runner/src/books.rs
@@ -88,7 +88,7 @@
     /// When the next turn is due.
     pub fn wake(&self) -> Option<Timestamp> {
         let disk = self.syncs.front().map(|(at, ..)| *at);
-        [self.exchange.wake(), disk].into_iter().flatten().min()
+        [self.exchange.next_wakeup(), disk].into_iter().flatten().min()
     }
 
     /// A turn, where one is due or something came; `ahead` is how far the planner's clock is, in
@@ -112,7 +112,7 @@
         }
         let utc = (self.begins + now.nanos() / 1_000_000).saturating_add_signed(ahead);
         self.exchange.set_clock(utc);
-        self.exchange.turn(now);
+        self.exchange.poll(now);
         let changes = if full { Changes::default() } else { self.exchange.take_changes() };
         if !changes.is_empty() {
             let last = self.exchange.last_own(&changes);
--- a/crates/runner/src/lib.rs
+++ b/crates/runner/src/lib.rs
@@ -211,8 +211,8 @@
             let engines =
                 self.slots.iter().filter(|slot| !slot.stopped).filter_map(|slot| slot.engine.as_ref());
             let books = self.slots.iter().filter(|slot| !slot.stopped).filter_map(|slot| slot.books.as_ref());
-            let next = engines.filter_map(Engine::wake).chain(books.filter_map(Books::wake));
-            let next = next.chain(self.stage.wake()).min();
+            let next = engines.filter_map(Engine::next_wakeup).chain(books.filter_map(Books::wake));
+            let next = next.chain(self.stage.next_wakeup()).min();
             let Some(next) = next else { break };
             turns = if next > self.now { 0 } else { turns + 1 };
             assert!(turns < MOST_TURNS, "the day runs in circles at {} ns", self.now.nanos());
@@ -221,7 +221,7 @@
     }
 
     fn turn(&mut self) {
-        self.stage.turn(self.now);
+        self.stage.poll(self.now);
         self.carry_out_stage();
         while let Some(deed) = self.stage.next_deed() {
             self.do_deed(deed);
@@ -232,8 +232,8 @@
                 continue;
             }
             let Some(engine) = &mut slot.engine else { continue };
-            engine.turn(self.now);
-            if let Some(kept) = engine.keep() {
+            engine.poll(self.now);
+            if let Some(kept) = engine.state_to_persist() {
                 slot.kept = Some(kept);
             }
             self.carry_out_planner(Seat { planner, books: false });
@@ -292,7 +292,7 @@
                 slot.waiting_bytes = 0;
                 for link in self.links_of(planner) {
                     self.unwire(link);
-                    self.stage.ended(self.now, link, CloseReason::Broken);
+                    self.stage.on_closed(self.now, link, CloseReason::Broken);
                 }
             }
             PlannerDeed::Store(planner, fate) => {
@@ -372,10 +372,10 @@
         }
         let Some(party) = slot.party(seat) else { return };
         match news {
-            Waiting::Opened(link) => party.opened(now, link, ListenerId(0)),
-            Waiting::Up(link) => party.up(now, link),
-            Waiting::Bytes(link, bytes) => party.received(now, link, &bytes),
-            Waiting::Ended(link, end) => party.ended(now, link, end),
+            Waiting::Opened(link) => party.on_connection_accepted(now, link, ListenerId(0)),
+            Waiting::Up(link) => party.on_connected(now, link),
+            Waiting::Bytes(link, bytes) => party.on_data(now, link, &bytes),
+            Waiting::Ended(link, end) => party.on_closed(now, link, end),
         }
     }
 
@@ -383,20 +383,20 @@
         let Some((seat, theirs)) = self.to_planner.get(&link).copied() else { return };
         let slot = &self.slots[seat.planner];
         let room = if slot.stopped { SOCKET.saturating_sub(slot.waiting_bytes) } else { usize::MAX };
-        let waits = self.stage.links().outgoing(link);
+        let waits = self.stage.connections().outgoing(link);
         let bytes = waits[..waits.len().min(room)].to_vec();
         if !bytes.is_empty() {
-            self.stage.links().wrote(link, bytes.len());
+            self.stage.connections().wrote(link, bytes.len());
             self.tell_planner(seat, Waiting::Bytes(theirs, bytes));
         }
     }
 
     fn carry_out_stage(&mut self) {
         loop {
-            while let Some(link) = self.stage.links().next_dirty() {
+            while let Some(link) = self.stage.connections().next_dirty() {
                 self.carry_to_planner(link);
             }
-            let Some(ask) = self.stage.links().next_ask() else { return };
+            let Some(ask) = self.stage.connections().next_command() else { return };
             match ask {
                 Command::Open(link, address) => {
                     let (whose, number) = address.rsplit_once('-').unwrap_or_default();
@@ -405,15 +405,15 @@
                     let up = self.slots.get_mut(planner).and_then(|slot| slot.party(seat));
                     match up {
                         Some(party) => {
-                            let theirs = party.links().fresh();
+                            let theirs = party.connections().register();
                             self.to_planner.insert(link, (seat, theirs));
                             self.to_stage.insert((seat, theirs), link);
                             self.tell_planner(seat, Waiting::Opened(theirs));
-                            self.stage.up(self.now, link);
+                            self.stage.on_connected(self.now, link);
                         }
                         None => {
-                            self.stage.links().drop_link(link);
-                            self.stage.ended(self.now, link, CloseReason::Refused);
+                            self.stage.connections().discard(link);
+                            self.stage.on_closed(self.now, link, CloseReason::Refused);
                         }
                     }
                 }
@@ -421,7 +421,7 @@
                     if !at_once {
                         self.carry_to_planner(link);
                     }
-                    self.stage.links().drop_link(link);
+                    self.stage.connections().discard(link);
                     if let Some((seat, theirs)) = self.to_planner.get(&link).copied() {
                         self.unwire(link);
                         let end = if at_once { CloseReason::Broken } else { CloseReason::Closed };
@@ -435,20 +435,20 @@
     fn carry_out_planner(&mut self, seat: Seat) {
         loop {
             let Some(party) = self.slots[seat.planner].party(seat) else { return };
-            if let Some(link) = party.links().next_dirty() {
+            if let Some(link) = party.connections().next_dirty() {
                 self.carry_to_stage(seat, link);
                 continue;
             }
-            let Some(ask) = party.links().next_ask() else { break };
+            let Some(ask) = party.connections().next_command() else { break };
             match ask {
                 Command::Open(link, address) => {
                     let door = address.strip_prefix("door:").and_then(|n| n.parse().ok()).map(ListenerId);
-                    match door.filter(|door| self.stage.listens(*door)) {
+                    match door.filter(|door| self.stage.is_listening(*door)) {
                         Some(door) => {
-                            let ours = self.stage.links().fresh();
+                            let ours = self.stage.connections().register();
                             self.to_planner.insert(ours, (seat, link));
                             self.to_stage.insert((seat, link), ours);
-                            self.stage.opened(self.now, ours, door);
+                            self.stage.on_connection_accepted(self.now, ours, door);
                             self.tell_planner(seat, Waiting::Up(link));
                         }
                         None => {
@@ -461,11 +461,11 @@
                         self.carry_to_stage(seat, link);
                     }
                     if let Some(party) = self.slots[seat.planner].party(seat) {
-                        party.links().drop_link(link);
+                        party.connections().discard(link);
                     }
                     if let Some(ours) = self.to_stage.get(&(seat, link)).copied() {
                         self.unwire(ours);
-                        self.stage.ended(
+                        self.stage.on_closed(
                             self.now,
                             ours,
                             if at_once { CloseReason::Broken } else { CloseReason::Closed },
@@ -480,14 +480,14 @@
     fn carry_to_stage(&mut self, seat: Seat, link: ConnectionId) {
         let Some(ours) = self.to_stage.get(&(seat, link)).copied() else { return };
         let Some(party) = self.slots[seat.planner].party(seat) else { return };
-        if self.stage.links().is_paused(ours) {
+        if self.stage.connections().is_paused(ours) {
             self.unread.insert((seat, link));
             return;
         }
-        let bytes = party.links().outgoing(link).to_vec();
+        let bytes = party.connections().outgoing(link).to_vec();
         if !bytes.is_empty() {
-            party.links().wrote(link, bytes.len());
-            self.stage.received(self.now, ours, &bytes);
+            party.connections().wrote(link, bytes.len());
+            self.stage.on_data(self.now, ours, &bytes);
         }
     }
 }
--- a/crates/scale/src/ledgers/member.rs
+++ b/crates/scale/src/ledgers/member.rs
@@ -253,7 +253,7 @@
         }
         let due = self.exchange.keeper().due();
         self.exchange.set_clock(MIDDLE_OF_MONTH + now.nanos() / 1_000_000);
-        self.exchange.turn(now);
+        self.exchange.poll(now);
         done.looked = self.exchange.keeper().due() != due;
         done.writes.changes = self.exchange.take_changes();
         done.writes.last_own = self.exchange.last_own(&done.writes.changes);
@@ -264,13 +264,13 @@
     fn tell(&mut self, now: Timestamp, told: Told, done: &mut Done) {
         match told {
             Told::Opened { connection } => {
-                let link = self.exchange.links().fresh();
-                self.exchange.opened(now, link, ListenerId(0));
+                let link = self.exchange.connections().register();
+                self.exchange.on_connection_accepted(now, link, ListenerId(0));
                 done.accepted.push((connection, link));
             }
-            Told::Up(link) => self.exchange.up(now, link),
-            Told::Received(link, bytes) => self.exchange.received(now, link, &bytes),
-            Told::Ended(link, end) => self.exchange.ended(now, link, end),
+            Told::Up(link) => self.exchange.on_connected(now, link),
+            Told::Received(link, bytes) => self.exchange.on_data(now, link, &bytes),
+            Told::Ended(link, end) => self.exchange.on_closed(now, link, end),
             Told::Durable(Durable { own }) => {
                 let reached = self.durable.max(own);
                 if reached != self.durable {
@@ -283,7 +283,7 @@
     }
 
     fn take_sent(&mut self, done: &mut Done) {
-        let links = self.exchange.links();
+        let links = self.exchange.connections();
         while let Some(link) = links.next_dirty() {
             let bytes = links.outgoing(link).to_vec();
             if !bytes.is_empty() {
@@ -291,9 +291,9 @@
                 done.sent.push((link, bytes));
             }
         }
-        while let Some(ask) = links.next_ask() {
+        while let Some(ask) = links.next_command() {
             if let Command::End { link, .. } = ask {
-                links.drop_link(link);
+                links.discard(link);
             }
             done.asks.push(ask);
         }
@@ -302,7 +302,7 @@
     /// When a turn is wanted at the latest.
     #[must_use]
     pub fn wake(&self) -> Option<Timestamp> {
-        self.exchange.wake()
+        self.exchange.next_wakeup()
     }
 
     /// Somebody was refused since the last turn: a turn is wanted now.
--- a/crates/scale/src/planners/surroundings.rs
+++ b/crates/scale/src/planners/surroundings.rs
@@ -201,7 +201,7 @@
             }
             Role::List(inner) => {
                 self.list_links[inner.0 as usize] = None;
-                self.list.ended(now, inner, CloseReason::Closed);
+                self.list.on_closed(now, inner, CloseReason::Closed);
             }
             Role::Client(client) => {
                 self.clients[client].link = None;
@@ -418,16 +418,16 @@
 
     /// What the list service wrote goes out on our links, and is counted.
     fn carry_list(&mut self) {
-        while let Some(inner) = self.list.links().next_dirty() {
-            let bytes = self.list.links().outgoing(inner).to_vec();
-            self.list.links().wrote(inner, bytes.len());
+        while let Some(inner) = self.list.connections().next_dirty() {
+            let bytes = self.list.connections().outgoing(inner).to_vec();
+            self.list.connections().wrote(inner, bytes.len());
             let Some(Some(link)) = self.list_links.get(inner.0 as usize).copied() else { continue };
             self.count_list(link, &bytes);
             self.links.send(link, &bytes, None);
         }
-        while let Some(ask) = self.list.links().next_ask() {
+        while let Some(ask) = self.list.connections().next_command() {
             let Command::End { link: inner, .. } = ask else { continue };
-            self.list.links().drop_link(inner);
+            self.list.connections().discard(inner);
             let link = self.list_links.get_mut(inner.0 as usize).and_then(Option::take);
             if let Some(link) = link {
                 self.connections[link.0 as usize] = None;
@@ -586,19 +586,19 @@
 }
 
 impl StateMachine for Surroundings {
-    fn opened(&mut self, now: Timestamp, link: ConnectionId, door: ListenerId) {
+    fn on_connection_accepted(&mut self, now: Timestamp, link: ConnectionId, door: ListenerId) {
         if door == LIST_DOOR {
-            let inner = self.list.links().fresh();
+            let inner = self.list.connections().register();
             self.list_links.resize(inner.0 as usize + 1, None);
             self.list_links[inner.0 as usize] = Some(link);
-            self.list.opened(now, inner, ListenerId(0));
+            self.list.on_connection_accepted(now, inner, ListenerId(0));
             self.connect(link, Role::List(inner), None);
         } else {
             self.connect(link, Role::Worker(door.0 as usize), None);
         }
     }
 
-    fn up(&mut self, now: Timestamp, link: ConnectionId) {
+    fn on_connected(&mut self, now: Timestamp, link: ConnectionId) {
         let role = self.connection(link).map(|connection| connection.role);
         let Some(Role::Client(client)) = role else { return };
         let name = self.clients[client].name();
@@ -606,11 +606,11 @@
         self.write(link, &Message::hello(Conversation::ClientPlanner, features, &name, 1, now.nanos()));
     }
 
-    fn received(&mut self, now: Timestamp, link: ConnectionId, bytes: &[u8]) {
+    fn on_data(&mut self, now: Timestamp, link: ConnectionId, bytes: &[u8]) {
         let heard = self.hear_frames(now, link, bytes);
         let role = self.connection(link).map(|connection| connection.role);
         if let (Ok(()), Some(Role::List(inner))) = (&heard, role) {
-            self.list.received(now, inner, bytes);
+            self.list.on_data(now, inner, bytes);
         }
         if let Err(Bad(words)) = heard {
             self.write(link, &Message::Bye { words: &words });
@@ -619,30 +619,30 @@
         }
     }
 
-    fn ended(&mut self, now: Timestamp, link: ConnectionId, _: CloseReason) {
+    fn on_closed(&mut self, now: Timestamp, link: ConnectionId, _: CloseReason) {
         self.links.forget(link);
         self.disconnect(now, link);
     }
 
-    fn turn(&mut self, now: Timestamp) {
+    fn poll(&mut self, now: Timestamp) {
         if !std::mem::replace(&mut self.begun, true) {
             self.begin(now);
         }
         while let Some(due) = self.timers.due(now) {
             self.fall_due(now, due);
         }
-        self.list.turn(now);
+        self.list.poll(now);
         self.carry_list();
     }
 
-    fn wake(&self) -> Option<Timestamp> {
+    fn next_wakeup(&self) -> Option<Timestamp> {
         if !self.begun {
             return Some(Timestamp::default());
         }
-        [self.timers.next(), self.list.wake()].into_iter().flatten().min()
+        [self.timers.next(), self.list.next_wakeup()].into_iter().flatten().min()
     }
 
-    fn links(&mut self) -> &mut Connections {
+    fn connections(&mut self) -> &mut Connections {
         &mut self.links
     }
 }
--- a/crates/scale/src/planners/virtual_host.rs
+++ b/crates/scale/src/planners/virtual_host.rs
@@ -81,7 +81,7 @@
 /// The next of a scheduler's asks. One for an address that is none of this run is passed over.
 fn next_ask(links: &mut Connections) -> Option<Wish> {
     loop {
-        match links.next_ask()? {
+        match links.next_command()? {
             Command::End { link, at_once } => return Some(Wish::End { link, at_once }),
             Command::Open(link, address) => {
                 if let Some(door) = door_of(&address) {
@@ -238,7 +238,7 @@
         let delivery = self.queue.peek().map(|Reverse((at, ..))| *at);
         let wake = self.wakes.first().map(|(at, _)| *at);
         let deed = self.deeds.front().map(|(at, ..)| *at);
-        [delivery, wake, deed, self.surroundings.wake()].into_iter().flatten().min()
+        [delivery, wake, deed, self.surroundings.next_wakeup()].into_iter().flatten().min()
     }
 
     fn turn(&mut self) {
@@ -249,7 +249,7 @@
             }
         }
         self.deliver();
-        self.surroundings.turn(self.now);
+        self.surroundings.poll(self.now);
         self.carry_from_surroundings();
         while self.wakes.first().is_some_and(|(at, _)| *at <= self.now) {
             let Some((_, scheduler)) = self.wakes.pop_first() else { break };
@@ -291,7 +291,7 @@
             return;
         }
         scheduler.turn(self.now);
-        let wake = scheduler.engine.wake();
+        let wake = scheduler.engine.next_wakeup();
         if let Some(before) = std::mem::replace(&mut scheduler.wake, wake) {
             self.wakes.remove(&(before, number));
         }
@@ -318,7 +318,7 @@
             return self.send(wire, Toward::Surroundings, Parcel::Ended(HowEnded::Closed));
         }
         if matches!(parcel, Parcel::Opened(_)) {
-            let link = scheduler.hold(Connections::fresh);
+            let link = scheduler.hold(Connections::register);
             place(&mut scheduler.wires, link, wire);
             self.wires[wire].at_scheduler = Some(link);
         }
@@ -336,21 +336,21 @@
 
     fn deliver_to_surroundings(&mut self, wire: usize, parcel: Parcel) {
         if let Parcel::Opened(door) = parcel {
-            let link = self.surroundings.links().fresh();
+            let link = self.surroundings.connections().register();
             self.wires[wire].at_surroundings = Some(link);
             place(&mut self.outer_wires, link, wire);
-            self.surroundings.opened(self.now, link, ListenerId(door));
+            self.surroundings.on_connection_accepted(self.now, link, ListenerId(door));
             self.send(wire, Toward::Scheduler, Parcel::Up);
             return;
         }
         let Some(link) = self.wires[wire].at_surroundings else { return };
         match parcel {
             Parcel::Opened(_) => {}
-            Parcel::Up => self.surroundings.up(self.now, link),
-            Parcel::Bytes(bytes) => self.surroundings.received(self.now, link, &bytes),
+            Parcel::Up => self.surroundings.on_connected(self.now, link),
+            Parcel::Bytes(bytes) => self.surroundings.on_data(self.now, link, &bytes),
             Parcel::Ended(how) => {
                 self.wires[wire].at_surroundings = None;
-                self.surroundings.ended(self.now, link, how.into());
+                self.surroundings.on_closed(self.now, link, how.into());
             }
         }
     }
@@ -367,16 +367,16 @@
 
     fn carry_from_surroundings(&mut self) {
         loop {
-            if let Some(link) = self.surroundings.links().next_dirty() {
+            if let Some(link) = self.surroundings.connections().next_dirty() {
                 self.carry_outer(link);
                 continue;
             }
-            let Some(ask) = self.surroundings.links().next_ask() else { return };
+            let Some(ask) = self.surroundings.connections().next_command() else { return };
             match ask {
                 Command::Open(link, address) => self.client_opens(link, &address),
                 Command::End { link, at_once } => {
                     self.carry_outer(link);
-                    self.surroundings.links().drop_link(link);
+                    self.surroundings.connections().discard(link);
                     if let Some(wire) = self.wire_of_outer(link) {
                         self.wires[wire].at_surroundings = None;
                         let how = if at_once { HowEnded::Broken } else { HowEnded::Closed };
@@ -388,9 +388,9 @@
     }
 
     fn carry_outer(&mut self, link: ConnectionId) {
-        let bytes = self.surroundings.links().outgoing(link).to_vec();
+        let bytes = self.surroundings.connections().outgoing(link).to_vec();
         if let (false, Some(wire)) = (bytes.is_empty(), self.wire_of_outer(link)) {
-            self.surroundings.links().wrote(link, bytes.len());
+            self.surroundings.connections().wrote(link, bytes.len());
             self.send(wire, Toward::Scheduler, Parcel::Bytes(bytes));
         }
     }
@@ -400,8 +400,8 @@
         let scheduler = settings::scheduler_number(address);
         let is_up = |number: &usize| self.schedulers.get(*number).is_some_and(|s| s.is_up);
         let Some(scheduler) = scheduler.filter(is_up) else {
-            self.surroundings.links().drop_link(link);
-            self.surroundings.ended(self.now, link, CloseReason::Refused);
+            self.surroundings.connections().discard(link);
+            self.surroundings.on_closed(self.now, link, CloseReason::Refused);
             return;
         };
         let zone = self.scenario.zone(scheduler);
@@ -432,7 +432,7 @@
                 Some(Wish::Open(link, door)) => self.scheduler_opens(number, link, door),
                 Some(Wish::End { link, at_once }) => {
                     self.carry_inner(number, link);
-                    self.schedulers[number].hold(|links| links.drop_link(link));
+                    self.schedulers[number].hold(|links| links.discard(link));
                     if let Some(wire) = self.schedulers[number].wire(link) {
                         self.wires[wire].at_scheduler = None;
                         let how = if at_once { HowEnded::Broken } else { HowEnded::Closed };
@@ -445,7 +445,7 @@
 
     fn carry_inner(&mut self, number: usize, link: ConnectionId) {
         let scheduler = &mut self.schedulers[number];
-        let bytes = scheduler.engine.links().outgoing(link).to_vec();
+        let bytes = scheduler.engine.connections().outgoing(link).to_vec();
         if let (false, Some(wire)) = (bytes.is_empty(), scheduler.wire(link)) {
             scheduler.hold(|links| links.wrote(link, bytes.len()));
             self.send(wire, Toward::Surroundings, Parcel::Bytes(bytes));
@@ -515,7 +515,7 @@
     /// Does something with its connections as whoever feeds it; what that takes or gives back of memory is
     /// the scheduler's.
     fn hold<T>(&mut self, work: impl FnOnce(&mut Connections) -> T) -> T {
-        let links = self.engine.links();
+        let links = self.engine.connections();
         self.meter.hold(|| work(links))
     }
 
@@ -526,14 +526,14 @@
         let kept = self.meter.measure(|| {
             for (link, parcel) in &inbox {
                 match parcel {
-                    Parcel::Opened(door) => engine.opened(now, *link, ListenerId(*door)),
-                    Parcel::Up => engine.up(now, *link),
-                    Parcel::Bytes(bytes) => engine.received(now, *link, bytes),
-                    Parcel::Ended(how) => engine.ended(now, *link, (*how).into()),
+                    Parcel::Opened(door) => engine.on_connection_accepted(now, *link, ListenerId(*door)),
+                    Parcel::Up => engine.on_connected(now, *link),
+                    Parcel::Bytes(bytes) => engine.on_data(now, *link, bytes),
+                    Parcel::Ended(how) => engine.on_closed(now, *link, (*how).into()),
                 }
             }
-            engine.turn(now);
-            engine.keep()
+            engine.poll(now);
+            engine.state_to_persist()
         });
         // A process writes it to its disk.
         if let Some(kept) = kept {
--- a/crates/seam/src/lib.rs
+++ b/crates/seam/src/lib.rs
@@ -46,36 +46,36 @@
 /// all that has come in before `turn`, so that a standstill is no silence of the others.
 pub trait StateMachine {
     /// Somebody opened a connection to this party.
-    fn opened(&mut self, now: Timestamp, link: ConnectionId, door: ListenerId);
+    fn on_connection_accepted(&mut self, now: Timestamp, link: ConnectionId, door: ListenerId);
     /// A connection that this party asked for is up.
-    fn up(&mut self, now: Timestamp, link: ConnectionId);
-    fn received(&mut self, now: Timestamp, link: ConnectionId, bytes: &[u8]);
+    fn on_connected(&mut self, now: Timestamp, link: ConnectionId);
+    fn on_data(&mut self, now: Timestamp, link: ConnectionId, bytes: &[u8]);
     /// The connection is over; the link is never named again by either side.
-    fn ended(&mut self, now: Timestamp, link: ConnectionId, end: CloseReason);
+    fn on_closed(&mut self, now: Timestamp, link: ConnectionId, end: CloseReason);
     /// All that came in was told: time to act.
-    fn turn(&mut self, now: Timestamp);
+    fn poll(&mut self, now: Timestamp);
     /// Some of what came in was told, and more lies unread: what was told may be answered, and nobody is
     /// taken for silent before `turn`.
-    fn turn_early(&mut self, _now: Timestamp) {}
+    fn poll_early(&mut self, _now: Timestamp) {}
     /// Whether what comes on this connection is told before what comes on others, where much comes at once.
-    fn is_prompt(&self, _link: ConnectionId) -> bool {
+    fn is_priority(&self, _link: ConnectionId) -> bool {
         false
     }
     /// When `turn` is wanted at the latest, if nothing comes in before.
-    fn wake(&self) -> Option<Timestamp>;
-    fn links(&mut self) -> &mut Connections;
+    fn next_wakeup(&self) -> Option<Timestamp>;
+    fn connections(&mut self) -> &mut Connections;
     /// Whether a connection through this door is taken now; where not, it is refused.
-    fn listens(&self, _: ListenerId) -> bool {
+    fn is_listening(&self, _: ListenerId) -> bool {
         true
     }
     /// How many more connections through this door are taken before the next turn; others wait outside.
-    fn takes(&self, _: ListenerId) -> usize {
+    fn accept_budget(&self, _: ListenerId) -> usize {
         usize::MAX
     }
     /// No connection can be accepted for want of descriptors.
-    fn pinched(&mut self, _now: Timestamp) {}
+    fn on_descriptors_exhausted(&mut self, _now: Timestamp) {}
     /// What is to be kept for the party's next life, where that has changed since the last call.
-    fn keep(&mut self) -> Option<Vec<u8>> {
+    fn state_to_persist(&mut self) -> Option<Vec<u8>> {
         None
     }
 }
--- a/crates/seam/src/links.rs
+++ b/crates/seam/src/links.rs
@@ -56,7 +56,7 @@
 
 impl Connections {
     /// A link for a connection that came in. For whoever feeds the party.
-    pub fn fresh(&mut self) -> ConnectionId {
+    pub fn register(&mut self) -> ConnectionId {
         let link = ConnectionId(self.next);
         self.next += 1;
         self.open.insert(link, Slot::default());
@@ -65,7 +65,7 @@
 
     /// Asks for a connection; `up` or `ended` tells how it went.
     pub fn open(&mut self, to: &str) -> ConnectionId {
-        let link = self.fresh();
+        let link = self.register();
         self.asks.push_back(Command::Open(link, to.to_owned()));
         link
     }
@@ -102,7 +102,7 @@
     }
 
     /// Takes a marked frame out again if not a byte of it was handed over. True where it will never be sent.
-    pub fn take_back(&mut self, link: ConnectionId, mark: u64) -> bool {
+    pub fn retract(&mut self, link: ConnectionId, mark: u64) -> bool {
         let Some(out) = self.open.get_mut(&link).and_then(|slot| slot.out.as_mut()) else { return false };
         let Some(at) = out.marks.iter().position(|(start, _, m)| *m == mark && *start >= out.gone) else {
             return false;
@@ -142,7 +142,7 @@
 
     // For whoever feeds the party.
 
-    pub fn next_ask(&mut self) -> Option<Command> {
+    pub fn next_command(&mut self) -> Option<Command> {
         self.asks.pop_front()
     }
 
@@ -192,7 +192,7 @@
     }
 
     /// The connection is over for both sides; nothing is told.
-    pub fn drop_link(&mut self, link: ConnectionId) {
+    pub fn discard(&mut self, link: ConnectionId) {
         self.open.remove(&link);
     }
 }
--- a/crates/shell/src/lib.rs
+++ b/crates/shell/src/lib.rs
@@ -237,7 +237,7 @@
     ///
     /// # Errors
     /// Where the system refuses one of them.
-    pub fn hear_signals(&mut self, signals: &[i32]) -> std::io::Result<()> {
+    pub fn handle_signals(&mut self, signals: &[i32]) -> std::io::Result<()> {
         let mut heard = Signals::new(signals)?;
         self.poll.registry().register(&mut heard, SIGNALS, Interest::READABLE)?;
         self.signals = Some(heard);
@@ -251,7 +251,7 @@
     pub fn step(&mut self, at_most: StdDuration) -> std::io::Result<Step> {
         let now = self.now();
         let mut wait = at_most;
-        if let Some(wake) = self.party.wake() {
+        if let Some(wake) = self.party.next_wakeup() {
             wait = wait.min(StdDuration::from_nanos((wake - now).nanos()));
         }
         if let Some((until, _)) = self.lingering.front() {
@@ -263,11 +263,11 @@
         if self.listeners.iter().any(|listening| listening.rests_until.is_some()) {
             wait = wait.min(ACCEPT_REST);
         }
-        if self.listeners.iter().any(|listening| listening.ready && self.party.takes(listening.door) > 0) {
+        if self.listeners.iter().any(|listening| listening.ready && self.party.accept_budget(listening.door) > 0) {
             // More was there than one turn takes.
             wait = StdDuration::ZERO;
         }
-        let links = self.party.links();
+        let links = self.party.connections();
         if self.readable.iter().any(|link| !links.is_paused(*link)) {
             wait = StdDuration::ZERO;
         }
@@ -285,7 +285,7 @@
             }
             self.poll_once(Some(StdDuration::ZERO))?;
         }
-        self.party.turn(self.now());
+        self.party.poll(self.now());
         self.write_to_writable();
         self.carry_out();
         self.let_lingering_go();
@@ -294,7 +294,7 @@
 
     /// Whether nothing that has come in, as far as the last poll told, waits to be told.
     pub fn is_quiet(&mut self) -> bool {
-        let links = self.party.links();
+        let links = self.party.connections();
         self.heard.is_empty()
             // One that rests for want of descriptors may have many waiting outside.
             && self.listeners.iter().all(|listening| !listening.ready && listening.rests_until.is_none())
@@ -376,7 +376,7 @@
             if listening.rests_until.is_some_and(|until| Instant::now() >= until) {
                 (listening.rests_until, listening.ready) = (None, true);
             }
-            while self.listeners[at].ready && self.party.takes(self.listeners[at].door) > 0 {
+            while self.listeners[at].ready && self.party.accept_budget(self.listeners[at].door) > 0 {
                 self.calls += 1;
                 let listening = &mut self.listeners[at];
                 match listening.tcp.accept() {
@@ -395,7 +395,7 @@
                         }
                         (listening.ready, listening.rests_until) = (false, Some(now + ACCEPT_REST));
                         let now = self.now();
-                        self.party.pinched(now);
+                        self.party.on_descriptors_exhausted(now);
                         // What was let go has its reason written and its descriptor given back.
                         self.carry_out();
                     }
@@ -405,15 +405,15 @@
     }
 
     fn came(&mut self, tcp: TcpStream, door: ListenerId) {
-        if !self.party.listens(door) {
+        if !self.party.is_listening(door) {
             return;
         }
         let now = self.now();
-        let link = self.party.links().fresh();
+        let link = self.party.connections().register();
         if self.add(link, tcp, true, true) {
-            self.party.opened(now, link, door);
+            self.party.on_connection_accepted(now, link, door);
         } else {
-            self.party.links().drop_link(link);
+            self.party.connections().discard(link);
         }
     }
 
@@ -437,7 +437,7 @@
         let rest: Vec<ConnectionId> = self.readable.iter().copied().collect();
         for (n, slice) in rest.chunks(ONE_SLICE).enumerate() {
             if n > 0 {
-                self.party.turn_early(self.now());
+                self.party.poll_early(self.now());
                 self.carry_out();
                 self.poll_once(Some(StdDuration::ZERO))?;
                 any |= self.read_prompt();
@@ -452,7 +452,7 @@
     fn read_prompt(&mut self) -> bool {
         let mut any = false;
         for link in std::mem::take(&mut self.fresh) {
-            if self.party.is_prompt(link) {
+            if self.party.is_priority(link) {
                 any |= self.read_one(link);
             }
         }
@@ -468,7 +468,7 @@
             self.linger(link);
             return false;
         }
-        if self.party.links().is_paused(link) {
+        if self.party.connections().is_paused(link) {
             return false;
         }
         if !stream.up {
@@ -489,7 +489,7 @@
                     self.readable.remove(&link);
                 }
                 let now = self.now();
-                self.party.received(now, link, &self.buffer[..n]);
+                self.party.on_data(now, link, &self.buffer[..n]);
                 true
             }
             Err(error) if error.kind() == ErrorKind::WouldBlock => {
@@ -508,7 +508,7 @@
         self.readable.remove(&link);
         if self.streams.remove(&link).is_some() {
             let now = self.now();
-            self.party.ended(now, link, end);
+            self.party.on_closed(now, link, end);
         }
     }
 
@@ -521,7 +521,7 @@
                     stream.up = true;
                     self.readable.insert(link);
                     let now = self.now();
-                    self.party.up(now, link);
+                    self.party.on_connected(now, link);
                 }
                 Err(not_yet) if not_yet.kind() == ErrorKind::NotConnected && error.is_none() => return,
                 _ => {
@@ -547,16 +547,16 @@
             return;
         }
         loop {
-            let bytes = self.party.links().outgoing(link);
+            let bytes = self.party.connections().outgoing(link);
             if bytes.is_empty() {
                 break;
             }
             self.calls += 1;
             match stream.tcp.write(bytes) {
-                Ok(n) => self.party.links().wrote(link, n),
+                Ok(n) => self.party.connections().wrote(link, n),
                 Err(error) if error.kind() == ErrorKind::WouldBlock => return,
                 Err(error) if error.kind() == ErrorKind::Interrupted => {}
-                Err(_) if stream.ending || self.party.links().is_paused(link) => {
+                Err(_) if stream.ending || self.party.connections().is_paused(link) => {
                     return self.gone(link, CloseReason::Broken);
                 }
                 Err(_) => {
@@ -570,7 +570,7 @@
             }
         }
         if stream.ending {
-            self.party.links().drop_link(link);
+            self.party.connections().discard(link);
             if !stream.came || stream.tcp.shutdown(Shutdown::Write).is_err() {
                 self.readable.remove(&link);
                 self.streams.remove(&link);
@@ -617,7 +617,7 @@
             self.lingering.pop_front();
             self.readable.remove(&link);
             if self.streams.remove(&link).is_some() {
-                self.party.links().drop_link(link);
+                self.party.connections().discard(link);
             }
         }
     }
@@ -625,10 +625,10 @@
     /// Opens, ends and writes what the party asks for.
     fn carry_out(&mut self) {
         loop {
-            while let Some(link) = self.party.links().next_dirty() {
+            while let Some(link) = self.party.connections().next_dirty() {
                 self.write_one(link);
             }
-            let Some(ask) = self.party.links().next_ask() else { return };
+            let Some(ask) = self.party.connections().next_command() else { return };
             match ask {
                 Command::Open(link, to) => self.connect(link, &to),
                 Command::End { link, at_once: true } => {
@@ -666,7 +666,7 @@
             Err(_) => CloseReason::Untried,
         };
         let now = self.now();
-        self.party.ended(now, link, end);
+        self.party.on_closed(now, link, end);
     }
 
     /// Connections that are open now.
--- a/crates/shell/tests/descriptors.rs
+++ b/crates/shell/tests/descriptors.rs
@@ -18,24 +18,24 @@
 }
 
 impl StateMachine for Host {
-    fn opened(&mut self, _: Timestamp, link: ConnectionId, _: ListenerId) {
+    fn on_connection_accepted(&mut self, _: Timestamp, link: ConnectionId, _: ListenerId) {
         self.open.push_back(link);
     }
-    fn up(&mut self, _: Timestamp, _: ConnectionId) {}
-    fn received(&mut self, _: Timestamp, _: ConnectionId, _: &[u8]) {}
-    fn ended(&mut self, _: Timestamp, link: ConnectionId, end: CloseReason) {
+    fn on_connected(&mut self, _: Timestamp, _: ConnectionId) {}
+    fn on_data(&mut self, _: Timestamp, _: ConnectionId, _: &[u8]) {}
+    fn on_closed(&mut self, _: Timestamp, link: ConnectionId, end: CloseReason) {
         self.ends.push(end);
         self.links.forget(link);
         self.open.retain(|open| *open != link);
     }
-    fn turn(&mut self, _: Timestamp) {}
-    fn wake(&self) -> Option<Timestamp> {
+    fn poll(&mut self, _: Timestamp) {}
+    fn next_wakeup(&self) -> Option<Timestamp> {
         None
     }
-    fn links(&mut self) -> &mut Connections {
+    fn connections(&mut self) -> &mut Connections {
         &mut self.links
     }
-    fn pinched(&mut self, _: Timestamp) {
+    fn on_descriptors_exhausted(&mut self, _: Timestamp) {
         self.pinches += 1;
         for link in self.open.drain(..2) {
             self.links.send(link, b"bye", None);
--- a/crates/shell/tests/ends.rs
+++ b/crates/shell/tests/ends.rs
@@ -25,9 +25,9 @@
 const LAST: &[u8] = b"my last words";
 
 impl StateMachine for Host {
-    fn opened(&mut self, _: Timestamp, _: ConnectionId, _: ListenerId) {}
-    fn up(&mut self, _: Timestamp, _: ConnectionId) {}
-    fn received(&mut self, _: Timestamp, link: ConnectionId, bytes: &[u8]) {
+    fn on_connection_accepted(&mut self, _: Timestamp, _: ConnectionId, _: ListenerId) {}
+    fn on_connected(&mut self, _: Timestamp, _: ConnectionId) {}
+    fn on_data(&mut self, _: Timestamp, link: ConnectionId, bytes: &[u8]) {
         self.heard.extend_from_slice(bytes);
         if !self.spoke.contains(&link) {
             self.spoke.push(link);
@@ -37,11 +37,11 @@
             }
         }
     }
-    fn ended(&mut self, _: Timestamp, link: ConnectionId, end: CloseReason) {
+    fn on_closed(&mut self, _: Timestamp, link: ConnectionId, end: CloseReason) {
         self.ended.push(end);
         self.links.forget(link);
     }
-    fn turn(&mut self, _: Timestamp) {
+    fn poll(&mut self, _: Timestamp) {
         if let Some(mut peer) = self.resets.take() {
             peer.write_all(LAST).expect("is sent");
             rustix::net::sockopt::set_socket_linger(&peer, Some(Duration::ZERO)).expect("is set");
@@ -49,10 +49,10 @@
             self.links.send(self.spoke[0], WORD, None);
         }
     }
-    fn wake(&self) -> Option<Timestamp> {
+    fn next_wakeup(&self) -> Option<Timestamp> {
         None
     }
-    fn links(&mut self) -> &mut Connections {
+    fn connections(&mut self) -> &mut Connections {
         &mut self.links
     }
 }
@@ -75,7 +75,7 @@
 fn of_two_signals_in_one_poll_both_are_told() {
     let (mut shell, _) = shell(false);
     let (one, two) = (Signal::USR1, Signal::USR2);
-    shell.hear_signals(&[one.as_raw(), two.as_raw()]).expect("are heard");
+    shell.handle_signals(&[one.as_raw(), two.as_raw()]).expect("are heard");
     let me: Pid = getpid();
     kill_process(me, two).expect("is sent");
     kill_process(me, one).expect("is sent");
--- a/crates/standins/src/crowd.rs
+++ b/crates/standins/src/crowd.rs
@@ -270,11 +270,11 @@
 }
 
 impl StateMachine for Crowd {
-    fn opened(&mut self, _: Timestamp, link: ConnectionId, _: ListenerId) {
+    fn on_connection_accepted(&mut self, _: Timestamp, link: ConnectionId, _: ListenerId) {
         self.links.abort(link);
     }
 
-    fn up(&mut self, now: Timestamp, link: ConnectionId) {
+    fn on_connected(&mut self, now: Timestamp, link: ConnectionId) {
         let Some(n) = self.by_link.get(&link).copied() else { return };
         let tenant = n as usize % self.settings.tenants.max(1);
         let name = format!("{}-{tenant}/{n}", self.settings.name);
@@ -283,7 +283,7 @@
         self.write(n, &hello);
     }
 
-    fn received(&mut self, now: Timestamp, link: ConnectionId, bytes: &[u8]) {
+    fn on_data(&mut self, now: Timestamp, link: ConnectionId, bytes: &[u8]) {
         let Some(n) = self.by_link.get(&link).copied() else { return };
         let one = &mut self.all[n as usize];
         one.heard = now;
@@ -298,7 +298,7 @@
         self.all[n as usize].frames = frames;
     }
 
-    fn ended(&mut self, now: Timestamp, link: ConnectionId, end: CloseReason) {
+    fn on_closed(&mut self, now: Timestamp, link: ConnectionId, end: CloseReason) {
         let Some(n) = self.by_link.get(&link).copied() else { return };
         self.gone(n);
         if end == CloseReason::Refused {
@@ -310,7 +310,7 @@
         self.comes_back(now, n);
     }
 
-    fn turn(&mut self, now: Timestamp) {
+    fn poll(&mut self, now: Timestamp) {
         if !std::mem::replace(&mut self.begun, true) {
             self.open_from(now, 0);
         }
@@ -320,11 +320,11 @@
         }
     }
 
-    fn wake(&self) -> Option<Timestamp> {
+    fn next_wakeup(&self) -> Option<Timestamp> {
         if self.begun { self.timers.next() } else { Some(Timestamp::default()) }
     }
 
-    fn links(&mut self) -> &mut Connections {
+    fn connections(&mut self) -> &mut Connections {
         &mut self.links
     }
 }
--- a/crates/standins/src/list.rs
+++ b/crates/standins/src/list.rs
@@ -343,14 +343,14 @@
 }
 
 impl StateMachine for ListService {
-    fn opened(&mut self, _: Timestamp, link: ConnectionId, _: ListenerId) {
+    fn on_connection_accepted(&mut self, _: Timestamp, link: ConnectionId, _: ListenerId) {
         let (frames, reads_pieces) = (Frames::default(), false);
         self.watchers.insert(link, Watcher { name: None, frames, reads_pieces, told: None, telling: None });
     }
 
-    fn up(&mut self, _: Timestamp, _: ConnectionId) {}
+    fn on_connected(&mut self, _: Timestamp, _: ConnectionId) {}
 
-    fn received(&mut self, now: Timestamp, link: ConnectionId, bytes: &[u8]) {
+    fn on_data(&mut self, now: Timestamp, link: ConnectionId, bytes: &[u8]) {
         if self.plight.silent {
             return;
         }
@@ -374,24 +374,24 @@
         }
     }
 
-    fn ended(&mut self, _: Timestamp, link: ConnectionId, _: CloseReason) {
+    fn on_closed(&mut self, _: Timestamp, link: ConnectionId, _: CloseReason) {
         self.watchers.remove(&link);
         self.links.forget(link);
     }
 
-    fn turn(&mut self, now: Timestamp) {
+    fn poll(&mut self, now: Timestamp) {
         self.now = now;
         self.apply(now);
         self.tell(now);
     }
 
-    fn wake(&self) -> Option<Timestamp> {
+    fn next_wakeup(&self) -> Option<Timestamp> {
         let tells = !self.plight.silent && self.watchers.values().any(|watcher| watcher.telling.is_some());
         let pieces = tells.then_some(self.now + PIECE_PAUSE);
         self.seen.front().map(|(at, _)| *at).into_iter().chain(pieces).min()
     }
 
-    fn links(&mut self) -> &mut Connections {
+    fn connections(&mut self) -> &mut Connections {
         &mut self.links
     }
 }
--- a/crates/standins/src/owner.rs
+++ b/crates/standins/src/owner.rs
@@ -617,11 +617,11 @@
 }
 
 impl StateMachine for Owner {
-    fn opened(&mut self, _: Timestamp, link: ConnectionId, _: ListenerId) {
+    fn on_connection_accepted(&mut self, _: Timestamp, link: ConnectionId, _: ListenerId) {
         self.links.abort(link);
     }
 
-    fn up(&mut self, now: Timestamp, link: ConnectionId) {
+    fn on_connected(&mut self, now: Timestamp, link: ConnectionId) {
         if let Some(planner) = self.desks.iter().position(|desk| desk.link == Some(link)) {
             let name = self.settings.name.clone();
             let out = |want: &Want| match want.state {
@@ -642,7 +642,7 @@
         }
     }
 
-    fn received(&mut self, now: Timestamp, link: ConnectionId, bytes: &[u8]) {
+    fn on_data(&mut self, now: Timestamp, link: ConnectionId, bytes: &[u8]) {
         let Some(planner) = self.desks.iter().position(|desk| desk.link == Some(link)) else { return };
         let mut frames = std::mem::take(&mut self.desks[planner].frames);
         frames.take(bytes);
@@ -663,14 +663,14 @@
         }
     }
 
-    fn ended(&mut self, now: Timestamp, link: ConnectionId, _: CloseReason) {
+    fn on_closed(&mut self, now: Timestamp, link: ConnectionId, _: CloseReason) {
         self.links.forget(link);
         if let Some(planner) = self.desks.iter().position(|desk| desk.link == Some(link)) {
             self.gone(now, planner, self.settings.reconnect);
         }
     }
 
-    fn turn(&mut self, now: Timestamp) {
+    fn poll(&mut self, now: Timestamp) {
         if !std::mem::replace(&mut self.begun, true) {
             for planner in 0..self.desks.len() {
                 self.open(planner);
@@ -691,11 +691,11 @@
         }
     }
 
-    fn wake(&self) -> Option<Timestamp> {
+    fn next_wakeup(&self) -> Option<Timestamp> {
         if self.begun { self.timers.next() } else { Some(Timestamp::default()) }
     }
 
-    fn links(&mut self) -> &mut Connections {
+    fn connections(&mut self) -> &mut Connections {
         &mut self.links
     }
 }
--- a/crates/standins/src/rack.rs
+++ b/crates/standins/src/rack.rs
@@ -345,7 +345,7 @@
 }
 
 impl StateMachine for Rack {
-    fn opened(&mut self, _: Timestamp, link: ConnectionId, door: ListenerId) {
+    fn on_connection_accepted(&mut self, _: Timestamp, link: ConnectionId, door: ListenerId) {
         let machine = door.0 as usize;
         if self.listens(door) {
             self.callers.insert(link, Caller { machine, name: None, frames: Frames::default() });
@@ -354,9 +354,9 @@
         }
     }
 
-    fn up(&mut self, _: Timestamp, _: ConnectionId) {}
+    fn on_connected(&mut self, _: Timestamp, _: ConnectionId) {}
 
-    fn received(&mut self, now: Timestamp, link: ConnectionId, bytes: &[u8]) {
+    fn on_data(&mut self, now: Timestamp, link: ConnectionId, bytes: &[u8]) {
         let Some(caller) = self.callers.get(&link) else { return };
         let at = caller.machine;
         if self.machines[at].plight.hangs {
@@ -367,18 +367,18 @@
         self.tell(now, at);
     }
 
-    fn ended(&mut self, now: Timestamp, link: ConnectionId, _: CloseReason) {
+    fn on_closed(&mut self, now: Timestamp, link: ConnectionId, _: CloseReason) {
         self.links.forget(link);
         if let Some(Caller { machine, name: Some(planner), .. }) = self.callers.remove(&link) {
             self.machines[machine].forget_line(now, &planner);
         }
     }
 
-    fn turn(&mut self, now: Timestamp) {
+    fn poll(&mut self, now: Timestamp) {
         // What lay waiting while a machine hung is heard first.
         let kept = std::mem::take(&mut self.kept_in);
         for (link, bytes) in kept {
-            self.received(now, link, &bytes);
+            self.on_data(now, link, &bytes);
         }
         for at in 0..self.machines.len() {
             if self.machines[at].down || self.machines[at].plight.hangs {
@@ -392,11 +392,11 @@
         }
     }
 
-    fn wake(&self) -> Option<Timestamp> {
+    fn next_wakeup(&self) -> Option<Timestamp> {
         self.machines.iter().filter_map(Machine::wake).min()
     }
 
-    fn links(&mut self) -> &mut Connections {
+    fn connections(&mut self) -> &mut Connections {
         &mut self.links
     }
 }
--- a/crates/standins/tests/list.rs
+++ b/crates/standins/tests/list.rs
@@ -44,21 +44,21 @@
 
 impl Planner {
     fn watches(service: &mut ListService, features: u64) -> Self {
-        let link = service.links().fresh();
-        service.opened(Timestamp::default(), link, ListenerId(0));
+        let link = service.connections().register();
+        service.on_connection_accepted(Timestamp::default(), link, ListenerId(0));
         let mut bytes = Vec::new();
         protocol::encode(&Message::hello(Conversation::PlannerList, features, "p", 1, 0), &mut bytes);
         protocol::encode(&Message::Watch {}, &mut bytes);
-        service.received(Timestamp::default(), link, &bytes);
+        service.on_data(Timestamp::default(), link, &bytes);
         let (frames, reader) = (Frames::default(), ListReader::default());
         Self { link, frames, reader, lists: Vec::new(), messages: Vec::new(), byes: Vec::new() }
     }
 
     /// Reads so many bytes.
     fn reads(&mut self, service: &mut ListService, most: usize) {
-        let waits = service.links().outgoing(self.link);
+        let waits = service.connections().outgoing(self.link);
         let bytes = waits[..waits.len().min(most)].to_vec();
-        service.links().wrote(self.link, bytes.len());
+        service.connections().wrote(self.link, bytes.len());
         self.frames.take(&bytes);
         while let Some(frame) = self.frames.next_frame().expect("are frames") {
             match protocol::decode(frame).expect("are messages") {
@@ -77,10 +77,10 @@
 
     /// Reads for so long, as much at a time as there is; the service has a turn whenever it wants one.
     fn reads_on(&mut self, service: &mut ListService, now: &mut Timestamp) {
-        while let Some(at) = service.wake() {
+        while let Some(at) = service.next_wakeup() {
             self.reads(service, usize::MAX);
             *now = at;
-            service.turn(at);
+            service.poll(at);
         }
         self.reads(service, usize::MAX);
     }
@@ -91,8 +91,8 @@
     let (mut service, mut now) = (service(), Timestamp::default());
     let mut planner = Planner::watches(&mut service, protocol::LIST_PIECES);
     service.observe(now, facts(FLEET, 1.0));
-    service.turn(now);
-    assert!(service.links().unwritten(planner.link) <= MOST_WAITING);
+    service.poll(now);
+    assert!(service.connections().unwritten(planner.link) <= MOST_WAITING);
     planner.reads_on(&mut service, &mut now);
     let [whole] = &planner.lists[..] else { panic!("{} lists", planner.lists.len()) };
     // Each change of a machine has a version of its own.
@@ -101,13 +101,13 @@
 
     // What changes for all of them goes in pieces too, what changes for few in one message.
     service.observe(now, facts(FLEET, 2.0));
-    service.turn(now);
+    service.poll(now);
     planner.reads_on(&mut service, &mut now);
     let changes = &planner.lists[1];
     let told = (changes.kind, changes.version, changes.entries().len());
     assert_eq!(told, (ListKind::Changes, 2 * FLEET, 10_000));
     service.observe(now, facts(3, 3.0));
-    service.turn(now);
+    service.poll(now);
     planner.reads_on(&mut service, &mut now);
     assert_eq!(planner.messages, [(ListKind::Changes, 2 * FLEET + 3, 3)]);
 }
@@ -118,10 +118,10 @@
     let planner = Planner::watches(&mut service, protocol::LIST_PIECES);
     service.observe(now, facts(FLEET, 1.0));
     for _ in 0..1_000 {
-        service.turn(now);
-        now = service.wake().expect("pieces are still to be told");
+        service.poll(now);
+        now = service.next_wakeup().expect("pieces are still to be told");
     }
-    assert!(service.links().unwritten(planner.link) <= MOST_WAITING);
+    assert!(service.connections().unwritten(planner.link) <= MOST_WAITING);
 }
 
 #[test]
@@ -130,7 +130,7 @@
     let mut planner = Planner::watches(&mut service, protocol::LIST_PIECES);
     for cores in 1..20u32 {
         service.observe(now, facts(FLEET, cores.into()));
-        service.turn(now);
+        service.poll(now);
         planner.reads(&mut service, 20_000);
         now = now + Duration::from_nanos(2_000_000);
     }
@@ -152,11 +152,11 @@
     let (mut service, mut now) = (service(), Timestamp::default());
     let mut planner = Planner::watches(&mut service, 0);
     service.observe(now, facts(2_000, 1.0));
-    service.turn(now);
+    service.poll(now);
     planner.reads_on(&mut service, &mut now);
     assert_eq!(planner.messages, [(ListKind::Whole, 2_000, 2_000)]);
     service.observe(now, facts(FLEET, 2.0));
-    service.turn(now);
+    service.poll(now);
     planner.reads_on(&mut service, &mut now);
     let changes = &planner.messages[1..];
     assert!(changes.iter().all(|(kind, version, _)| (*kind, *version) == (ListKind::Changes, 12_000)));
@@ -169,12 +169,12 @@
     let (mut service, mut now) = (service(), Timestamp::default());
     let mut planner = Planner::watches(&mut service, 0);
     service.observe(now, facts(2_500, 1.0));
-    service.turn(now);
+    service.poll(now);
     planner.reads_on(&mut service, &mut now);
     assert_eq!(
         planner.byes,
         ["2500 machines in a list, 2000 at most in one message; a planner that reads pieces gets it"]
     );
-    let asks: Vec<Command> = std::iter::from_fn(|| service.links().next_ask()).collect();
+    let asks: Vec<Command> = std::iter::from_fn(|| service.connections().next_command()).collect();
     assert!(matches!(asks[..], [Command::End { link, at_once: false }] if link == planner.link), "{asks:?}");
 }
--- a/src/brain.rs
+++ b/src/brain.rs
@@ -230,12 +230,12 @@
 }
 
 impl<W: Dispatch> SchedulingRound<'_, W> {
-    pub fn start(&mut self) {
+    pub fn on_start(&mut self) {
         self.b.begun = self.now;
-        self.woken(WATCH);
+        self.on_timer(WATCH);
     }
 
-    pub fn new_task(&mut self, order: TaskSpec) {
+    pub fn on_new_task(&mut self, order: TaskSpec) {
         let mut task = Task::new(order, State::Pending, PEAK_WINDOW, self.now);
         if let Some(at) = self.b.moved.iter().position(|(key, _)| *key == order.key) {
             task.size = self.b.moved.remove(at).map_or(order.ask, |(_, peak)| peak);
@@ -244,7 +244,7 @@
         self.b.pending.push(place);
     }
 
-    pub fn running(&mut self, order: TaskSpec, machine: MachineId) {
+    pub fn on_adopted_task(&mut self, order: TaskSpec, machine: MachineId) {
         let at = self.machine(machine);
         let mut task = Task::new(order, State::Placed, PEAK_WINDOW, self.now);
         task.machine = at;
@@ -253,20 +253,20 @@
         self.b.machines[at].tasks.push((place, order.service));
     }
 
-    pub fn accepted(&mut self, id: TaskId) {
+    pub fn on_accepted(&mut self, id: TaskId) {
         let Some(place) = self.b.tasks.place(id) else { return };
         let task = &mut self.b.tasks[place];
         if task.state == State::Sent {
             task.state = State::Placed;
             self.b.machines[task.machine].dealings[task.order.use_case.0].answered_at = self.now;
             if self.b.taking.yes_when_running {
-                self.runs(id);
+                self.on_running(id);
             }
         }
     }
 
     /// A start is done: in good time, it lets more starts be under way on its machine.
-    pub fn runs(&mut self, id: TaskId) {
+    pub fn on_running(&mut self, id: TaskId) {
         let Some(place) = self.b.tasks.place(id) else { return };
         let (now, soft_limit) = (self.now, self.b.use_case(place).soft_limit);
         let task = &mut self.b.tasks[place];
@@ -290,7 +290,7 @@
     }
 
     /// The use of a task; of high-priority ones, ask minus peak use becomes slack of their machine.
-    pub fn uses(&mut self, id: TaskId, cores: Option<f64>, memory: Option<f64>) {
+    pub fn on_usage(&mut self, id: TaskId, cores: Option<f64>, memory: Option<f64>) {
         let now = self.now;
         let Some((place, at)) = self.placed(id) else { return };
         let high = !self.b.is_low(place);
@@ -314,7 +314,7 @@
     }
 
     /// Poor service tells how busy the cores are, by the use case's own curve.
-    pub fn served(&mut self, id: TaskId, share: f64) {
+    pub fn on_service_level(&mut self, id: TaskId, share: f64) {
         let Some((place, at)) = self.placed(id) else { return };
         let busy = self.b.use_case(place).full_up_to + (1.0 - share) * self.b.use_case(place).fade;
         let m = &mut self.b.machines[at];
@@ -324,7 +324,7 @@
         self.shed(at);
     }
 
-    pub fn machine_memory(&mut self, id: TaskId, share: f64) {
+    pub fn on_machine_memory(&mut self, id: TaskId, share: f64) {
         let Some((_, at)) = self.placed(id) else { return };
         let m = &mut self.b.machines[at];
         m.use_memory.note(self.now, share);
@@ -332,7 +332,7 @@
         self.shed(at);
     }
 
-    pub fn probed(&mut self, machine: MachineId, report: LoadReport) {
+    pub fn on_health_check(&mut self, machine: MachineId, report: LoadReport) {
         let (Some(at), Some(unused)) = (self.b.machines.place(machine), report.unused) else { return };
         let m = &mut self.b.machines[at];
         let (cores, memory) = (1.0 - unused.cores / m.size.cores, 1.0 - unused.memory / m.size.memory);
@@ -344,7 +344,7 @@
     }
 
     /// It is cold, long before the list tells of its start.
-    pub fn restarted(&mut self, machine: MachineId) {
+    pub fn on_machine_restarted(&mut self, machine: MachineId) {
         if let Some(at) = self.b.machines.place(machine) {
             self.b.machines[at].lost_at = Some(self.now);
         }
@@ -357,7 +357,7 @@
     }
 
     /// The end of a send. Where `over` is not set, the final answer is still ours to give.
-    pub fn closed(&mut self, id: TaskId, ending: Outcome, over: bool, report: LoadReport) {
+    pub fn on_attempt_ended(&mut self, id: TaskId, ending: Outcome, over: bool, report: LoadReport) {
         let Some(place) = self.b.tasks.place(id) else { return };
         let rest = self.b.use_case(place).client_timeout * REST_SHARE;
         let (now, rest) = (self.now, self.b.drawn(rest));
@@ -428,10 +428,10 @@
         if matches!(ending, Outcome::NoConnection | Outcome::Lost(FailureCause::Unspecified)) {
             self.b.machines[at].lost_at = Some(now);
         }
-        self.probed(machine, report);
+        self.on_health_check(machine, report);
     }
 
-    pub fn abandoned(&mut self, id: TaskId) {
+    pub fn on_client_cancelled(&mut self, id: TaskId) {
         let Some(place) = self.b.tasks.place(id) else { return };
         match self.b.tasks[place].state {
             State::Pending => {
@@ -449,27 +449,27 @@
     }
 
     /// Whoever is to end owes its answers by then. Met: waits longer than the time that is left to it.
-    pub fn ends_by(&mut self, at: Timestamp) {
+    pub fn on_shutdown(&mut self, at: Timestamp) {
         self.b.tasks.iter_mut().for_each(|(_, task)| task.order.deadline = task.order.deadline.min(at));
     }
 
-    pub fn woken(&mut self, token: u64) {
+    pub fn on_timer(&mut self, token: u64) {
         match token {
             TICK => self.b.tick_set = false,
-            _ if self.b.listing.asked => self.out.watch_list(),
+            _ if self.b.listing.asked => self.out.watch_endpoints(),
             _ => {}
         }
     }
 
     /// A call for the list failed, or the watch broke: ask again, less often each time, well within the rule.
-    pub fn list_failed(&mut self) {
+    pub fn on_watch_failed(&mut self) {
         let wait = self.b.retry_after() * f64::from(8u32 << self.b.watch_failures.min(4));
         self.b.watch_failures += 1;
         let wait = self.b.drawn(wait.min(self.b.listing.ask_within * NEWS_SHARE));
         self.out.wake_at(WATCH, self.now + wait);
     }
 
-    pub fn list(&mut self, kind: ListKind, entries: &[MachineEntry]) {
+    pub fn on_endpoint_list(&mut self, kind: ListKind, entries: &[MachineEntry]) {
         let now = self.now;
         let fresh = (FRESH_CAP / f64::from(self.b.cold.schedulers.max(1))).max(1.0);
         if kind != ListKind::Cached {
@@ -559,7 +559,7 @@
             over -= task.last_use;
             let peak = task.peak(now);
             task.state = State::Over;
-            self.out.move_off(task.order.id);
+            self.out.preempt(task.order.id);
             if self.b.moved.len() == self.b.moved.capacity() {
                 self.b.moved.pop_front();
             }
@@ -576,7 +576,7 @@
                 let silent = m.dealings[task.order.use_case.0].answered_at <= task.sent_at
                     && self.now - task.sent_at >= after;
                 if task.state == State::Sent && silent {
-                    self.out.recall(task.order.id, task.sends - 1);
+                    self.out.cancel_attempt(task.order.id, task.sends - 1);
                 }
             }
         }
@@ -617,9 +617,9 @@
             Idempotency::Idempotent | Idempotency::Keyed { domain: FailureDomain::All, .. }
         );
         if anywhere || task.may_run.is_none() {
-            self.out.nack(task.order.id, Duration::ZERO);
+            self.out.reject(task.order.id, Duration::ZERO);
         } else {
-            self.out.error(task.order.id);
+            self.out.fail(task.order.id);
         }
         self.b.tasks.remove(place);
     }
--- a/src/mind.rs
+++ b/src/mind.rs
@@ -4,53 +4,53 @@
 use crate::interface::*;
 
 impl<W: Dispatch> PolicyEvents for SchedulingRound<'_, W> {
-    fn start(&mut self) {
-        self.start();
+    fn on_start(&mut self) {
+        self.on_start();
     }
-    fn new_task(&mut self, order: TaskSpec) {
-        self.new_task(order);
+    fn on_new_task(&mut self, order: TaskSpec) {
+        self.on_new_task(order);
     }
-    fn running(&mut self, order: TaskSpec, machine: MachineId) {
-        self.running(order, machine);
+    fn on_adopted_task(&mut self, order: TaskSpec, machine: MachineId) {
+        self.on_adopted_task(order, machine);
     }
-    fn accepted(&mut self, task: TaskId) {
-        self.accepted(task);
+    fn on_accepted(&mut self, task: TaskId) {
+        self.on_accepted(task);
     }
-    fn runs(&mut self, task: TaskId) {
-        self.runs(task);
+    fn on_running(&mut self, task: TaskId) {
+        self.on_running(task);
     }
-    fn uses(&mut self, task: TaskId, cores: Option<f64>, memory: Option<f64>) {
-        self.uses(task, cores, memory);
+    fn on_usage(&mut self, task: TaskId, cores: Option<f64>, memory: Option<f64>) {
+        self.on_usage(task, cores, memory);
     }
-    fn served(&mut self, task: TaskId, share: f64) {
-        self.served(task, share);
+    fn on_service_level(&mut self, task: TaskId, share: f64) {
+        self.on_service_level(task, share);
     }
-    fn machine_memory(&mut self, task: TaskId, share: f64) {
-        self.machine_memory(task, share);
+    fn on_machine_memory(&mut self, task: TaskId, share: f64) {
+        self.on_machine_memory(task, share);
     }
-    fn probed(&mut self, machine: MachineId, report: LoadReport) {
-        self.probed(machine, report);
+    fn on_health_check(&mut self, machine: MachineId, report: LoadReport) {
+        self.on_health_check(machine, report);
     }
-    fn restarted(&mut self, machine: MachineId) {
-        self.restarted(machine);
+    fn on_machine_restarted(&mut self, machine: MachineId) {
+        self.on_machine_restarted(machine);
     }
-    fn closed(&mut self, task: TaskId, ending: Outcome, over: bool, report: LoadReport) {
-        self.closed(task, ending, over, report);
+    fn on_attempt_ended(&mut self, task: TaskId, ending: Outcome, over: bool, report: LoadReport) {
+        self.on_attempt_ended(task, ending, over, report);
     }
-    fn abandoned(&mut self, task: TaskId) {
-        self.abandoned(task);
+    fn on_client_cancelled(&mut self, task: TaskId) {
+        self.on_client_cancelled(task);
     }
-    fn ends_by(&mut self, at: Timestamp) {
-        self.ends_by(at);
+    fn on_shutdown(&mut self, at: Timestamp) {
+        self.on_shutdown(at);
     }
-    fn woken(&mut self, token: u64) {
-        self.woken(token);
+    fn on_timer(&mut self, token: u64) {
+        self.on_timer(token);
     }
-    fn list_failed(&mut self) {
-        self.list_failed();
+    fn on_watch_failed(&mut self) {
+        self.on_watch_failed();
     }
-    fn list(&mut self, kind: ListKind, entries: &[MachineEntry]) {
-        self.list(kind, entries);
+    fn on_endpoint_list(&mut self, kind: ListKind, entries: &[MachineEntry]) {
+        self.on_endpoint_list(kind, entries);
     }
 }
 
--- a/src/properties.rs
+++ b/src/properties.rs
@@ -131,22 +131,22 @@
     fn send(&mut self, task: TaskId, machine: MachineId, time_out: Duration) {
         self.0.push(Said::Send(task.0, machine.0, time_out.nanos()));
     }
-    fn recall(&mut self, task: TaskId, _: u32) {
+    fn cancel_attempt(&mut self, task: TaskId, _: u32) {
         self.0.push(Said::Recall(task.0));
     }
-    fn nack(&mut self, task: TaskId, _: Duration) {
+    fn reject(&mut self, task: TaskId, _: Duration) {
         self.0.push(Said::Rejection(task.0));
     }
-    fn error(&mut self, task: TaskId) {
+    fn fail(&mut self, task: TaskId) {
         self.0.push(Said::Error(task.0));
     }
-    fn move_off(&mut self, task: TaskId) {
+    fn preempt(&mut self, task: TaskId) {
         self.0.push(Said::Move(task.0));
     }
     fn wake_at(&mut self, token: u64, at: Timestamp) {
         self.0.push(Said::Wake(token, at.nanos()));
     }
-    fn watch_list(&mut self) {}
+    fn watch_endpoints(&mut self) {}
 }
 
 #[derive(Debug)]
@@ -300,7 +300,7 @@
                 self.schedulers[s].wakes.range(..=(self.now, u64::MAX)).copied().collect();
             for wake in due {
                 self.schedulers[s].wakes.remove(&wake);
-                round.woken(wake.1);
+                round.on_timer(wake.1);
             }
             events.iter().for_each(|event| self.tell(s, event, round));
             let late: Vec<u64> = self.schedulers[s]
@@ -328,7 +328,7 @@
             Event::New { case, service, ask, patience } => {
                 let deadline = self.now + patience * MS;
                 let order = self.order(s, case, service, ask, deadline);
-                round.new_task(order);
+                round.on_new_task(order);
             }
             Event::Runs { machine, .. }
                 if self.schedulers[s].listed[machine] == Some(MachineState::Removed) => {}
@@ -338,17 +338,17 @@
                 let task = self.schedulers[s].tasks.get_mut(&order.id.0).expect("is there");
                 (task.placed, task.deadline) = (true, u64::MAX - ANSWER_SLACK);
                 task.sends.push(sent);
-                round.running(order, MachineId(machine as u64));
+                round.on_adopted_task(order, MachineId(machine as u64));
             }
             Event::Accepted(n) => {
                 let Some(id) = self.open(s, n) else { return };
                 let task = self.schedulers[s].tasks.get_mut(&id).expect("is open");
                 task.placed |= !task.abandoned;
-                round.accepted(TaskId(id));
+                round.on_accepted(TaskId(id));
             }
             Event::Started(n) => {
                 if let Some(id) = self.open(s, n).filter(|id| self.schedulers[s].tasks[id].placed) {
-                    round.runs(TaskId(id));
+                    round.on_running(TaskId(id));
                 }
             }
             Event::Closed(n, ending) => {
@@ -366,33 +366,33 @@
                 self.met.abandoned[usize::from(out) + usize::from(task.placed)] += 1;
                 task.abandoned = true;
                 task.over |= !out;
-                round.abandoned(TaskId(id));
+                round.on_client_cancelled(TaskId(id));
             }
             Event::Noted(n, cores, memory) => {
                 if let Some(id) = self.open(s, n) {
-                    round.uses(TaskId(id), Some(cores), Some(memory));
+                    round.on_usage(TaskId(id), Some(cores), Some(memory));
                 }
             }
             Event::Fares(n, served, memory) => {
                 if let Some(id) = self.open(s, n) {
-                    round.served(TaskId(id), served);
-                    round.machine_memory(TaskId(id), memory);
+                    round.on_service_level(TaskId(id), served);
+                    round.on_machine_memory(TaskId(id), memory);
                 }
             }
             Event::Heats(n) => {
                 if let Some(id) = self.open(s, n) {
-                    round.uses(TaskId(id), Some(4.0), Some(4.0));
-                    round.machine_memory(TaskId(id), 1.2);
+                    round.on_usage(TaskId(id), Some(4.0), Some(4.0));
+                    round.on_machine_memory(TaskId(id), 1.2);
                 }
             }
             Event::Odd(id, n) => {
                 let over = self.schedulers[s].tasks.iter().find(|(_, t)| t.over).map(|(id, _)| *id);
                 let id = TaskId(over.unwrap_or(id | 1 << 60));
                 match n {
-                    0 => round.accepted(id),
-                    1 => round.runs(id),
-                    2 => round.abandoned(id),
-                    _ => round.closed(
+                    0 => round.on_accepted(id),
+                    1 => round.on_running(id),
+                    2 => round.on_client_cancelled(id),
+                    _ => round.on_attempt_ended(
                         id,
                         Outcome::Lost(FailureCause::Unspecified),
                         true,
@@ -406,21 +406,21 @@
                 }
                 let since = self.up_at[m];
                 self.listed(s, m, mode, since);
-                round.list(ListKind::Delta, &[entry(m, mode, since)]);
+                round.on_endpoint_list(ListKind::Delta, &[entry(m, mode, since)]);
             }
             Event::WholeList => {
                 let up_at = self.up_at;
                 let entries: Vec<MachineEntry> =
                     (0..MACHINES).map(|m| entry(m, MachineState::Active, up_at[m])).collect();
                 (0..MACHINES).for_each(|m| self.listed(s, m, MachineState::Active, up_at[m]));
-                round.list(ListKind::Snapshot, &entries);
+                round.on_endpoint_list(ListKind::Snapshot, &entries);
             }
-            Event::ListFailed => round.list_failed(),
+            Event::ListFailed => round.on_watch_failed(),
             // Nobody is connected to a machine that has left.
             Event::Restarted(m) if self.schedulers[s].listed[m] == Some(MachineState::Removed) => {}
             Event::Restarted(m) => {
                 self.is_cold(s, m, self.now);
-                round.restarted(MachineId(m as u64));
+                round.on_machine_restarted(MachineId(m as u64));
             }
         }
     }
@@ -484,7 +484,7 @@
         if matches!(ending, Outcome::NoConnection | Outcome::Lost(FailureCause::Unspecified)) {
             self.is_cold(s, m, self.now);
         }
-        round.closed(TaskId(id), ending, over, LoadReport::default());
+        round.on_attempt_ended(TaskId(id), ending, over, LoadReport::default());
     }
 
     fn said(&mut self, s: usize, said: Said) {
--- a/tests/host/mod.rs
+++ b/tests/host/mod.rs
@@ -22,16 +22,16 @@
     fn send(&mut self, task: TaskId, machine: MachineId, _: Duration) {
         self.0.push(Said::Send(task.0, machine.0));
     }
-    fn recall(&mut self, task: TaskId, send: u32) {
+    fn cancel_attempt(&mut self, task: TaskId, send: u32) {
         self.0.push(Said::Recall(task.0, send));
     }
-    fn nack(&mut self, task: TaskId, _: Duration) {
+    fn reject(&mut self, task: TaskId, _: Duration) {
         self.0.push(Said::Rejection(task.0));
     }
-    fn error(&mut self, task: TaskId) {
+    fn fail(&mut self, task: TaskId) {
         self.0.push(Said::Error(task.0));
     }
-    fn move_off(&mut self, task: TaskId) {
+    fn preempt(&mut self, task: TaskId) {
         self.0.push(Said::Move(task.0));
     }
     fn wake_at(&mut self, token: u64, at: Timestamp) {
@@ -39,7 +39,7 @@
             self.0.push(Said::WatchAt(at.nanos() / 1_000_000));
         }
     }
-    fn watch_list(&mut self) {
+    fn watch_endpoints(&mut self) {
         self.0.push(Said::Watch);
     }
 }
@@ -98,7 +98,7 @@
 
     pub fn up(mut self, machines: &[MachineEntry]) -> Self {
         self.restart();
-        self.tell(|r| r.list(ListKind::Cached, machines));
+        self.tell(|r| r.on_endpoint_list(ListKind::Cached, machines));
         self
     }
 
@@ -143,7 +143,7 @@
     /// Lets time pass, with the tick that the brain waits for.
     pub fn after(&mut self, millis: u64) -> Vec<Said> {
         self.millis += millis;
-        self.tell(|r| r.woken(0))
+        self.tell(|r| r.on_timer(0))
     }
 
     pub fn order(&self, id: u64, use_case: usize, ask: f64) -> TaskSpec {
@@ -160,16 +160,16 @@
 
     pub fn ask(&mut self, id: u64, use_case: usize, ask: f64) -> Vec<Said> {
         let order = self.order(id, use_case, ask);
-        self.tell(|r| r.new_task(order))
+        self.tell(|r| r.on_new_task(order))
     }
 
     pub fn runs_on(&mut self, id: u64, use_case: usize, ask: f64, machine: u64) {
         let order = self.order(id, use_case, ask);
-        self.tell(|r| r.running(order, MachineId(machine)));
+        self.tell(|r| r.on_adopted_task(order, MachineId(machine)));
     }
 
     pub fn ends(&mut self, id: u64, ending: Outcome) -> Vec<Said> {
-        self.tell(|r| r.closed(TaskId(id), ending, false, LoadReport::default()))
+        self.tell(|r| r.on_attempt_ended(TaskId(id), ending, false, LoadReport::default()))
     }
 }
 
