--- a/crates/benchlink/src/main.rs
+++ b/crates/benchlink/src/main.rs
@@ -7,7 +7,7 @@
 
 use batch::{Batch, Line, Rosters};
 use mulleinhub::{PlacementPolicy, Timestamp};
-use mulleinhub_site::Site;
+use mulleinhub_platform_settings::Site;
 use reporting::Reporting;
 use std::collections::BTreeMap;
 use std::io::{BufRead, Write};
--- a/crates/cli/src/capture.rs
+++ b/crates/cli/src/capture.rs
@@ -22,7 +22,7 @@
 }
 
 pub fn verdict(path: &Path) -> Result<ExitCode, String> {
-    let verdict = mulleinhub_verdict::judge(open(path)?).map_err(|e| format!("{}: {e}", path.display()))?;
+    let verdict = mulleinhub_checker::judge(open(path)?).map_err(|e| format!("{}: {e}", path.display()))?;
     print!("{}", report::traffic(&verdict));
     print!("{}", report::rules(&verdict));
     Ok(if verdict.holds() { ExitCode::SUCCESS } else { ExitCode::FAILURE })
@@ -30,7 +30,7 @@
 
 pub fn run(command: CaptureCommand) -> Result<ExitCode, String> {
     let CaptureCommand::Show { capture, task } = command;
-    let lines = mulleinhub_verdict::life_of(open(&capture)?, task)
+    let lines = mulleinhub_checker::life_of(open(&capture)?, task)
         .map_err(|e| format!("{}: {e}", capture.display()))?;
     if lines.is_empty() {
         return Err(format!("{}: nothing is said of task {task}", capture.display()));
--- a/crates/cli/src/day.rs
+++ b/crates/cli/src/day.rs
@@ -3,12 +3,12 @@
 use crate::report;
 use clap::{Args, Subcommand};
 use indicatif::{ProgressBar, ProgressStyle};
-use mulleinhub_day::{Day, Progress, Score, parse_day};
+use mulleinhub_checker::Verdict;
 use mulleinhub_interface::Timestamp;
-use mulleinhub_load::play_over_sockets;
-use mulleinhub_runner::{Rule, Runner};
+use mulleinhub_load_test::play_over_sockets;
+use mulleinhub_scenario::{Day, Progress, Score, parse_day};
 use mulleinhub_settings::{Directive, Faults, parse, parse_text};
-use mulleinhub_verdict::Verdict;
+use mulleinhub_simulation::{Rule, Runner};
 use std::fs::File;
 use std::io::{BufReader, BufWriter, IsTerminal, Write};
 use std::path::{Path, PathBuf};
@@ -264,7 +264,7 @@
                             let played = Runner::new(one, Vec::new()).with_baseline(rule).play(|_, _| ());
                             let (score, _, capture) = played.map_err(|e| e.to_string())?;
                             let verdict =
-                                mulleinhub_verdict::judge(&capture[..]).map_err(|e| e.to_string())?;
+                                mulleinhub_checker::judge(&capture[..]).map_err(|e| e.to_string())?;
                             Ok::<_, String>((score, verdict))
                         });
                         let played = played.unwrap_or_else(|_| Err("an assertion failed".to_owned()));
@@ -330,7 +330,7 @@
 }
 
 /// The troubles of a day's script, to be laid over another day.
-pub fn troubles(path: &Path) -> Result<Vec<mulleinhub_day::Trouble>, String> {
+pub fn troubles(path: &Path) -> Result<Vec<mulleinhub_scenario::Trouble>, String> {
     Ok(read(Some(path))?.troubles)
 }
 
@@ -338,11 +338,11 @@
     path: &Path,
     score: &Score,
     end: Timestamp,
-    usage: Option<mulleinhub_load::Usage>,
+    usage: Option<mulleinhub_load_test::Usage>,
 ) -> Result<ExitCode, String> {
     let file = File::open(path).map_err(|e| format!("{}: {e}", path.display()))?;
     let verdict =
-        mulleinhub_verdict::judge(BufReader::new(file)).map_err(|e| format!("{}: {e}", path.display()))?;
+        mulleinhub_checker::judge(BufReader::new(file)).map_err(|e| format!("{}: {e}", path.display()))?;
     print(&verdict, score);
     if let Some(usage) = usage {
         let taken: u64 = verdict.figures.cases.values().map(|counts| counts[0]).sum();
--- a/crates/cli/src/load.rs
+++ b/crates/cli/src/load.rs
@@ -2,7 +2,7 @@
 
 use clap::{Args, Subcommand};
 use mulleinhub_interface::Duration;
-use mulleinhub_load::{Campaign, run as run_campaign};
+use mulleinhub_load_test::{Campaign, run as run_campaign};
 use mulleinhub_settings::Value;
 use std::path::PathBuf;
 use std::process::ExitCode;
--- a/crates/cli/src/main.rs
+++ b/crates/cli/src/main.rs
@@ -68,7 +68,7 @@
         Command::Load(command) => load::run(command),
         Command::Scale(command) => scale::run(command),
         Command::Crowd { number, rate, planners } => {
-            mulleinhub_load::host_crowd(number, &planners, rate).map(|()| ExitCode::SUCCESS)
+            mulleinhub_load_test::host_crowd(number, &planners, rate).map(|()| ExitCode::SUCCESS)
         }
         Command::Verdict { capture } => capture::verdict(&capture),
         Command::Capture(command) => capture::run(command),
--- a/crates/cli/src/report.rs
+++ b/crates/cli/src/report.rs
@@ -1,8 +1,8 @@
 //! Tables and verdict lines.
 
 use comfy_table::{Table, presets::UTF8_HORIZONTAL_ONLY};
-use mulleinhub_day::Score;
-use mulleinhub_verdict::{BooksVerdict, Verdict};
+use mulleinhub_checker::{BooksVerdict, Verdict};
+use mulleinhub_scenario::Score;
 
 fn table(header: &[&str]) -> Table {
     let mut table = Table::new();
--- a/crates/cli/src/trace.rs
+++ b/crates/cli/src/trace.rs
@@ -3,11 +3,11 @@
 use crate::day::Baseline;
 use clap::{Args, Subcommand, ValueEnum};
 use indicatif::{ProgressBar, ProgressStyle};
-use mulleinhub_day::Day;
 use mulleinhub_interface::{Duration, Timestamp};
 use mulleinhub_replay::{Bound, DEFAULT_MAP, Replay, Report, bound, build, html, play, read_map, text};
-use mulleinhub_runner::Rule;
+use mulleinhub_scenario::Day;
 use mulleinhub_settings::{Faults, Value, parse, parse_text};
+use mulleinhub_simulation::Rule;
 use mulleinhub_trace::{
     Inspection, LAYOUTS, Mapping, Model, Progress, Reader, Sample, Share, Work, by_name, collect,
     find_sources, inspect, make,
--- a/crates/standins/src/crowd.rs
+++ b/crates/emulators/src/crowd.rs
@@ -8,7 +8,7 @@
 use crate::dice::Dice;
 use mulleinhub_interface::{Duration, Timestamp};
 use mulleinhub_protocol::{self as protocol, Conversation, Frames, Message, Spare};
-use mulleinhub_seam::{CloseReason, ConnectionId, Connections, ListenerId, StateMachine, Timers};
+use mulleinhub_sans_io::{CloseReason, ConnectionId, Connections, ListenerId, StateMachine, Timers};
 use std::collections::BTreeMap;
 
 #[derive(Clone, Debug)]
--- a/crates/standins/src/list.rs
+++ b/crates/emulators/src/list.rs
@@ -12,7 +12,7 @@
 use mulleinhub_protocol::{
     self as protocol, Bad, Conversation, Entry, Frames, ListKind, Message, Mode, Side,
 };
-use mulleinhub_seam::{CloseReason, ConnectionId, Connections, ListenerId, StateMachine};
+use mulleinhub_sans_io::{CloseReason, ConnectionId, Connections, ListenerId, StateMachine};
 use std::collections::{BTreeMap, VecDeque};
 
 /// No piece is written for a planner for which so many bytes wait.
--- a/crates/standins/src/owner.rs
+++ b/crates/emulators/src/owner.rs
@@ -10,7 +10,7 @@
 use crate::worth::{Tally, Worth};
 use mulleinhub_interface::{Duration, Timestamp};
 use mulleinhub_protocol::{self as protocol, Bad, Conversation, Ending, Frames, Message, Shape};
-use mulleinhub_seam::{CloseReason, ConnectionId, Connections, ListenerId, StateMachine, Timers};
+use mulleinhub_sans_io::{CloseReason, ConnectionId, Connections, ListenerId, StateMachine, Timers};
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
--- a/crates/standins/src/rack.rs
+++ b/crates/emulators/src/rack.rs
@@ -8,7 +8,7 @@
 use crate::worth::Worth;
 use mulleinhub_interface::Timestamp;
 use mulleinhub_protocol::{self as protocol, Bad, Conversation, Ending, Frames, Message, Reason, Side};
-use mulleinhub_seam::{CloseReason, ConnectionId, Connections, ListenerId, StateMachine};
+use mulleinhub_sans_io::{CloseReason, ConnectionId, Connections, ListenerId, StateMachine};
 use std::collections::BTreeMap;
 
 /// A connection of a planner to one of the machines.
--- a/crates/standins/tests/list.rs
+++ b/crates/emulators/tests/list.rs
@@ -1,9 +1,9 @@
 //! The list service at the size of a large fleet, beside planners that read pieces and older ones.
 
+use mulleinhub_emulators::{Fact, ListService, ListSettings};
 use mulleinhub_interface::{Duration, Timestamp};
 use mulleinhub_protocol::{self as protocol, Conversation, Frames, ListKind, ListReader, Message, WholeList};
-use mulleinhub_seam::{Command, ConnectionId, ListenerId, StateMachine};
-use mulleinhub_standins::{Fact, ListService, ListSettings};
+use mulleinhub_sans_io::{Command, ConnectionId, ListenerId, StateMachine};
 
 const FLEET: u64 = 10_000;
 /// What a planner that has stopped reading may be owed at the most: the waiting bytes and one more piece.
--- a/crates/engine/examples/idle.rs
+++ b/crates/engine/examples/idle.rs
@@ -9,7 +9,7 @@
 use mulleinhub_engine::{Engine, Settings};
 use mulleinhub_interface::*;
 use mulleinhub_protocol::{self as protocol, Conversation, Message, Shape};
-use mulleinhub_seam::{CloseReason, Command, ConnectionId, ListenerId, StateMachine};
+use mulleinhub_sans_io::{CloseReason, Command, ConnectionId, ListenerId, StateMachine};
 use stats_alloc::{INSTRUMENTED_SYSTEM, Region, StatsAlloc};
 use std::alloc::System;
 use std::time::{Duration as StdDuration, Instant};
--- a/crates/engine/examples/ordinary_path.rs
+++ b/crates/engine/examples/ordinary_path.rs
@@ -7,7 +7,7 @@
 use mulleinhub_engine::{Engine, Settings};
 use mulleinhub_interface::*;
 use mulleinhub_protocol::{self as protocol, Conversation, Ending, Message, Mode, Reason, Shape};
-use mulleinhub_seam::{Command, ConnectionId, ListenerId, StateMachine};
+use mulleinhub_sans_io::{Command, ConnectionId, ListenerId, StateMachine};
 use stats_alloc::{INSTRUMENTED_SYSTEM, Region, StatsAlloc};
 use std::alloc::System;
 use std::collections::VecDeque;
@@ -103,7 +103,9 @@
         let mut engine = Engine::new(settings(), 1, None);
         let now = Timestamp::from_nanos(1_000_000_000);
         engine.poll(now);
-        let Some(Command::Open(list, _)) = engine.connections().next_command() else { panic!("the list is asked for") };
+        let Some(Command::Open(list, _)) = engine.connections().next_command() else {
+            panic!("the list is asked for")
+        };
         let client = engine.connections().register();
         engine.on_connection_accepted(now, client, ListenerId(0));
         let (bytes, offers, machines) = (Vec::new(), VecDeque::new(), Vec::new());
--- a/crates/engine/src/desk.rs
+++ b/crates/engine/src/desk.rs
@@ -9,9 +9,9 @@
 };
 use mulleinhub_interface::{Duration, Timestamp};
 use mulleinhub_limits::{Act, Admission, Limits, Why};
-use mulleinhub_pacing::{HEARTBEAT, PAUSE_THRESHOLD, PauseDetector, again};
 use mulleinhub_protocol::{self as protocol, Conversation, Frames, ListReader, Message, Mode, Shape, Spare};
-use mulleinhub_seam::{CloseReason, ConnectionId, Connections, Timers, Unsent};
+use mulleinhub_resilience::{HEARTBEAT, PAUSE_THRESHOLD, PauseDetector, backoff};
+use mulleinhub_sans_io::{CloseReason, ConnectionId, Connections, Timers, Unsent};
 use std::cell::RefCell;
 use std::collections::{BTreeMap, VecDeque};
 use std::sync::Arc;
@@ -600,7 +600,7 @@
         let link = self.links.open(&spot.address.clone());
         self.add_peer(link, Who::Machine(id));
         let (now, silence) = (self.now, self.settings.silence);
-        let first = again::first_sign(silence, self.chance.part());
+        let first = backoff::first_sign(silence, self.chance.part());
         let spot = self.machines.get_mut(&id).expect("was there");
         spot.reach = Reach::Coming(link);
         (spot.heard_at, spot.pinged_at) = (now, Some(now));
--- a/crates/engine/src/lib.rs
+++ b/crates/engine/src/lib.rs
@@ -20,7 +20,7 @@
 use mulleinhub::PlacementPolicy;
 use mulleinhub_interface::{Duration, Policy, Quota, Timestamp};
 use mulleinhub_limits::Why;
-use mulleinhub_seam::{CloseReason, ConnectionId, Connections, ListenerId, StateMachine};
+use mulleinhub_sans_io::{CloseReason, ConnectionId, Connections, ListenerId, StateMachine};
 use std::cell::RefCell;
 
 /// One planner.
--- a/crates/engine/src/machines.rs
+++ b/crates/engine/src/machines.rs
@@ -2,9 +2,9 @@
 
 use mulleinhub_interface::{CellId, KindId, MachineId, ZoneId};
 use mulleinhub_interface::{Duration, Timestamp};
-use mulleinhub_pacing::SlowStartGate;
 use mulleinhub_protocol::{Entry, Mode};
-use mulleinhub_seam::ConnectionId;
+use mulleinhub_resilience::SlowStartGate;
+use mulleinhub_sans_io::ConnectionId;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Reach {
--- a/crates/engine/src/properties.rs
+++ b/crates/engine/src/properties.rs
@@ -11,7 +11,7 @@
     TaskId, Timestamp, UseCase, ZoneId,
 };
 use mulleinhub_protocol::{self as protocol, Conversation, Ending, Frames, Message, Mode, Reason, Shape};
-use mulleinhub_seam::{CloseReason, Command, ConnectionId, ListenerId, StateMachine};
+use mulleinhub_sans_io::{CloseReason, Command, ConnectionId, ListenerId, StateMachine};
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
 use std::collections::{BTreeMap, VecDeque};
--- a/crates/engine/src/receive/client.rs
+++ b/crates/engine/src/receive/client.rs
@@ -7,7 +7,7 @@
 use crate::machines::Spot;
 use mulleinhub_interface::{Duration, MachineId, Outcome, PolicyEvents, TaskId, TaskSpec, Ticket, Timestamp};
 use mulleinhub_protocol::{Bad, Message, Shape};
-use mulleinhub_seam::ConnectionId;
+use mulleinhub_sans_io::ConnectionId;
 use std::cell::RefCell;
 
 /// Handles one message of a client that has greeted.
--- a/crates/engine/src/receive/disconnect.rs
+++ b/crates/engine/src/receive/disconnect.rs
@@ -4,8 +4,8 @@
 use super::outcome::close;
 use crate::desk::{Desk, Due, Open, Who};
 use mulleinhub_interface::{Duration, FailureCause, MachineId, Outcome, PolicyEvents, TaskId};
-use mulleinhub_pacing::again;
-use mulleinhub_seam::{CloseReason, ConnectionId, Unsent};
+use mulleinhub_resilience::backoff;
+use mulleinhub_sans_io::{CloseReason, ConnectionId, Unsent};
 use std::cell::RefCell;
 
 /// A connection has ended, and all that came on it before was received.
@@ -57,10 +57,10 @@
     let Some(spot) = spot else { return Vec::new() };
     let failed = spot.ready().is_none() || end == CloseReason::Refused;
     let wait = match failed {
-        true => again::after_failures(reconnect, spot.failures, drawn),
+        true => backoff::after_failures(reconnect, spot.failures, drawn),
         // At once: the answer may prove what became of open sends.
         false if !unanswered.is_empty() => Duration::ZERO,
-        false => again::after_end(reconnect, drawn),
+        false => backoff::after_end(reconnect, drawn),
     };
     spot.failed(now, wait, failed);
     let (retry_at, waiting) = (spot.retry_at, std::mem::take(&mut spot.waiting));
--- a/crates/engine/src/receive/dispatch.rs
+++ b/crates/engine/src/receive/dispatch.rs
@@ -8,7 +8,7 @@
 use crate::desk::{Desk, ListFault, Peer, Who};
 use mulleinhub_interface::PolicyEvents;
 use mulleinhub_protocol::{Bad, Conversation, Message, Side};
-use mulleinhub_seam::ConnectionId;
+use mulleinhub_sans_io::ConnectionId;
 use std::cell::RefCell;
 
 /// The conversation with a peer, and the side of it that the peer has.
--- a/crates/engine/src/receive/greeting.rs
+++ b/crates/engine/src/receive/greeting.rs
@@ -5,7 +5,7 @@
 use crate::desk::{Desk, ListFault, Who};
 use mulleinhub_interface::PolicyEvents;
 use mulleinhub_protocol::{self as protocol, Bad, Message};
-use mulleinhub_seam::{CloseReason, ConnectionId};
+use mulleinhub_sans_io::{CloseReason, ConnectionId};
 use std::cell::RefCell;
 use std::sync::Arc;
 
--- a/crates/engine/src/receive/inbound.rs
+++ b/crates/engine/src/receive/inbound.rs
@@ -7,7 +7,7 @@
 use crate::machines::Spot;
 use mulleinhub_interface::PolicyEvents;
 use mulleinhub_protocol::{self as protocol, Frames};
-use mulleinhub_seam::{CloseReason, ConnectionId};
+use mulleinhub_sans_io::{CloseReason, ConnectionId};
 use std::cell::RefCell;
 
 /// Receives from every connection on which bytes arrived, in the order of arrival.
--- a/crates/engine/src/receive/inventory.rs
+++ b/crates/engine/src/receive/inventory.rs
@@ -6,7 +6,7 @@
 use crate::desk::{Desk, Job, Open};
 use mulleinhub_interface::{FailureCause, MachineId, Outcome, PolicyEvents, TaskId, Timestamp};
 use mulleinhub_protocol::{self as protocol, Message, Reason};
-use mulleinhub_seam::ConnectionId;
+use mulleinhub_sans_io::ConnectionId;
 use std::cell::RefCell;
 
 /// One task of the inventory: ours, of a former life of ours, or over for us.
--- a/crates/engine/src/receive/machine.rs
+++ b/crates/engine/src/receive/machine.rs
@@ -6,7 +6,7 @@
 use crate::desk::Desk;
 use mulleinhub_interface::{FailureCause, LoadReport, MachineId, Outcome, PolicyEvents, Resources, TaskId};
 use mulleinhub_protocol::{self as protocol, Bad, Message, Reason};
-use mulleinhub_seam::ConnectionId;
+use mulleinhub_sans_io::ConnectionId;
 use std::cell::RefCell;
 
 /// Handles one message of a machine.
--- a/crates/engine/src/receive/machine_list.rs
+++ b/crates/engine/src/receive/machine_list.rs
@@ -6,9 +6,9 @@
 use mulleinhub_interface::{
     ListKind, MachineEntry, MachineId, MachineState, Outcome, PolicyEvents, Resources,
 };
-use mulleinhub_pacing::again;
 use mulleinhub_protocol::{self as protocol, Bad, Message};
-use mulleinhub_seam::ConnectionId;
+use mulleinhub_resilience::backoff;
+use mulleinhub_sans_io::ConnectionId;
 use std::cell::RefCell;
 use std::collections::BTreeSet;
 
@@ -46,7 +46,7 @@
     }
     let (drawn, failures) = (desk.chance.part(), desk.list_failures);
     desk.list_failures += 1;
-    let retry_at = desk.now + again::after_failures(desk.settings.reconnect, failures, drawn);
+    let retry_at = desk.now + backoff::after_failures(desk.settings.reconnect, failures, drawn);
     desk.timers.set(retry_at, Due::List);
 }
 
@@ -138,7 +138,7 @@
     }
     if desk.hears_clients {
         // Many planners read this at one instant; whoever sends to it does not wait.
-        let at = now + again::after_end(desk.settings.reconnect, desk.chance.part());
+        let at = now + backoff::after_end(desk.settings.reconnect, desk.chance.part());
         desk.timers.set(at, Due::Reconnect(id));
     } else {
         desk.open_machine(id);
--- a/crates/engine/src/receive/outcome.rs
+++ b/crates/engine/src/receive/outcome.rs
@@ -5,7 +5,7 @@
     FailureCause, Idempotency, LoadReport, MachineId, Outcome, PolicyEvents, Rejection, TaskId,
 };
 use mulleinhub_protocol::{self as protocol, Message, Reason};
-use mulleinhub_seam::ConnectionId;
+use mulleinhub_sans_io::ConnectionId;
 use std::cell::RefCell;
 use tracing::span::EnteredSpan;
 
--- a/crates/engine/src/receive/task.rs
+++ b/crates/engine/src/receive/task.rs
@@ -4,7 +4,7 @@
 use crate::desk::{Desk, Job};
 use mulleinhub_interface::{Resources, ServiceId, TaskId, TaskKey, TaskSpec, Timestamp, UseCaseId};
 use mulleinhub_protocol::{Bad, Shape};
-use mulleinhub_seam::ConnectionId;
+use mulleinhub_sans_io::ConnectionId;
 
 /// The order of a task of this shape.
 pub(super) fn order(id: TaskId, shape: &Shape, deadline: Timestamp) -> TaskSpec {
--- a/crates/engine/src/receive/timers.rs
+++ b/crates/engine/src/receive/timers.rs
@@ -5,9 +5,9 @@
 use crate::desk::{Desk, Due};
 use crate::machines::Reach;
 use mulleinhub_interface::{FailureCause, MachineId, Outcome, PolicyEvents, TaskId};
-use mulleinhub_pacing::again;
 use mulleinhub_protocol::Message;
-use mulleinhub_seam::ConnectionId;
+use mulleinhub_resilience::backoff;
+use mulleinhub_sans_io::ConnectionId;
 use std::cell::RefCell;
 
 /// A timer has expired, other than the module's own and those of sends.
@@ -66,7 +66,7 @@
         }
         _ => {}
     }
-    let next = now + again::sign(silence, desk.chance.part());
+    let next = now + backoff::sign(silence, desk.chance.part());
     desk.timers.set(next, Due::Ping(id, link));
 }
 
--- a/crates/engine/tests/host/mod.rs
+++ b/crates/engine/tests/host/mod.rs
@@ -3,7 +3,7 @@
 use mulleinhub_engine::{Engine, Settings};
 use mulleinhub_interface::*;
 use mulleinhub_protocol::{self as protocol, Conversation, Frames, Message, Mode, Shape};
-use mulleinhub_seam::{CloseReason, Command, ConnectionId, ListenerId, StateMachine};
+use mulleinhub_sans_io::{CloseReason, Command, ConnectionId, ListenerId, StateMachine};
 use std::collections::BTreeMap;
 
 pub const REPLAYABLE: u32 = 0;
--- a/crates/engine/tests/list/mod.rs
+++ b/crates/engine/tests/list/mod.rs
@@ -3,7 +3,7 @@
 use crate::host::*;
 use mulleinhub_interface::Duration;
 use mulleinhub_protocol::{self as protocol, Entry, ListKind, Message, Mode, WholeList};
-use mulleinhub_seam::{CloseReason, ConnectionId, StateMachine};
+use mulleinhub_sans_io::{CloseReason, ConnectionId, StateMachine};
 
 const FLEET: u64 = 10_000;
 
--- a/crates/engine/tests/pieces/mod.rs
+++ b/crates/engine/tests/pieces/mod.rs
@@ -4,7 +4,7 @@
 use crate::limited;
 use mulleinhub_interface::Duration;
 use mulleinhub_protocol::{self as protocol, Message};
-use mulleinhub_seam::{ConnectionId, StateMachine};
+use mulleinhub_sans_io::{ConnectionId, StateMachine};
 
 fn bytes_of(messages: &[Message<'_>]) -> Vec<u8> {
     let mut bytes = Vec::new();
--- a/crates/engine/tests/quota/mod.rs
+++ b/crates/engine/tests/quota/mod.rs
@@ -3,7 +3,7 @@
 use crate::host::*;
 use mulleinhub_interface::{Duration, Quota, Resources, TaskKey, Ticket, Timestamp};
 use mulleinhub_protocol::{Ending, Held, Message, Reason};
-use mulleinhub_seam::{CloseReason, ConnectionId};
+use mulleinhub_sans_io::{CloseReason, ConnectionId};
 use std::sync::{Arc, Mutex};
 
 /// Refuses keys from a hundred on, knows nobody called `free`, and notes what it is told.
--- a/crates/engine/tests/same_moment/mod.rs
+++ b/crates/engine/tests/same_moment/mod.rs
@@ -4,7 +4,7 @@
 use crate::host::*;
 use mulleinhub_interface::{Duration, Timestamp};
 use mulleinhub_protocol::{Ending, Message, Reason};
-use mulleinhub_seam::CloseReason;
+use mulleinhub_sans_io::CloseReason;
 use std::collections::BTreeMap;
 
 const PLANNERS: usize = 120;
--- a/crates/engine/tests/stories.rs
+++ b/crates/engine/tests/stories.rs
@@ -9,10 +9,10 @@
 use host::*;
 use mulleinhub_interface::Duration;
 use mulleinhub_protocol::{Ending, Held, Message, Mode, Reason};
-use mulleinhub_seam::{CloseReason, StateMachine};
+use mulleinhub_sans_io::{CloseReason, StateMachine};
 
 /// A planner with machines, and a task of this use case offered to one of them.
-fn with_offer(use_case: u32) -> (Host, mulleinhub_seam::ConnectionId, u64) {
+fn with_offer(use_case: u32) -> (Host, mulleinhub_sans_io::ConnectionId, u64) {
     let mut host = Host::with_machines(4);
     let client = host.client("owner");
     let said = host.ask(client, 1, use_case);
@@ -52,7 +52,8 @@
     let links: Vec<_> = (1..=4).map(|id| host.link(&format!("m{id}"))).collect();
     host.unread.clone_from(&links);
     host.ask(client, 1, SINGLE_USE);
-    let stuck = links.into_iter().find(|link| host.engine.connections().unwritten(*link) > 0).expect("is offered");
+    let stuck =
+        links.into_iter().find(|link| host.engine.connections().unwritten(*link) > 0).expect("is offered");
     host.unread.clear();
     let said = host.ends(stuck, CloseReason::Broken);
     assert!(offered(&said, 1).is_some_and(|(_, send)| send == 1), "{said:?}");
@@ -65,7 +66,8 @@
     let links: Vec<_> = (1..=4).map(|id| host.link(&format!("m{id}"))).collect();
     host.unread.clone_from(&links);
     host.ask(client, 1, SINGLE_USE);
-    let stuck = links.into_iter().find(|link| host.engine.connections().unwritten(*link) > 0).expect("is offered");
+    let stuck =
+        links.into_iter().find(|link| host.engine.connections().unwritten(*link) > 0).expect("is offered");
     host.take(stuck, 5, &mut Vec::new());
     host.unread.clear();
     let address = host.links[&stuck].clone();
@@ -728,7 +730,7 @@
 fn silent_strangers_and_silent_clients_are_ended_and_a_sign_of_life_keeps_a_client() {
     let mut host = limited(|_| ());
     let stranger = host.engine.connections().register();
-    host.engine.on_connection_accepted(host.now, stranger, mulleinhub_seam::ListenerId(0));
+    host.engine.on_connection_accepted(host.now, stranger, mulleinhub_sans_io::ListenerId(0));
     let client = host.client("quiet");
     host.lives(5_200);
     assert!(host.ended.contains(&stranger) && !host.ended.contains(&client));
--- a/crates/shell/src/lib.rs
+++ b/crates/event-loop/src/lib.rs
@@ -7,7 +7,7 @@
 use mio::net::{TcpListener, TcpStream};
 use mio::{Events, Interest, Poll, Token};
 use mulleinhub_interface::{Duration, Timestamp};
-use mulleinhub_seam::{CloseReason, Command, ConnectionId, ListenerId, StateMachine};
+use mulleinhub_sans_io::{CloseReason, Command, ConnectionId, ListenerId, StateMachine};
 use signal_hook_mio::v1_0::Signals;
 use socket2::{Domain, Socket, Type};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
@@ -263,7 +263,11 @@
         if self.listeners.iter().any(|listening| listening.rests_until.is_some()) {
             wait = wait.min(ACCEPT_REST);
         }
-        if self.listeners.iter().any(|listening| listening.ready && self.party.accept_budget(listening.door) > 0) {
+        if self
+            .listeners
+            .iter()
+            .any(|listening| listening.ready && self.party.accept_budget(listening.door) > 0)
+        {
             // More was there than one turn takes.
             wait = StdDuration::ZERO;
         }
--- a/crates/shell/tests/descriptors.rs
+++ b/crates/event-loop/tests/descriptors.rs
@@ -1,8 +1,8 @@
 //! At the hard limit of descriptors, with real sockets. One test, for it lowers this process's own limit.
 
+use mulleinhub_event_loop::EventLoop;
 use mulleinhub_interface::Timestamp;
-use mulleinhub_seam::{CloseReason, ConnectionId, Connections, ListenerId, StateMachine};
-use mulleinhub_shell::EventLoop;
+use mulleinhub_sans_io::{CloseReason, ConnectionId, Connections, ListenerId, StateMachine};
 use std::collections::VecDeque;
 use std::io::Read;
 use std::net::{SocketAddr, TcpStream};
--- a/crates/shell/tests/ends.rs
+++ b/crates/event-loop/tests/ends.rs
@@ -1,9 +1,9 @@
 //! Signals that come together, and last words to peers that are still writing. Real sockets; signals are the
 //! whole process's, so that they stand here alone.
 
+use mulleinhub_event_loop::{EventLoop, Step};
 use mulleinhub_interface::Timestamp;
-use mulleinhub_seam::{CloseReason, ConnectionId, Connections, ListenerId, StateMachine};
-use mulleinhub_shell::{EventLoop, Step};
+use mulleinhub_sans_io::{CloseReason, ConnectionId, Connections, ListenerId, StateMachine};
 use rustix::process::{Pid, Signal, getpid, kill_process};
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpStream};
--- a/crates/ledger/src/exchange/connections.rs
+++ b/crates/ledger/src/exchange/connections.rs
@@ -3,11 +3,11 @@
 use super::Exchange;
 use super::peer::Peer;
 use mulleinhub_interface::Duration;
-use mulleinhub_pacing::again;
 use mulleinhub_protocol::{self as protocol, Bad, Message, encode};
 use mulleinhub_quota::Phase;
 use mulleinhub_replicated_log::Name;
-use mulleinhub_seam::ConnectionId;
+use mulleinhub_resilience::backoff;
+use mulleinhub_sans_io::ConnectionId;
 
 /// Connections that are being opened at a time.
 const MAX_OPENING: usize = 32;
@@ -137,9 +137,9 @@
         let drawn = self.keeper.part();
         let retry = self.retries.entry(name.clone()).or_default();
         if was_up {
-            retry.not_before = self.now + again::after_end(RETRY, drawn);
+            retry.not_before = self.now + backoff::after_end(RETRY, drawn);
         } else {
-            retry.not_before = self.now + again::after_failures(RETRY, retry.failures, drawn);
+            retry.not_before = self.now + backoff::after_failures(RETRY, retry.failures, drawn);
             retry.failures += 1;
         }
     }
--- a/crates/ledger/src/exchange/heartbeat.rs
+++ b/crates/ledger/src/exchange/heartbeat.rs
@@ -8,7 +8,7 @@
 use mulleinhub_protocol as protocol;
 use mulleinhub_quota::Ledger;
 use mulleinhub_replicated_log::Name;
-use mulleinhub_seam::ConnectionId;
+use mulleinhub_sans_io::ConnectionId;
 use std::collections::BTreeMap;
 
 /// Least time between two heartbeats of a member.
--- a/crates/ledger/src/exchange/mod.rs
+++ b/crates/ledger/src/exchange/mod.rs
@@ -29,10 +29,10 @@
 use self::peer::Peer;
 use crate::shared_pools::SharedPools;
 use mulleinhub_interface::{Duration, Pcg, Timestamp};
-use mulleinhub_pacing::PAUSE_THRESHOLD;
 use mulleinhub_quota::{Ledger, Settings};
 use mulleinhub_replicated_log::{Change, Changes, KINDS, KeptLogs, Kind, Name, Order, Reached};
-use mulleinhub_seam::{CloseReason, ConnectionId, Connections, ListenerId, StateMachine};
+use mulleinhub_resilience::PAUSE_THRESHOLD;
+use mulleinhub_sans_io::{CloseReason, ConnectionId, Connections, ListenerId, StateMachine};
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 
--- a/crates/ledger/src/exchange/orders.rs
+++ b/crates/ledger/src/exchange/orders.rs
@@ -3,7 +3,7 @@
 use super::{Exchange, MAX_ITEMS};
 use mulleinhub_protocol::{self as protocol, Bad, Message, OrderWord};
 use mulleinhub_replicated_log::{Order, Orders, Standing, Subject, Word};
-use mulleinhub_seam::ConnectionId;
+use mulleinhub_sans_io::ConnectionId;
 use std::collections::BTreeMap;
 
 /// What one peer knows of the orders.
--- a/crates/ledger/src/exchange/receive.rs
+++ b/crates/ledger/src/exchange/receive.rs
@@ -8,7 +8,7 @@
 use mulleinhub_protocol::{self as protocol, Bad, Conversation, Frames, Message, Side, decode};
 use mulleinhub_quota::Wanted;
 use mulleinhub_replicated_log::{LogId, Name, Parts};
-use mulleinhub_seam::ConnectionId;
+use mulleinhub_sans_io::ConnectionId;
 
 /// Frames of one peer that are decoded in a turn.
 const MAX_FRAMES: usize = 64;
--- a/crates/ledger/src/exchange/replication.rs
+++ b/crates/ledger/src/exchange/replication.rs
@@ -10,7 +10,7 @@
 use mulleinhub_protocol::{self as protocol, Bad, Message};
 use mulleinhub_quota::Phase;
 use mulleinhub_replicated_log::{Digest, Kind, LogHead, LogId};
-use mulleinhub_seam::ConnectionId;
+use mulleinhub_sans_io::ConnectionId;
 use std::collections::BTreeSet;
 
 /// Bytes of rows in one message. A single row may be longer: it goes in several pieces.
--- a/crates/ledger/src/exchange/share_transfer.rs
+++ b/crates/ledger/src/exchange/share_transfer.rs
@@ -4,7 +4,7 @@
 use mulleinhub_protocol::Message;
 use mulleinhub_quota::{Reply, Wanted};
 use mulleinhub_replicated_log::{Name, Parts};
-use mulleinhub_seam::ConnectionId;
+use mulleinhub_sans_io::ConnectionId;
 
 impl Exchange {
     /// A member asks for a part of our share.
--- a/crates/ledger/src/exchange/work_logs.rs
+++ b/crates/ledger/src/exchange/work_logs.rs
@@ -11,7 +11,7 @@
 use mulleinhub_interface::Duration;
 use mulleinhub_protocol::{self as protocol, Bad, Message, SideLog};
 use mulleinhub_replicated_log::{Digest, Kind, LogHead, MemberState, Name};
-use mulleinhub_seam::ConnectionId;
+use mulleinhub_sans_io::ConnectionId;
 
 /// Least time between two looks at who can be a replica.
 const CHOICE_INTERVAL: Duration = Duration::from_nanos(200_000_000);
--- a/crates/ledger/src/threads.rs
+++ b/crates/ledger/src/threads.rs
@@ -7,10 +7,10 @@
 use crate::exchange::{Exchange, Member};
 use crate::shared_pools::SharedPools;
 use crate::store::Store;
+use mulleinhub_event_loop::{Clock, EventLoop, Waker};
 use mulleinhub_quota::Settings;
 use mulleinhub_replicated_log::{Changes, Order, Reached};
-use mulleinhub_seam::ListenerId;
-use mulleinhub_shell::{Clock, EventLoop, Waker};
+use mulleinhub_sans_io::ListenerId;
 use std::net::SocketAddr;
 use std::path::Path;
 use std::sync::atomic::{AtomicI64, Ordering};
--- a/crates/load/src/busy.rs
+++ b/crates/load-test/src/busy.rs
@@ -3,7 +3,7 @@
 use hdrhistogram::Histogram;
 use mulleinhub_interface::{Duration, Timestamp};
 use mulleinhub_protocol::{self as protocol, Conversation, Frames, Message, Shape};
-use mulleinhub_seam::{CloseReason, ConnectionId, Connections, ListenerId, StateMachine, Timers};
+use mulleinhub_sans_io::{CloseReason, ConnectionId, Connections, ListenerId, StateMachine, Timers};
 use std::collections::BTreeMap;
 
 #[derive(Clone, Debug)]
--- a/crates/load/src/crowd_host.rs
+++ b/crates/load-test/src/crowd_host.rs
@@ -3,9 +3,9 @@
 //! `grow N`, `speak` and `end` come in; `up N` goes out, ten times a
 //! second.
 
+use mulleinhub_emulators::{Crowd, CrowdSettings};
+use mulleinhub_event_loop::EventLoop;
 use mulleinhub_interface::Duration;
-use mulleinhub_shell::EventLoop;
-use mulleinhub_standins::{Crowd, CrowdSettings};
 use std::io::{BufRead, Write};
 use std::net::SocketAddr;
 use std::process::{Child, ChildStdin, Command, Stdio};
@@ -22,7 +22,7 @@
 /// Where the system has no poll for it, or its output is gone.
 pub fn host(number: usize, planners: &[SocketAddr], rate: f64) -> Result<(), String> {
     // Addresses in turn, so that no one of them runs out of ports.
-    let most = mulleinhub_shell::descriptors().unwrap_or(1 << 20);
+    let most = mulleinhub_event_loop::descriptors().unwrap_or(1 << 20);
     let froms = most.div_ceil(FROM_ONE).clamp(1, 200);
     let to = (0..froms)
         .flat_map(|f| planners.iter().map(move |to| format!("{to} from 127.0.{}.{}", 10 + number, 1 + f)))
--- a/crates/load/src/planners.rs
+++ b/crates/load-test/src/planners.rs
@@ -1,8 +1,8 @@
 //! The planners of a campaign, each with an address of its own.
 
 use crate::process::{PlannerProcess, kib};
-use mulleinhub_day::Day;
-use mulleinhub_runner::planner_text;
+use mulleinhub_scenario::Day;
+use mulleinhub_simulation::planner_text;
 use std::net::{Ipv4Addr, SocketAddr, TcpListener};
 use std::path::Path;
 
--- a/crates/load/src/stage_host.rs
+++ b/crates/load-test/src/stage_host.rs
@@ -1,11 +1,11 @@
 //! A day with real sockets: the stage in this process, each planner in one of its own.
 
 use crate::process::{PlannerProcess, Usage};
-use mulleinhub_day::{Behind, Day, Fate, PlannerDeed, Progress, Score, Stage};
+use mulleinhub_event_loop::EventLoop;
 use mulleinhub_interface::Timestamp;
 use mulleinhub_planner::BooksText;
-use mulleinhub_runner::planner_text;
-use mulleinhub_shell::EventLoop;
+use mulleinhub_scenario::{Behind, Day, Fate, PlannerDeed, Progress, Score, Stage};
+use mulleinhub_simulation::planner_text;
 use rustix::process::Signal;
 use std::fs::File;
 use std::io::{BufWriter, Write};
--- a/crates/load/src/town.rs
+++ b/crates/load-test/src/town.rs
@@ -1,9 +1,9 @@
 //! Machines and a list service behind real sockets, in a thread of their own: a day's stage without owners.
 
-use mulleinhub_day::{Behind, Day, PlannerDeed, Stage, parse_day};
+use mulleinhub_event_loop::EventLoop;
 use mulleinhub_interface::Duration;
+use mulleinhub_scenario::{Behind, Day, PlannerDeed, Stage, parse_day};
 use mulleinhub_settings::{Faults, parse_text};
-use mulleinhub_shell::EventLoop;
 use std::net::{Ipv4Addr, SocketAddr};
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, Ordering};
--- a/crates/planner/src/books.rs
+++ b/crates/planner/src/books.rs
@@ -4,7 +4,7 @@
 use mulleinhub_quota::{Months, Prices, Settings, Team};
 use mulleinhub_replicated_log::{Name, Order, Site, Subject, Word};
 use mulleinhub_settings::{Args, Directive, Faults, Name as NameValue, Scope, parse_text};
-use mulleinhub_terms::{BooksTerms, SiteTerms, read_books};
+use mulleinhub_workload_settings::{BooksTerms, SiteTerms, read_books};
 use std::net::SocketAddr;
 use std::path::PathBuf;
 
--- a/crates/planner/src/conf.rs
+++ b/crates/planner/src/conf.rs
@@ -5,7 +5,9 @@
 use mulleinhub_interface::Duration;
 use mulleinhub_interface::{AcceptanceRules, Discovery, LocalityCosts, SlowStart, ZoneId};
 use mulleinhub_settings::{Bytes, Directive, Faults, Name, Place, Scope, parse, parse_text};
-use mulleinhub_terms::{BooksTerms, Case, Kind, Rules, SiteTerms, read_case, read_kind, read_rules};
+use mulleinhub_workload_settings::{
+    BooksTerms, Case, Kind, Rules, SiteTerms, read_case, read_kind, read_rules,
+};
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 
--- a/crates/planner/src/daemon.rs
+++ b/crates/planner/src/daemon.rs
@@ -4,11 +4,11 @@
 use crate::conf::{Conf, LogFormat, read_conf};
 use crate::metrics::Metrics;
 use mulleinhub_engine::Engine;
+use mulleinhub_event_loop::{Clock, EventLoop, Step};
 use mulleinhub_interface::{Timestamp, mix};
 use mulleinhub_ledger::{AdmissionHandle, Running, Start};
 use mulleinhub_replicated_log::Order;
-use mulleinhub_seam::{CloseReason, ConnectionId, Connections, ListenerId, StateMachine};
-use mulleinhub_shell::{Clock, EventLoop, Step};
+use mulleinhub_sans_io::{CloseReason, ConnectionId, Connections, ListenerId, StateMachine};
 use signal_hook::consts::{SIGHUP, SIGINT, SIGTERM};
 use std::collections::BTreeMap;
 use std::path::{Path, PathBuf};
@@ -95,7 +95,7 @@
     fn poll(&mut self, now: Timestamp) {
         let began = Instant::now();
         self.engine.poll(now);
-        self.engine.turn_took(now, mulleinhub_shell::span(began.elapsed()));
+        self.engine.turn_took(now, mulleinhub_event_loop::span(began.elapsed()));
     }
 
     fn next_wakeup(&self) -> Option<Timestamp> {
@@ -186,7 +186,7 @@
         engine = engine.with_quota(Box::new(AdmissionHandle::new(running.shelf.clone(), &of.settings)));
         books = Some(running);
     }
-    if let Some(most) = mulleinhub_shell::descriptors() {
+    if let Some(most) = mulleinhub_event_loop::descriptors() {
         engine.descriptors(most);
     }
     let daemon = Daemon { engine, metrics: Metrics, readers: BTreeMap::new() };
--- a/crates/planner/src/platform.rs
+++ b/crates/planner/src/platform.rs
@@ -2,10 +2,10 @@
 
 use crate::LogFormat;
 use crate::daemon::start_log;
+use mulleinhub_event_loop::{EventLoop, Step, span};
 use mulleinhub_interface::Timestamp;
 use mulleinhub_platform::{Conf, Platform};
-use mulleinhub_seam::ListenerId;
-use mulleinhub_shell::{EventLoop, Step, span};
+use mulleinhub_sans_io::ListenerId;
 use signal_hook::consts::{SIGHUP, SIGINT, SIGTERM};
 use std::io::ErrorKind;
 use std::net::SocketAddr;
@@ -49,7 +49,7 @@
     let mut conf = read(&path)?;
     // What the system allows binds, where it is less than was told.
     conf.descriptors =
-        mulleinhub_shell::descriptors().map_or(conf.descriptors, |most| most.min(conf.descriptors));
+        mulleinhub_event_loop::descriptors().map_or(conf.descriptors, |most| most.min(conf.descriptors));
     let listen = std::env::var("LB_LISTEN").unwrap_or_else(|_| conf.listen.clone());
     let listen = listen.parse().map_err(|_| format!("LB_LISTEN: {listen:?} is no address and port"))?;
     start_log(LogFormat::Text);
--- a/crates/platform/src/conf.rs
+++ b/crates/platform/src/conf.rs
@@ -1,7 +1,7 @@
 //! The configuration that the platform gives.
 
 use mulleinhub_platform_protocol::{Known, known};
-use mulleinhub_site::Site;
+use mulleinhub_platform_settings::Site;
 use serde_json::Value;
 
 /// All that a scheduler is started with.
--- a/crates/platform/src/desk.rs
+++ b/crates/platform/src/desk.rs
@@ -11,10 +11,10 @@
 use mulleinhub_limits::{
     Admission, Doorway, Limits, MOST_CONNECTIONS, Pool, connections_to_machines, tasks_held, tasks_in_hand,
 };
-use mulleinhub_pacing::{HEARTBEAT, PauseDetector, again};
 use mulleinhub_platform_protocol::{self as protocol, Cause, Event, kind, why};
-use mulleinhub_seam::{CloseReason, ConnectionId, Connections, Timers};
-use mulleinhub_site::Site;
+use mulleinhub_platform_settings::Site;
+use mulleinhub_resilience::{HEARTBEAT, PauseDetector, backoff};
+use mulleinhub_sans_io::{CloseReason, ConnectionId, Connections, Timers};
 use std::collections::VecDeque;
 use std::sync::Arc;
 
@@ -591,7 +591,7 @@
 
     /// It is looked at from now on, as long as there is anything to look after.
     pub fn look_after(&mut self, id: MachineId) {
-        let drawn = self.now + again::sign(self.patience.look * 2.0, self.chance.part());
+        let drawn = self.now + backoff::sign(self.patience.look * 2.0, self.chance.part());
         if let Some(machine) = self.machines.by_id.get_mut(&id)
             && !std::mem::replace(&mut machine.looked_after, true)
         {
@@ -845,7 +845,7 @@
         if failures == 0 {
             self.open_watch();
         } else {
-            let wait = again::after_failures(watch::AGAIN, failures - 1, self.chance.part());
+            let wait = backoff::after_failures(watch::AGAIN, failures - 1, self.chance.part());
             self.timers.set(self.now + wait, Due::OpenWatch);
         }
     }
--- a/crates/platform/src/handover.rs
+++ b/crates/platform/src/handover.rs
@@ -3,7 +3,7 @@
 
 use mulleinhub_interface::{Duration, MachineId, TaskId, TaskSpec, Timestamp};
 use mulleinhub_platform_protocol::Cause;
-use mulleinhub_seam::ConnectionId;
+use mulleinhub_sans_io::ConnectionId;
 use std::collections::{BTreeMap, VecDeque};
 
 /// For so long a hand-over waits until a list names its machine: lists reach schedulers up to some two
--- a/crates/platform/src/hear.rs
+++ b/crates/platform/src/hear.rs
@@ -13,11 +13,11 @@
     Timestamp, UseCaseId, ZoneId,
 };
 use mulleinhub_limits::Act;
-use mulleinhub_pacing::again;
 use mulleinhub_platform_protocol::{
     self as protocol, Bad, Cause, Frame, Listed, SetUp, Unusable, Why, kind, why,
 };
-use mulleinhub_seam::{CloseReason, ConnectionId, Unsent};
+use mulleinhub_resilience::backoff;
+use mulleinhub_sans_io::{CloseReason, ConnectionId, Unsent};
 use std::cell::RefCell;
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -844,9 +844,9 @@
             // A want of ours proves nothing of the machine.
             machine.retry_at = now + d.patience.look;
         } else if connection.up {
-            machine.retry_at = now + again::after_end(d.patience.again, drawn);
+            machine.retry_at = now + backoff::after_end(d.patience.again, drawn);
         } else {
-            machine.retry_at = now + again::after_failures(d.patience.again, machine.failures, drawn);
+            machine.retry_at = now + backoff::after_failures(d.patience.again, machine.failures, drawn);
             machine.failures += 1;
             // A process that dies resets its connections. Met: machines that drain refuse new ones, and what
             // stood there was taken for lost.
--- a/crates/platform/src/lib.rs
+++ b/crates/platform/src/lib.rs
@@ -24,7 +24,7 @@
 use desk::{Desk, Due};
 use mulleinhub::PlacementPolicy;
 use mulleinhub_interface::{Policy, Timestamp};
-use mulleinhub_seam::{CloseReason, ConnectionId, Connections, ListenerId, StateMachine};
+use mulleinhub_sans_io::{CloseReason, ConnectionId, Connections, ListenerId, StateMachine};
 use pen::Pen;
 use std::cell::RefCell;
 
--- a/crates/platform/src/machines.rs
+++ b/crates/platform/src/machines.rs
@@ -4,9 +4,9 @@
 //! connection to itself while the bound on connections allows it, and set-ups share when it does not.
 
 use mulleinhub_interface::{Duration, MachineEntry, MachineId, MachineState, TaskId, Timestamp};
-use mulleinhub_pacing::SlowStartGate;
 use mulleinhub_platform_protocol::Frames;
-use mulleinhub_seam::{CloseReason, ConnectionId};
+use mulleinhub_resilience::SlowStartGate;
+use mulleinhub_sans_io::{CloseReason, ConnectionId};
 use std::collections::{BTreeMap, VecDeque};
 
 /// Set-ups given up on one connection that are remembered there: a yes to one of them is a late one.
--- a/crates/platform/src/owners.rs
+++ b/crates/platform/src/owners.rs
@@ -2,7 +2,7 @@
 
 use mulleinhub_interface::{TaskId, Timestamp};
 use mulleinhub_platform_protocol::{Cause, Frames};
-use mulleinhub_seam::{CloseReason, ConnectionId};
+use mulleinhub_sans_io::{CloseReason, ConnectionId};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
 #[derive(Debug)]
--- a/crates/platform/src/stories/crossings.rs
+++ b/crates/platform/src/stories/crossings.rs
@@ -4,7 +4,7 @@
 use super::rig::*;
 use mulleinhub_interface::Duration;
 use mulleinhub_platform_protocol::{code, kind, why};
-use mulleinhub_seam::{CloseReason, ConnectionId, StateMachine};
+use mulleinhub_sans_io::{CloseReason, ConnectionId, StateMachine};
 use std::collections::BTreeSet;
 
 #[test]
--- a/crates/platform/src/stories/fleet.rs
+++ b/crates/platform/src/stories/fleet.rs
@@ -3,7 +3,7 @@
 use super::rig::*;
 use mulleinhub_interface::Duration;
 use mulleinhub_platform_protocol::{code, kind, why};
-use mulleinhub_seam::{ConnectionId, ListenerId, StateMachine};
+use mulleinhub_sans_io::{ConnectionId, ListenerId, StateMachine};
 use std::collections::BTreeSet;
 
 /// Descriptors that the rig's configuration gives, and what of them is owners' and our own.
@@ -147,7 +147,7 @@
     rig.say(connection, &yes(2));
     assert_eq!(rig.heard_on(owner)[0].kind, kind::ANSWER);
     // And for longer: what stands is not called lost for it, before silence tells.
-    rig.end(connection, mulleinhub_seam::CloseReason::Closed);
+    rig.end(connection, mulleinhub_sans_io::CloseReason::Closed);
     rig.doors.insert(address(1), Entrance::Untried);
     rig.pass(Duration::from_secs(6));
     assert!(rig.heard_on(owner).is_empty(), "they stand");
--- a/crates/platform/src/stories/large_lists.rs
+++ b/crates/platform/src/stories/large_lists.rs
@@ -2,7 +2,7 @@
 
 use super::rig::*;
 use mulleinhub_platform_protocol::kind;
-use mulleinhub_seam::ConnectionId;
+use mulleinhub_sans_io::ConnectionId;
 
 const FLEET: u64 = 10_000;
 
--- a/crates/platform/src/stories/mod.rs
+++ b/crates/platform/src/stories/mod.rs
@@ -9,7 +9,7 @@
 
 use mulleinhub_interface::{Duration, Timestamp};
 use mulleinhub_platform_protocol::{code, kind, why};
-use mulleinhub_seam::{CloseReason, ConnectionId};
+use mulleinhub_sans_io::{CloseReason, ConnectionId};
 use rig::*;
 
 /// Places a task: the owner's connection, and the one to the machine.
--- a/crates/platform/src/stories/ramp.rs
+++ b/crates/platform/src/stories/ramp.rs
@@ -6,7 +6,7 @@
 use mulleinhub::{Pcg, mix};
 use mulleinhub_interface::{Duration, Timestamp};
 use mulleinhub_platform_protocol::why;
-use mulleinhub_seam::ConnectionId;
+use mulleinhub_sans_io::ConnectionId;
 use std::collections::BTreeMap;
 
 const FALL: Duration = Duration::from_secs(1);
--- a/crates/platform/src/stories/rig.rs
+++ b/crates/platform/src/stories/rig.rs
@@ -4,7 +4,7 @@
 use crate::{Conf, Platform};
 use mulleinhub_interface::{Duration, Timestamp};
 use mulleinhub_platform_protocol::{Frames, code, kind, write_message};
-use mulleinhub_seam::{CloseReason, Command, ConnectionId, ListenerId, StateMachine};
+use mulleinhub_sans_io::{CloseReason, Command, ConnectionId, ListenerId, StateMachine};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// A message as it was written, for looking at.
--- a/crates/platform/src/stories/rules.rs
+++ b/crates/platform/src/stories/rules.rs
@@ -4,7 +4,7 @@
 use mulleinhub::Pcg;
 use mulleinhub_interface::{Duration, Timestamp};
 use mulleinhub_platform_protocol::{kind, why};
-use mulleinhub_seam::{CloseReason, ConnectionId, StateMachine};
+use mulleinhub_sans_io::{CloseReason, ConnectionId, StateMachine};
 use std::collections::BTreeMap;
 
 /// What the oracle knows of a task from what passed.
--- a/crates/platform/src/tasks.rs
+++ b/crates/platform/src/tasks.rs
@@ -1,7 +1,7 @@
 //! Tasks in hand, and their sends.
 
 use mulleinhub_interface::{MachineId, TaskId, TaskSpec, Timestamp};
-use mulleinhub_seam::ConnectionId;
+use mulleinhub_sans_io::ConnectionId;
 use std::collections::BTreeMap;
 
 /// What goes on to a machine unchanged. It is let go once the task stands.
--- a/crates/platform/src/watch.rs
+++ b/crates/platform/src/watch.rs
@@ -2,7 +2,7 @@
 
 use mulleinhub_interface::{Duration, Timestamp};
 use mulleinhub_platform_protocol::{Bad, Event, Head, Stream, event};
-use mulleinhub_seam::ConnectionId;
+use mulleinhub_sans_io::ConnectionId;
 
 /// A comment comes each second; so long without one is a standstill of the other side.
 pub const SILENCE: Duration = Duration::from_nanos(2_200_000_000);
--- a/crates/replay/src/bound.rs
+++ b/crates/replay/src/bound.rs
@@ -1,9 +1,9 @@
 //! What could be earned at the most if nothing but room counted: no starts, no spreading, no knowledge to
 //! gain.
 
-use mulleinhub_day::Day;
+use mulleinhub_emulators::Worth;
 use mulleinhub_interface::{Duration, Resources, Timestamp};
-use mulleinhub_standins::Worth;
+use mulleinhub_scenario::Day;
 
 /// Steps of the clock in which the bound is computed.
 const STEPS: u64 = 300;
--- a/crates/replay/src/build.rs
+++ b/crates/replay/src/build.rs
@@ -1,11 +1,11 @@
 //! A day of a trace: its machines as kinds and racks, its tasks as what owners want.
 
-use mulleinhub_day::{Day, Fleet, Spot, parse_day};
+use mulleinhub_emulators::{Planned, UseBook, UsePart, planned_key};
 use mulleinhub_interface::{Duration, Resources};
+use mulleinhub_scenario::{Day, Fleet, Spot, parse_day};
 use mulleinhub_settings::{Directive, Faults, Place, parse_text};
-use mulleinhub_standins::{Planned, UseBook, UsePart, planned_key};
-use mulleinhub_terms::Kind;
 use mulleinhub_trace::{Mapping, Work, read_mapping};
+use mulleinhub_workload_settings::Kind;
 use serde::Serialize;
 use std::collections::BTreeMap;
 use std::sync::Arc;
--- a/crates/replay/src/play.rs
+++ b/crates/replay/src/play.rs
@@ -1,9 +1,9 @@
 //! One replay in virtual time, and what it came to.
 
-use mulleinhub_day::{Day, Look, Score};
+use mulleinhub_checker::Verdict;
 use mulleinhub_interface::Timestamp;
-use mulleinhub_runner::{Rule, Runner};
-use mulleinhub_verdict::Verdict;
+use mulleinhub_scenario::{Day, Look, Score};
+use mulleinhub_simulation::{Rule, Runner};
 use std::io::{BufReader, BufWriter, Seek, Write};
 
 /// How things were at an instant.
@@ -44,6 +44,6 @@
     out.flush().map_err(words)?;
     let mut file = out.into_inner().map_err(|e| format!("a file for the capture: {e}"))?;
     file.rewind().map_err(words)?;
-    let verdict = mulleinhub_verdict::judge(BufReader::new(file)).map_err(|e| format!("the capture: {e}"))?;
+    let verdict = mulleinhub_checker::judge(BufReader::new(file)).map_err(|e| format!("the capture: {e}"))?;
     Ok(Outcome { score, verdict, points })
 }
--- a/crates/replay/src/report.rs
+++ b/crates/replay/src/report.rs
@@ -4,8 +4,8 @@
 use crate::bound::Bound;
 use crate::build::{LeftOut, Replay};
 use crate::play::{Outcome, Point};
+use mulleinhub_checker::Verdict;
 use mulleinhub_trace::{Mix, Spread, Work};
-use mulleinhub_verdict::Verdict;
 use plotters::prelude::*;
 use serde::Serialize;
 use std::collections::BTreeMap;
--- a/crates/replay/tests/replays.rs
+++ b/crates/replay/tests/replays.rs
@@ -1,8 +1,8 @@
 //! Whole replays of made traces, in virtual time.
 
 use mulleinhub_replay::*;
-use mulleinhub_runner::Rule;
 use mulleinhub_settings::{Faults, parse_text};
+use mulleinhub_simulation::Rule;
 use mulleinhub_trace::*;
 use std::path::Path;
 
--- a/crates/pacing/src/lib.rs
+++ b/crates/resilience/src/lib.rs
@@ -4,7 +4,7 @@
 //! For: the engine and the platform's party.
 //! May not touch: frames, connections, any choice of the module.
 
-pub mod again;
+pub mod backoff;
 mod cold;
 mod standstill;
 
--- a/crates/scale/src/ledgers/fleet.rs
+++ b/crates/scale/src/ledgers/fleet.rs
@@ -10,7 +10,7 @@
 use crate::profile::{Cut, Profile, RunPlan};
 use mulleinhub_interface::{Duration, Pcg, Timestamp};
 use mulleinhub_protocol::{Frames, Message, decode};
-use mulleinhub_seam::{CloseReason, Command, ConnectionId, Timers};
+use mulleinhub_sans_io::{CloseReason, Command, ConnectionId, Timers};
 use std::collections::BTreeMap;
 
 /// When all begins: the first instants of a clock are special to nobody.
--- a/crates/scale/src/ledgers/member.rs
+++ b/crates/scale/src/ledgers/member.rs
@@ -9,7 +9,7 @@
 use mulleinhub_replicated_log::{
     Change, Changes, Digest, Kept, KeptLogs, Kind, LogId, Name, Order, Reached, Site, Subject, Word,
 };
-use mulleinhub_seam::{CloseReason, Command, ConnectionId, ListenerId, StateMachine};
+use mulleinhub_sans_io::{CloseReason, Command, ConnectionId, ListenerId, StateMachine};
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
--- a/crates/scale/src/ledgers/network.rs
+++ b/crates/scale/src/ledgers/network.rs
@@ -7,7 +7,7 @@
 use super::member::Place;
 use crate::profile::{Cut, Profile, RoundTrips};
 use mulleinhub_interface::{Duration, Pcg};
-use mulleinhub_seam::ConnectionId;
+use mulleinhub_sans_io::ConnectionId;
 use std::collections::{BTreeMap, BTreeSet};
 
 /// A connection, by a number that is never used again.
--- a/crates/scale/src/planners/client.rs
+++ b/crates/scale/src/planners/client.rs
@@ -2,10 +2,10 @@
 
 use super::scenario::Scenario;
 use super::settings::TASK_ROOM;
+use mulleinhub_emulators::Dice;
 use mulleinhub_interface::{Duration, Timestamp};
 use mulleinhub_protocol::Shape;
-use mulleinhub_seam::ConnectionId;
-use mulleinhub_standins::Dice;
+use mulleinhub_sans_io::ConnectionId;
 use std::collections::BTreeMap;
 
 /// Tasks that one service asks for.
--- a/crates/scale/src/planners/real_host.rs
+++ b/crates/scale/src/planners/real_host.rs
@@ -7,10 +7,10 @@
 use super::settings::{self, ProcessPlaces, scheduler_name};
 use super::surroundings::{LIST_DOOR, Surroundings};
 use super::traffic::SchedulerTraffic;
+use mulleinhub_event_loop::EventLoop;
 use mulleinhub_interface::Timestamp;
-use mulleinhub_load::PlannerProcess;
-use mulleinhub_seam::ListenerId;
-use mulleinhub_shell::EventLoop;
+use mulleinhub_load_test::PlannerProcess;
+use mulleinhub_sans_io::ListenerId;
 use std::collections::VecDeque;
 use std::net::{Ipv4Addr, SocketAddr, TcpListener};
 use std::path::{Path, PathBuf};
@@ -92,7 +92,7 @@
         return Err(format!("schedulers: {schedulers} processes, {MOST_PROCESSES} at most"));
     }
     let wanted = workers + workers * schedulers + 2 * schedulers + SPARE_DESCRIPTORS;
-    match mulleinhub_shell::descriptors() {
+    match mulleinhub_event_loop::descriptors() {
         Some(most) if wanted > most => Err(format!(
             "{workers} listeners and {schedulers} x {workers} connections want {wanted} descriptors, \
              {most} are allowed"
--- a/crates/scale/src/planners/surroundings.rs
+++ b/crates/scale/src/planners/surroundings.rs
@@ -7,10 +7,10 @@
 use super::settings::{CLIENT_TIMEOUT_SECONDS, WORKER_MEMORY, scheduler_name, scheduler_number};
 use super::traffic::{Peer, SchedulerTraffic};
 use super::worker::{SendId, Worker};
+use mulleinhub_emulators::{Fact, ListService, ListSettings};
 use mulleinhub_interface::{Duration, Timestamp};
 use mulleinhub_protocol::{self as protocol, Bad, Conversation, Ending, Frames, Message, Reason, Spare};
-use mulleinhub_seam::{CloseReason, Command, ConnectionId, Connections, ListenerId, StateMachine, Timers};
-use mulleinhub_standins::{Fact, ListService, ListSettings};
+use mulleinhub_sans_io::{CloseReason, Command, ConnectionId, Connections, ListenerId, StateMachine, Timers};
 
 /// How long a worker looks at an offer, and how long a start takes.
 const LOOK: Duration = Duration::from_nanos(1_000_000);
--- a/crates/scale/src/planners/virtual_host.rs
+++ b/crates/scale/src/planners/virtual_host.rs
@@ -12,7 +12,7 @@
 use mulleinhub_engine::{Counts, Engine, Settings as EngineSettings};
 use mulleinhub_interface::{Duration, Timestamp};
 use mulleinhub_planner::conf_of_text;
-use mulleinhub_seam::{CloseReason, Command, ConnectionId, Connections, ListenerId, StateMachine};
+use mulleinhub_sans_io::{CloseReason, Command, ConnectionId, Connections, ListenerId, StateMachine};
 use std::cmp::Reverse;
 use std::collections::{BTreeSet, BinaryHeap, VecDeque};
 
--- a/crates/scale/src/planners/worker.rs
+++ b/crates/scale/src/planners/worker.rs
@@ -3,7 +3,7 @@
 use super::settings::{WORKER_CORES, WORKER_MEMORY};
 use mulleinhub_interface::Resources;
 use mulleinhub_protocol::{Ending, Held as HeldFrame, Shape};
-use mulleinhub_seam::ConnectionId;
+use mulleinhub_sans_io::ConnectionId;
 
 /// Names a send of a scheduler, at the worker that it went to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
--- a/crates/day/src/script.rs
+++ b/crates/scenario/src/script.rs
@@ -3,11 +3,11 @@
 use crate::stage::{MOST_MACHINES, MOST_PLANNERS};
 use crate::trouble::Trouble;
 use garde::Validate;
+use mulleinhub_emulators::{Planned, UseBook, Worth};
 use mulleinhub_interface::Idempotency;
 use mulleinhub_interface::{Duration, Timestamp};
 use mulleinhub_settings::{Args, Directive, Faults, Place, Range, Scope, Value};
-use mulleinhub_standins::{Planned, UseBook, Worth};
-use mulleinhub_terms::{
+use mulleinhub_workload_settings::{
     BooksTerms, Case, Kind, Rules, SiteTerms, check, places, range_or, read_books, read_case, read_kind,
     read_rules,
 };
@@ -432,7 +432,7 @@
 
     /// What the day does, in words, a line each.
     pub fn explain(&self) -> Vec<String> {
-        let span = mulleinhub_terms::show_span;
+        let span = mulleinhub_workload_settings::show_span;
         let mut lines = vec![format!(
             "{}: {} long, {} planners, {} machines ({} spare) in {} racks and {} halls, \
              {} owners, {} new tasks a second",
--- a/crates/day/src/stage.rs
+++ b/crates/scenario/src/stage.rs
@@ -4,15 +4,15 @@
 use crate::tap::{At, Parcel, Pipe, To, Way, Weather};
 use crate::trouble::{Far, Store, Struck, Target, Trouble, What};
 use mulleinhub_capture::{self as capture, Deed, Record, Recorder, Side};
-use mulleinhub_interface::{Duration, Timestamp};
-use mulleinhub_interface::{FailureDomain, Idempotency, Resources};
-use mulleinhub_seam::{CloseReason, Command, ConnectionId, Connections, ListenerId, StateMachine};
-use mulleinhub_settings::Range;
-use mulleinhub_standins::{
+use mulleinhub_emulators::{
     CaseModel, Crowd, CrowdSettings, CrowdTally, Dice, Drain, Fact, ListPlight, ListService, ListSettings,
     Load, Machine, MachineSettings, Owner, OwnerSettings, OwnerTally, Plight, Rack, ServiceCase, Tally,
     Worth,
 };
+use mulleinhub_interface::{Duration, Timestamp};
+use mulleinhub_interface::{FailureDomain, Idempotency, Resources};
+use mulleinhub_sans_io::{CloseReason, Command, ConnectionId, Connections, ListenerId, StateMachine};
+use mulleinhub_settings::Range;
 use std::collections::{BTreeMap, BTreeSet};
 use std::io::Write;
 
--- a/crates/day/src/tap.rs
+++ b/crates/scenario/src/tap.rs
@@ -5,7 +5,7 @@
 
 use mulleinhub_interface::{Duration, Timestamp};
 use mulleinhub_protocol::Frames;
-use mulleinhub_seam::{CloseReason, ConnectionId};
+use mulleinhub_sans_io::{CloseReason, ConnectionId};
 use std::collections::VecDeque;
 
 /// So many bytes a way takes in before the sender has to wait, as a socket's buffers would.
--- a/crates/day/src/trouble.rs
+++ b/crates/scenario/src/trouble.rs
@@ -1,9 +1,9 @@
 //! Troubles: how a script states them, how they are said in words, and random ones.
 
+use mulleinhub_emulators::Dice;
 use mulleinhub_interface::Duration;
 use mulleinhub_settings::{Args, Directive, Faults, Range, Share, Value, suggest};
-use mulleinhub_standins::Dice;
-use mulleinhub_terms::show_span;
+use mulleinhub_workload_settings::show_span;
 
 /// What is struck.
 #[derive(Clone, Debug, PartialEq)]
--- a/crates/day/tests/books.rs
+++ b/crates/scenario/tests/books.rs
@@ -1,6 +1,6 @@
 //! Work logs and sites, as a day's script states them.
 
-use mulleinhub_day::{Day, parse_day};
+use mulleinhub_scenario::{Day, parse_day};
 use mulleinhub_settings::{Faults, parse};
 use std::path::Path;
 
--- a/crates/runner/src/books.rs
+++ b/crates/simulation/src/books.rs
@@ -5,7 +5,7 @@
 use mulleinhub_ledger::{AdmissionHandle, Exchange, SharedPools};
 use mulleinhub_planner::BooksConf;
 use mulleinhub_replicated_log::{Change, Changes, Digest, Kept, KeptLogs, Kind, LogId, Reached};
-use mulleinhub_seam::StateMachine;
+use mulleinhub_sans_io::StateMachine;
 use std::collections::{BTreeMap, VecDeque};
 use std::sync::Arc;
 
--- a/crates/runner/src/lib.rs
+++ b/crates/simulation/src/lib.rs
@@ -11,11 +11,11 @@
 
 use books::{Books, Disk};
 use mulleinhub_baselines::Baseline;
-use mulleinhub_day::{Behind, Day, Fate, PlannerDeed, Score, Stage, list_door};
 use mulleinhub_engine::{Counts, Engine};
 use mulleinhub_interface::{Duration, Pcg, Timestamp};
 use mulleinhub_planner::{BooksText, Conf, ConfText, conf_of_text, parse_orders};
-use mulleinhub_seam::{CloseReason, Command, ConnectionId, ListenerId, StateMachine};
+use mulleinhub_sans_io::{CloseReason, Command, ConnectionId, ListenerId, StateMachine};
+use mulleinhub_scenario::{Behind, Day, Fate, PlannerDeed, Score, Stage, list_door};
 use std::collections::{BTreeMap, BTreeSet};
 use std::io::Write;
 
--- a/crates/runner/tests/days.rs
+++ b/crates/simulation/tests/days.rs
@@ -1,9 +1,9 @@
 //! Whole days in virtual time, judged from their captures.
 
-use mulleinhub_day::{Day, parse_day};
-use mulleinhub_runner::Runner;
+use mulleinhub_checker::{Verdict, judge};
+use mulleinhub_scenario::{Day, parse_day};
 use mulleinhub_settings::{Faults, parse};
-use mulleinhub_verdict::{Verdict, judge};
+use mulleinhub_simulation::Runner;
 use std::path::Path;
 
 fn day(name: &str, seed: u64) -> Day {
--- a/crates/runner/tests/mutants.rs
+++ b/crates/simulation/tests/mutants.rs
@@ -2,12 +2,12 @@
 //! verdict must name that rule and the task or machine.
 
 use mulleinhub_capture::{Deed, Record, Recorder, Side, Terms, read};
-use mulleinhub_day::parse_day;
+use mulleinhub_checker::{Verdict, judge};
 use mulleinhub_interface::{Duration, Timestamp};
 use mulleinhub_protocol::{self as protocol, Ending, Entry, ListKind, Message, Mode, Shape};
-use mulleinhub_runner::Runner;
+use mulleinhub_scenario::parse_day;
 use mulleinhub_settings::{Faults, parse};
-use mulleinhub_verdict::{Verdict, judge};
+use mulleinhub_simulation::Runner;
 use std::collections::BTreeMap;
 use std::path::Path;
 use std::sync::LazyLock;
@@ -161,7 +161,7 @@
     for (n, ruling) in verdict.rules.iter().enumerate().filter(|(n, _)| *n != rule) {
         assert_eq!(ruling.breaches, [], "rule {} is not the broken one", n + 1);
     }
-    let names = |b: &&mulleinhub_verdict::Breach| {
+    let names = |b: &&mulleinhub_checker::Breach| {
         (task.is_none() || b.task == task) && (machine.is_none() || b.machine == machine)
     };
     let breaches = &verdict.rules[rule].breaches;
--- a/crates/versions/src/play.rs
+++ b/crates/versions/src/play.rs
@@ -1,10 +1,10 @@
 //! Pairs of versions on the same drawn days, over sockets, with planners as processes of either version.
 
 use crate::build::{program, root, tree, versions};
-use mulleinhub_day::{Day, parse_day};
+use mulleinhub_checker::{Verdict, judge};
 use mulleinhub_interface::Timestamp;
+use mulleinhub_scenario::{Day, parse_day};
 use mulleinhub_settings::{Faults, parse};
-use mulleinhub_verdict::{Verdict, judge};
 use std::io::BufReader;
 use std::os::unix::fs::PermissionsExt;
 use std::path::{Path, PathBuf};
@@ -130,7 +130,7 @@
     let programs = |planner: usize, now: Timestamp| -> Option<PathBuf> {
         Some(if fleet.is_new(planner, now, half) { new } else { old }.to_owned())
     };
-    let played = mulleinhub_load::play_over_sockets(day, &folder, &capture, &programs, |_, _| ());
+    let played = mulleinhub_load_test::play_over_sockets(day, &folder, &capture, &programs, |_, _| ());
     let (score, ..) = played.map_err(|words| format!("{fleet:?}, seed {seed}: {words}"))?;
     let file = std::fs::File::open(&capture).map_err(|error| format!("{}: {error}", capture.display()))?;
     let verdict = judge(BufReader::new(file)).map_err(|error| error.to_string())?;
@@ -154,7 +154,7 @@
     let rules = rules.filter(|(rule, _)| !rule.breaches.is_empty());
     let rules = rules.map(|(rule, name)| format!("{name}: {}", rule.breaches[0].words));
     let books = verdict.books.iter().flat_map(|books| &books.rules);
-    let books = books.zip(mulleinhub_verdict::BooksVerdict::NAMES);
+    let books = books.zip(mulleinhub_checker::BooksVerdict::NAMES);
     let books = books.filter(|(rule, _)| !rule.breaches.is_empty());
     rules.chain(books.map(|(rule, name)| format!("books {name}: {}", rule.breaches[0]))).collect()
 }
