--- a/crates/benchlink/src/main.rs
+++ b/crates/benchlink/src/main.rs
@@ -7,7 +7,7 @@
 
 use batch::{Batch, Line, Rosters};
 use mulleinhub::{PlacementPolicy, Timestamp};
-use mulleinhub_platform_settings::Site;
+use mulleinhub_platform_settings::PlatformSettings;
 use reporting::Reporting;
 use std::collections::BTreeMap;
 use std::io::{BufRead, Write};
@@ -48,10 +48,10 @@
     let seed = values.whole("salt")?;
     let config =
         serde_json::from_str(values.rest("config")?).map_err(|e| format!("HELLO: config is no JSON: {e}"))?;
-    let site = Site::read(&config).map_err(|bad| format!("HELLO: {bad}"))?;
-    let brain = site.brain(seed);
+    let site = PlatformSettings::from_json(&config).map_err(|bad| format!("HELLO: {bad}"))?;
+    let brain = site.placement_policy(seed);
     let use_cases = site.use_cases.len();
-    Ok((brain, Reporting { names: site.report, of_use: site.report_of_use, use_cases }))
+    Ok((brain, Reporting { names: site.report_fields, of_use: site.report_measures_usage, use_cases }))
 }
 
 /// One scheduler's part of a batch. What came before its last end is nobody's business any more.
--- a/crates/emulators/src/crowd.rs
+++ b/crates/emulators/src/crowd.rs
@@ -113,7 +113,7 @@
     fn open_from(&mut self, now: Timestamp, first: usize) {
         let gap = Duration::from_nanos((1e9 / self.settings.opens_a_second.max(1e-3)) as u64);
         for n in first..self.all.len() {
-            self.timers.set(now + gap * (n - first) as f64, Due::Open(n as u32));
+            self.timers.schedule(now + gap * (n - first) as f64, Due::Open(n as u32));
         }
     }
 
@@ -129,7 +129,7 @@
                 self.links.abort(link);
                 self.gone(n);
                 let wait = self.dice.span(Duration::ZERO, within);
-                self.timers.set(now + wait, Due::Open(n));
+                self.timers.schedule(now + wait, Due::Open(n));
             }
         }
     }
@@ -150,7 +150,7 @@
             let one = &mut self.all[n as usize];
             if one.up && one.slow.is_none() {
                 one.slow = Some(0);
-                self.timers.set(now, Due::Byte(n));
+                self.timers.schedule(now, Due::Byte(n));
             }
         }
     }
@@ -189,7 +189,7 @@
         let one = &mut self.all[n as usize];
         if let Some(link) = one.link.take() {
             self.by_link.remove(&link);
-            self.links.forget(link);
+            self.links.remove(link);
         }
         self.up -= usize::from(one.up);
         (one.up, one.frames, one.slow) = (false, Frames::default(), None);
@@ -213,7 +213,7 @@
                 one.silence = silence.map(Duration::from_nanos);
                 self.up += usize::from(!std::mem::replace(&mut one.up, true));
                 if let (Some(silence), Some(link)) = (one.silence, one.link) {
-                    self.timers.set(now + silence * 2.0, Due::Dead(n, link));
+                    self.timers.schedule(now + silence * 2.0, Due::Dead(n, link));
                 }
                 if self.up == self.all.len()
                     && let Some(since) = self.storm_at.take()
@@ -246,7 +246,7 @@
                 let one = &self.all[n as usize];
                 let Some(silence) = one.silence.filter(|_| one.link == Some(link)) else { return };
                 if one.heard + silence * 2.0 > now {
-                    return self.timers.set(one.heard + silence * 2.0, Due::Dead(n, link));
+                    return self.timers.schedule(one.heard + silence * 2.0, Due::Dead(n, link));
                 }
                 self.links.abort(link);
                 self.gone(n);
@@ -255,7 +255,7 @@
             Due::Byte(n) => {
                 self.next_byte(n);
                 if self.all[n as usize].slow.is_some() {
-                    self.timers.set(now + A_BYTE, Due::Byte(n));
+                    self.timers.schedule(now + A_BYTE, Due::Byte(n));
                 }
             }
         }
@@ -265,7 +265,7 @@
         let refusals = self.all[n as usize].refusals.saturating_sub(1).min(3);
         let within = self.settings.back_within * f64::from(1u32 << refusals);
         let wait = self.dice.span(Duration::ZERO, within);
-        self.timers.set(now + wait, Due::Open(n));
+        self.timers.schedule(now + wait, Due::Open(n));
     }
 }
 
@@ -314,14 +314,14 @@
         if !std::mem::replace(&mut self.begun, true) {
             self.open_from(now, 0);
         }
-        let mark = self.timers.mark();
-        while let Some(due) = self.timers.due_of(now, mark) {
+        let mark = self.timers.last_sequence();
+        while let Some(due) = self.timers.pop_due_up_to(now, mark) {
             self.is_due(now, due);
         }
     }
 
     fn next_wakeup(&self) -> Option<Timestamp> {
-        if self.begun { self.timers.next() } else { Some(Timestamp::default()) }
+        if self.begun { self.timers.next_wakeup() } else { Some(Timestamp::default()) }
     }
 
     fn connections(&mut self) -> &mut Connections {
--- a/crates/emulators/src/list.rs
+++ b/crates/emulators/src/list.rs
@@ -232,7 +232,7 @@
                 telling = Telling::new(self.version, telling.restarts + 1);
             }
             let at_once = telling.restarts >= MOST_RESTARTS;
-            if !at_once && self.links.unwritten(link) >= MOST_WAITING {
+            if !at_once && self.links.pending_bytes(link) >= MOST_WAITING {
                 return;
             }
             let is_last = self.tell_piece(now, link, told, &mut telling);
@@ -305,7 +305,7 @@
         protocol::encode(&Message::Bye { words }, &mut frame);
         self.links.send(link, &frame, None);
         self.watchers.remove(&link);
-        self.links.end(link);
+        self.links.close(link);
     }
 
     fn hear(&mut self, now: Timestamp, link: ConnectionId, message: &Message<'_>) -> Result<(), Bad> {
@@ -376,7 +376,7 @@
 
     fn on_closed(&mut self, _: Timestamp, link: ConnectionId, _: CloseReason) {
         self.watchers.remove(&link);
-        self.links.forget(link);
+        self.links.remove(link);
     }
 
     fn poll(&mut self, now: Timestamp) {
--- a/crates/emulators/src/owner.rs
+++ b/crates/emulators/src/owner.rs
@@ -270,7 +270,7 @@
 
     fn gone(&mut self, now: Timestamp, planner: usize, after: Duration) {
         self.desks[planner] = Desk { link: None, up: false, frames: Frames::default() };
-        self.timers.set(now + after, Due::Reconnect(planner));
+        self.timers.schedule(now + after, Due::Reconnect(planner));
     }
 
     fn new_service(&mut self, now: Timestamp) {
@@ -305,7 +305,7 @@
         let rate = (self.settings.rate * self.load.rate).max(1e-6);
         let wait = self.dice.wait(Duration::from_nanos((mean / rate * 1e9) as u64));
         if now + wait < self.settings.until {
-            self.timers.set(now + wait, Due::NewService);
+            self.timers.schedule(now + wait, Due::NewService);
         }
     }
 
@@ -314,7 +314,7 @@
         let planned = self.settings.planned.clone();
         for (n, task) in planned.iter().enumerate().skip(first) {
             if task.at > now {
-                return self.timers.set(task.at, Due::Planned(n));
+                return self.timers.schedule(task.at, Due::Planned(n));
             }
             let shape = Shape {
                 key: planned_key(self.settings.number, n),
@@ -336,7 +336,7 @@
         self.wants.insert(key, want);
         let start = self.worth.start(shape.use_case, shape.cores, shape.memory);
         self.tally.asked.add(shape.use_case, start);
-        self.timers.set(until, Due::Look(key));
+        self.timers.schedule(until, Due::Look(key));
         self.ask(now, key);
     }
 
@@ -354,7 +354,7 @@
         let Some(planner) = next else {
             let at = now + self.settings.reconnect;
             self.wants.get_mut(&key).expect("is wanted").state = State::Waiting { at };
-            self.timers.set(at, Due::Look(key));
+            self.timers.schedule(at, Due::Look(key));
             return;
         };
         let id = self.fresh_id(key);
@@ -364,7 +364,7 @@
         want.state = State::Asking { id, planner, until };
         let shape = want.shape;
         // Beyond the slack that the rules allow nothing comes any more.
-        self.timers.set(until + patience * 0.25, Due::Look(key));
+        self.timers.schedule(until + patience * 0.25, Due::Look(key));
         self.write(
             planner,
             &Message::Ask { task: id, shape, patience: patience.nanos(), clock: now.nanos() },
@@ -382,7 +382,7 @@
             return;
         }
         want.state = State::Waiting { at };
-        self.timers.set(at, Due::Look(key));
+        self.timers.schedule(at, Due::Look(key));
     }
 
     /// Longer after many failures.
@@ -481,7 +481,7 @@
                     let until = now + self.settings.settle;
                     self.wants.get_mut(&key).expect("is there").state =
                         State::HandingOver { id, planner, until };
-                    self.timers.set(until, Due::Look(key));
+                    self.timers.schedule(until, Due::Look(key));
                     self.tally.handed_over += 1;
                     self.write(planner, &Message::HandOver { task: id, shape, machine: *machine });
                 }
@@ -532,7 +532,7 @@
                 self.tally.placed += 1;
                 want.state = State::Placed { id, planner };
                 want.failures = 0;
-                self.timers.set(want.until.max(now), Due::Look(key));
+                self.timers.schedule(want.until.max(now), Due::Look(key));
             }
         }
     }
@@ -664,7 +664,7 @@
     }
 
     fn on_closed(&mut self, now: Timestamp, link: ConnectionId, _: CloseReason) {
-        self.links.forget(link);
+        self.links.remove(link);
         if let Some(planner) = self.desks.iter().position(|desk| desk.link == Some(link)) {
             self.gone(now, planner, self.settings.reconnect);
         }
@@ -677,11 +677,11 @@
             }
             let first = self.dice.span(Duration::ZERO, Duration::from_secs(1));
             match self.settings.planned.first() {
-                None => self.timers.set(now + first, Due::NewService),
-                Some(planned) => self.timers.set(planned.at, Due::Planned(0)),
+                None => self.timers.schedule(now + first, Due::NewService),
+                Some(planned) => self.timers.schedule(planned.at, Due::Planned(0)),
             }
         }
-        while let Some(due) = self.timers.due(now) {
+        while let Some(due) = self.timers.pop_due(now) {
             match due {
                 Due::NewService => self.new_service(now),
                 Due::Planned(n) => self.planned(now, n),
@@ -692,7 +692,7 @@
     }
 
     fn next_wakeup(&self) -> Option<Timestamp> {
-        if self.begun { self.timers.next() } else { Some(Timestamp::default()) }
+        if self.begun { self.timers.next_wakeup() } else { Some(Timestamp::default()) }
     }
 
     fn connections(&mut self) -> &mut Connections {
--- a/crates/emulators/src/rack.rs
+++ b/crates/emulators/src/rack.rs
@@ -126,7 +126,7 @@
         if let Some(Bad(words)) = bad {
             self.write(link, &Message::Bye { words: &words });
             self.callers.remove(&link);
-            self.links.end(link);
+            self.links.close(link);
         } else if let Some(caller) = self.callers.get_mut(&link) {
             caller.frames = frames;
         }
@@ -368,7 +368,7 @@
     }
 
     fn on_closed(&mut self, now: Timestamp, link: ConnectionId, _: CloseReason) {
-        self.links.forget(link);
+        self.links.remove(link);
         if let Some(Caller { machine, name: Some(planner), .. }) = self.callers.remove(&link) {
             self.machines[machine].forget_line(now, &planner);
         }
--- a/crates/emulators/tests/list.rs
+++ b/crates/emulators/tests/list.rs
@@ -58,7 +58,7 @@
     fn reads(&mut self, service: &mut ListService, most: usize) {
         let waits = service.connections().outgoing(self.link);
         let bytes = waits[..waits.len().min(most)].to_vec();
-        service.connections().wrote(self.link, bytes.len());
+        service.connections().mark_written(self.link, bytes.len());
         self.frames.take(&bytes);
         while let Some(frame) = self.frames.next_frame().expect("are frames") {
             match protocol::decode(frame).expect("are messages") {
@@ -92,7 +92,7 @@
     let mut planner = Planner::watches(&mut service, protocol::LIST_PIECES);
     service.observe(now, facts(FLEET, 1.0));
     service.poll(now);
-    assert!(service.connections().unwritten(planner.link) <= MOST_WAITING);
+    assert!(service.connections().pending_bytes(planner.link) <= MOST_WAITING);
     planner.reads_on(&mut service, &mut now);
     let [whole] = &planner.lists[..] else { panic!("{} lists", planner.lists.len()) };
     // Each change of a machine has a version of its own.
@@ -121,7 +121,7 @@
         service.poll(now);
         now = service.next_wakeup().expect("pieces are still to be told");
     }
-    assert!(service.connections().unwritten(planner.link) <= MOST_WAITING);
+    assert!(service.connections().pending_bytes(planner.link) <= MOST_WAITING);
 }
 
 #[test]
@@ -176,5 +176,8 @@
         ["2500 machines in a list, 2000 at most in one message; a planner that reads pieces gets it"]
     );
     let asks: Vec<Command> = std::iter::from_fn(|| service.connections().next_command()).collect();
-    assert!(matches!(asks[..], [Command::End { link, at_once: false }] if link == planner.link), "{asks:?}");
+    assert!(
+        matches!(asks[..], [Command::Close { connection: link, immediately: false }] if link == planner.link),
+        "{asks:?}"
+    );
 }
--- a/crates/engine/examples/idle.rs
+++ b/crates/engine/examples/idle.rs
@@ -57,9 +57,9 @@
         remember: Duration::from_secs(3600),
         start_wait: Duration::from_nanos(1),
         clients: mulleinhub_limits::Settings {
-            most,
-            most_of_a_tenant: most,
-            most_strangers: most,
+            max_connections: most,
+            max_per_tenant: most,
+            max_unidentified: most,
             ..mulleinhub_limits::Settings::default()
         },
         most_in_hand: 20_000,
@@ -100,7 +100,7 @@
         self.cpu += took;
         self.longest = self.longest.max(took);
         self.turns += 1;
-        while let Some(link) = self.engine.connections().next_dirty() {
+        while let Some(link) = self.engine.connections().next_with_output() {
             let bytes = self.engine.connections().outgoing(link);
             // The kind of a message is the first item of its frame.
             match bytes.get(5).copied() {
@@ -109,10 +109,10 @@
                 _ => {}
             }
             let len = bytes.len();
-            self.engine.connections().wrote(link, len);
+            self.engine.connections().mark_written(link, len);
         }
         while let Some(ask) = self.engine.connections().next_command() {
-            if let Command::End { link, .. } = ask {
+            if let Command::Close { connection: link, .. } = ask {
                 self.engine.connections().discard(link);
                 self.ended += 1;
             }
--- a/crates/engine/examples/ordinary_path.rs
+++ b/crates/engine/examples/ordinary_path.rs
@@ -83,7 +83,7 @@
 
     fn turn(&mut self) {
         self.engine.poll(self.now);
-        while let Some(link) = self.engine.connections().next_dirty() {
+        while let Some(link) = self.engine.connections().next_with_output() {
             // Links are numbered in the order in which they were asked for.
             let place = self.machines.binary_search(&link).ok();
             let bytes = self.engine.connections().outgoing(link);
@@ -95,7 +95,7 @@
                 }
                 at += size;
             }
-            self.engine.connections().wrote(link, len);
+            self.engine.connections().mark_written(link, len);
         }
     }
 
--- a/crates/engine/src/desk.rs
+++ b/crates/engine/src/desk.rs
@@ -8,9 +8,9 @@
     Dispatch, FailureDomain as Group, Idempotency, MachineId, Outcome, Quota, TaskId, TaskSpec, Ticket,
 };
 use mulleinhub_interface::{Duration, Timestamp};
-use mulleinhub_limits::{Act, Admission, Limits, Why};
+use mulleinhub_limits::{Action, AdmissionControl, ConnectionLimits, DisconnectReason};
 use mulleinhub_protocol::{self as protocol, Conversation, Frames, ListReader, Message, Mode, Shape, Spare};
-use mulleinhub_resilience::{HEARTBEAT, PAUSE_THRESHOLD, PauseDetector, backoff};
+use mulleinhub_resilience::{MAX_POLL_INTERVAL, PAUSE_THRESHOLD, PauseDetector, backoff};
 use mulleinhub_sans_io::{CloseReason, ConnectionId, Connections, Timers, Unsent};
 use std::cell::RefCell;
 use std::collections::{BTreeMap, VecDeque};
@@ -209,9 +209,9 @@
     pub clients: BTreeMap<Arc<str>, ConnectionId>,
     /// Connections to be ended after the round, and why.
     stuck: Vec<(ConnectionId, &'static str)>,
-    pub limits: Limits,
+    pub limits: ConnectionLimits,
     /// Knows how many final answers are owed, and to which services.
-    pub admission: Admission,
+    pub admission: AdmissionControl,
     /// Who counts what tenants may use; nobody where the settings keep no books.
     pub quota: Option<Box<dyn Quota>>,
     stood: PauseDetector,
@@ -232,8 +232,8 @@
 impl Desk {
     pub fn new(settings: Settings, life: u64) -> Self {
         let chance = Pcg::new(own_seed(&settings, !life));
-        let limits = Limits::new(settings.clients.clone());
-        let admission = Admission::new(settings.most_in_hand);
+        let limits = ConnectionLimits::new(settings.clients.clone());
+        let admission = AdmissionControl::new(settings.most_in_hand);
         Self {
             settings,
             life,
@@ -302,7 +302,7 @@
                 ahead_is_sure: false,
                 end: None,
                 queued: false,
-                since: (self.now, self.stood.turns()),
+                since: (self.now, self.stood.iterations()),
                 in_hand: 0,
             }),
         );
@@ -315,7 +315,7 @@
     pub fn lain(&mut self, link: ConnectionId, clock: u64) -> Duration {
         let ahead = (self.now.nanos() as i64).saturating_sub(i64::try_from(clock).unwrap_or(i64::MAX));
         let Some(peer) = self.peers.get_mut(&link) else { return Duration::ZERO };
-        let lay = self.stood.lay(self.now, peer.since);
+        let lay = self.stood.queued_for(self.now, peer.since);
         let stood = if lay > PAUSE_THRESHOLD { lay.nanos() as i64 } else { 0 };
         // A frame read after a standstill may have lain for all of it: until one is read promptly, the worst
         // holds.
@@ -338,10 +338,10 @@
     pub fn client_came(&mut self, now: Timestamp, link: ConnectionId) {
         self.now = self.now.max(now);
         self.add_peer(link, Who::Stranger);
-        match self.limits.opened(self.now, link.0) {
+        match self.limits.accept(self.now, link.0) {
             Ok(None) => {}
-            Ok(Some(idle)) => self.let_go(ConnectionId(idle), Why::MadeRoom.words()),
-            Err(why) => self.let_go(link, why.words()),
+            Ok(Some(idle)) => self.let_go(ConnectionId(idle), DisconnectReason::Evicted.message()),
+            Err(why) => self.let_go(link, why.message()),
         }
     }
 
@@ -351,13 +351,13 @@
         self.write(link, &Message::Bye { words });
         self.client_gone(link);
         self.peers.remove(&link);
-        self.links.end(link);
+        self.links.close(link);
     }
 
     /// Its tasks stay in hand; their ends wait for it to come back. They still name its link, which nobody
     /// has again: `tell_owner` sees that it is over.
     pub fn client_gone(&mut self, link: ConnectionId) {
-        self.limits.forget(link.0);
+        self.limits.remove(link.0);
         if let Some(Who::Client(name)) = self.peers.get(&link).map(|peer| &peer.who)
             && self.clients.get(name) == Some(&link)
         {
@@ -370,7 +370,7 @@
         let Some(link) = link else { return };
         let Some(peer) = self.peers.get_mut(&link) else { return };
         peer.in_hand = if more { peer.in_hand + 1 } else { peer.in_hand.saturating_sub(1) };
-        self.limits.in_hand(link.0, peer.in_hand);
+        self.limits.set_tasks_in_flight(link.0, peer.in_hand);
     }
 
     /// Deadlines of clients' connections, a bounded number of them in one turn.
@@ -378,10 +378,10 @@
         // Few at a time: met, in the p99 of the busy, the questions of one tick of the wheel written
         // together.
         let mut budget = 16;
-        while let Some((conn, act)) = self.limits.due(self.now, &mut budget) {
+        while let Some((conn, act)) = self.limits.next_due(self.now, &mut budget) {
             match act {
-                Act::AskForSign => self.write(ConnectionId(conn), &Message::Ping { nonce: conn }),
-                Act::End(why) => self.let_go(ConnectionId(conn), why.words()),
+                Action::Ping => self.write(ConnectionId(conn), &Message::Ping { nonce: conn }),
+                Action::Disconnect(why) => self.let_go(ConnectionId(conn), why.message()),
             }
         }
     }
@@ -408,11 +408,13 @@
         let Some(peer) = self.peers.get_mut(&link) else { return };
         peer.frames.take_with(bytes, &mut self.spare);
         if !peer.queued {
-            peer.since = (now, self.stood.turns());
+            peer.since = (now, self.stood.iterations());
         }
         // Who sends more than is heard in a turn waits until that was heard.
-        if matches!(peer.who, Who::Stranger | Who::Client(_)) && self.limits.slows(peer.frames.kept()) {
-            self.links.pause(link, true);
+        if matches!(peer.who, Who::Stranger | Who::Client(_))
+            && self.limits.should_pause_reading(peer.frames.kept())
+        {
+            self.links.set_reading_paused(link, true);
         }
         match peer.who {
             Who::Machine(id) => {
@@ -421,7 +423,7 @@
                 }
             }
             // Heard at once, so that no deadline passes over bytes that are here.
-            Who::Stranger | Who::Client(_) => self.limits.heard(now, link.0),
+            Who::Stranger | Who::Client(_) => self.limits.record_activity(now, link.0),
             Who::List => {}
         }
         self.queue(link);
@@ -441,13 +443,15 @@
         }
         let now = match peer.who {
             Who::Machine(_) | Who::List => true,
-            Who::Client(_) if self.hears_clients => self.limits.speaks(self.now, link.0, peer.in_hand > 0),
+            Who::Client(_) if self.hears_clients => {
+                self.limits.admit_input(self.now, link.0, peer.in_hand > 0)
+            }
             // Who comes back with tasks in hand says so in its greeting.
             Who::Stranger | Who::Client(_) => {
                 let greeting = peer.frames.peek().and_then(|frame| protocol::decode(frame).ok());
                 let returns = matches!(greeting, Some(Message::Hello { features, .. })
                     if features & protocol::HAS_TASKS != 0);
-                self.limits.stands_in_line(link.0, returns);
+                self.limits.enqueue_input(link.0, returns);
                 false
             }
         };
@@ -467,18 +471,18 @@
     /// What a pinch of descriptors costs: idle connections, with a reason.
     pub fn pinched(&mut self, now: Timestamp) {
         self.now = self.now.max(now);
-        for conn in self.limits.pinched(self.now) {
-            self.let_go(ConnectionId(conn), Why::MadeRoom.words());
+        for conn in self.limits.on_descriptors_exhausted(self.now) {
+            self.let_go(ConnectionId(conn), DisconnectReason::Evicted.message());
         }
     }
 
     pub fn has_news(&self) -> bool {
         !self.arrivals.is_empty()
-            || self.limits.any_in_line()
+            || self.limits.has_queued()
             || !self.rest.is_empty()
-            || self.limits.wake().is_some_and(|at| at <= self.now)
+            || self.limits.next_wakeup().is_some_and(|at| at <= self.now)
             || !self.closings.is_empty()
-            || self.timers.next().is_some_and(|at| at <= self.now)
+            || self.timers.next_wakeup().is_some_and(|at| at <= self.now)
     }
 
     /// The next connection that something came in on. Clients wait until machines told what they hold.
@@ -486,7 +490,7 @@
         let link = match self.arrivals.pop_front() {
             Some(link) => link,
             // Those that were silent before are heard after all others, so many in one turn.
-            None if self.hears_clients => ConnectionId(self.limits.next_heard()?),
+            None if self.hears_clients => ConnectionId(self.limits.next_queued()?),
             None => return None,
         };
         if let Some(peer) = self.peers.get_mut(&link) {
@@ -496,24 +500,24 @@
     }
 
     pub fn due(&mut self, mark: u64) -> Option<Due> {
-        self.timers.due_of(self.now, mark)
+        self.timers.pop_due_up_to(self.now, mark)
     }
 
     pub fn wake(&self) -> Option<Timestamp> {
         if !self.closings.is_empty()
-            || (self.hears_clients && (self.limits.any_in_line() || !self.rest.is_empty()))
+            || (self.hears_clients && (self.limits.has_queued() || !self.rest.is_empty()))
         {
             return Some(self.now);
         }
         // A turn at least so often, where clients are heard: by its lateness a standstill is known. Met
         // without one: the first client's ask lay in a standstill that nobody knew of.
-        let heartbeat = self.hears_clients.then_some(self.now + HEARTBEAT);
-        [self.timers.next(), self.limits.wake(), heartbeat].into_iter().flatten().min()
+        let heartbeat = self.hears_clients.then_some(self.now + MAX_POLL_INTERVAL);
+        [self.timers.next_wakeup(), self.limits.next_wakeup(), heartbeat].into_iter().flatten().min()
     }
 
     fn note_standstill(&mut self, now: Timestamp) {
-        if self.stood.begin(now) {
-            self.limits.woke(now);
+        if self.stood.begin_iteration(now) {
+            self.limits.on_process_resumed(now);
         }
     }
 
@@ -521,10 +525,10 @@
     pub fn begin_turn(&mut self, now: Timestamp) {
         self.now = now;
         self.note_standstill(now);
-        self.limits.begin_turn(self.machines.len());
+        self.limits.begin_iteration(self.machines.len());
         for link in std::mem::take(&mut self.rest) {
             let returns = self.peers.get(&link).is_some_and(|peer| peer.in_hand > 0);
-            self.limits.stands_in_line(link.0, returns);
+            self.limits.enqueue_input(link.0, returns);
         }
     }
 
@@ -532,7 +536,7 @@
     pub fn begin_early(&mut self, now: Timestamp) -> bool {
         self.now = now;
         self.note_standstill(now);
-        self.stood.is_early(now);
+        self.stood.mark_early(now);
         !self.arrivals.is_empty() || !self.closings.is_empty()
     }
 
@@ -547,7 +551,7 @@
 
     /// The turn is over; the next one is due at the latest by then.
     pub fn end_turn(&mut self) {
-        self.stood.end(self.wake());
+        self.stood.end_iteration(self.wake());
     }
 
     /// Peers that don't read are let go: what waits for them is bounded.
@@ -587,7 +591,7 @@
             return;
         }
         self.links.send(link, &self.scratch, mark);
-        if self.links.unwritten(link) > self.settings.most_unwritten {
+        if self.links.pending_bytes(link) > self.settings.most_unwritten {
             self.stuck.push((link, "it doesn't read, and too much waits for it"));
         }
     }
@@ -600,11 +604,11 @@
         let link = self.links.open(&spot.address.clone());
         self.add_peer(link, Who::Machine(id));
         let (now, silence) = (self.now, self.settings.silence);
-        let first = backoff::first_sign(silence, self.chance.part());
+        let first = backoff::first_keepalive_check(silence, self.chance.part());
         let spot = self.machines.get_mut(&id).expect("was there");
         spot.reach = Reach::Coming(link);
         (spot.heard_at, spot.pinged_at) = (now, Some(now));
-        self.timers.set(now + first, Due::Ping(id, link));
+        self.timers.schedule(now + first, Due::Ping(id, link));
     }
 
     pub fn open_list(&mut self) {
@@ -636,7 +640,7 @@
         let (machine, send, shape) = (open.machine, open.number, job.shape);
         let owner = std::mem::take(&mut job.owner);
         if let Some(spot) = self.machines.get_mut(&machine) {
-            spot.gate.wrote(now, id.0, send);
+            spot.gate.on_sent(now, id.0, send);
         }
         self.marks.insert(mark, (id, send));
         self.write_marked(
@@ -653,7 +657,7 @@
         let (now, fall) = (self.now, self.settings.cold.fall);
         let Some(spot) = self.machines.get_mut(&machine) else { return };
         let Some(link) = spot.ready().filter(|_| !spot.waiting.is_empty()) else { return };
-        let shut = spot.gate.shut_until(now, fall);
+        let shut = spot.gate.closed_until(now, fall);
         let mut waits_on = Vec::new();
         for (task, send) in std::mem::take(&mut spot.waiting) {
             let id = TaskId(task);
@@ -671,7 +675,7 @@
             }
         }
         if let Some(until) = shut.filter(|_| !waits_on.is_empty()) {
-            self.timers.set(until, Due::Release(machine));
+            self.timers.schedule(until, Due::Release(machine));
         }
         self.machines.get_mut(&machine).expect("is there").waiting = waits_on;
     }
@@ -680,7 +684,7 @@
     pub fn answered_by(&mut self, machine: MachineId, task: u64, send: u32) {
         let (now, fall) = (self.now, self.settings.cold.fall);
         if let Some(spot) = self.machines.get_mut(&machine) {
-            spot.gate.answered(now, fall, task, send);
+            spot.gate.on_answered(now, fall, task, send);
         }
         self.release(machine);
     }
@@ -755,7 +759,7 @@
 
     /// The final answer of a task that came then is given.
     pub fn owes_less(&mut self, link: Option<ConnectionId>, came: Timestamp, service: u64) {
-        self.admission.done(self.now, service);
+        self.admission.release(self.now, service);
         self.hand(link, false);
         self.times.take_to_answer.saturating_record((self.now - came).nanos() / 1000);
     }
@@ -768,7 +772,7 @@
     pub fn forget_later(&mut self, id: TaskId, send: Option<u32>) {
         let at = self.now + self.settings.remember;
         if self.to_forget.is_empty() {
-            self.timers.set(at, Due::Forget);
+            self.timers.schedule(at, Due::Forget);
         }
         self.to_forget.push_back((at, id, send));
     }
@@ -777,7 +781,7 @@
     pub fn forget_old(&mut self) {
         while let Some((at, id, send)) = self.to_forget.front().copied() {
             if at > self.now {
-                self.timers.set(at, Due::Forget);
+                self.timers.schedule(at, Due::Forget);
                 return;
             }
             self.to_forget.pop_front();
@@ -898,14 +902,14 @@
             stopping: false,
         });
         desk.counts.sends += 1;
-        desk.timers.set(now + time_out, Due::Send(task, number));
+        desk.timers.schedule(now + time_out, Due::Send(task, number));
         let spot = desk.machines.get(&machine).expect("the module sends to listed machines");
         assert!(spot.mode == Mode::Active, "task {}: a send to a machine that drains or is gone", task.0);
-        let shut = spot.gate.shut_until(now, desk.settings.cold.fall);
+        let shut = spot.gate.closed_until(now, desk.settings.cold.fall);
         match spot.reach {
             Reach::Ready(_) if shut.is_some() => {
                 desk.machines.get_mut(&machine).expect("is there").waiting.push((task.0, number));
-                desk.timers.set(shut.expect("is shut"), Due::Release(machine));
+                desk.timers.schedule(shut.expect("is shut"), Due::Release(machine));
             }
             Reach::Ready(link) => desk.write_offer(task, link),
             // One that has not refused since it was there last is tried at once.
@@ -967,7 +971,7 @@
     }
 
     fn wake_at(&mut self, token: u64, at: Timestamp) {
-        self.0.borrow_mut().timers.set(at, Due::Token(token));
+        self.0.borrow_mut().timers.schedule(at, Due::Token(token));
     }
 
     fn watch_endpoints(&mut self) {
--- a/crates/engine/src/lib.rs
+++ b/crates/engine/src/lib.rs
@@ -19,7 +19,7 @@
 use desk::{Desk, Due, Pen};
 use mulleinhub::PlacementPolicy;
 use mulleinhub_interface::{Duration, Policy, Quota, Timestamp};
-use mulleinhub_limits::Why;
+use mulleinhub_limits::DisconnectReason;
 use mulleinhub_sans_io::{CloseReason, ConnectionId, Connections, ListenerId, StateMachine};
 use std::cell::RefCell;
 
@@ -106,49 +106,52 @@
         differs("rules", format!("{:?}", settings.cold) != format!("{:?}", new.cold));
         differs("prices", format!("{:?}", settings.home) != format!("{:?}", new.home));
         let most = new.most_in_hand;
-        self.desk.get_mut().limits.change(clients);
-        self.desk.get_mut().admission.change(most);
+        self.desk.get_mut().limits.update_settings(clients);
+        self.desk.get_mut().admission.set_capacity(most);
         fixed
     }
 
     /// Clients' connections that were ended or refused by limits, by reason.
     pub fn clients_ended(&self) -> Vec<(&'static str, u64)> {
-        let ended = &self.desk.borrow().limits.ended;
-        Why::ALL.into_iter().map(|why| (why.name(), ended.get(&why).copied().unwrap_or(0))).collect()
+        let ended = &self.desk.borrow().limits.disconnects;
+        DisconnectReason::ALL
+            .into_iter()
+            .map(|why| (why.metric_key(), ended.get(&why).copied().unwrap_or(0)))
+            .collect()
     }
 
     /// Bytes of all buffers that are held for connections, and spare.
     pub fn buffers(&self) -> usize {
         let desk = self.desk.borrow();
         let partial: usize = desk.peers.values().map(|peer| peer.frames.owned()).sum();
-        desk.links.held() + desk.spare.held() + partial
+        desk.links.buffer_capacity() + desk.spare.held() + partial
     }
 
     /// What the last turn cost, from whoever has a clock: where turns take long, fewer connections are
     /// allowed.
     pub fn turn_took(&mut self, now: Timestamp, took: Duration) {
-        self.desk.get_mut().limits.turn_took(now, took);
+        self.desk.get_mut().limits.record_iteration_time(now, took);
     }
 
     /// So many descriptors this process may have: clients get what machines and the list leave of them.
     pub fn descriptors(&mut self, most: usize) {
-        self.desk.get_mut().limits.descriptors(most);
+        self.desk.get_mut().limits.set_descriptor_limit(most);
     }
 
     /// Clients' connections that are open, and places of deadlines that are held for them.
     pub fn clients_open(&self) -> (usize, usize) {
         let desk = self.desk.borrow();
-        (desk.limits.len(), desk.limits.timers())
+        (desk.limits.len(), desk.limits.timer_entries())
     }
 
     /// Nothing waits to go out to clients.
     pub fn all_written(&self) -> bool {
         let desk = self.desk.borrow();
-        desk.clients.values().all(|link| desk.links.unwritten(*link) == 0)
+        desk.clients.values().all(|link| desk.links.pending_bytes(*link) == 0)
     }
 
     pub fn is_idle(&self) -> bool {
-        self.desk.borrow().admission.in_hand() == 0
+        self.desk.borrow().admission.in_flight() == 0
     }
 }
 
@@ -202,7 +205,7 @@
             }
             receive::receive_pending(desk, round);
             // Only now: an answer that lay waiting while this process stood still came first.
-            let mark = desk.borrow().timers.mark();
+            let mark = desk.borrow().timers.last_sequence();
             loop {
                 let due = desk.borrow_mut().due(mark);
                 match due {
@@ -228,7 +231,7 @@
     }
 
     fn accept_budget(&self, _: ListenerId) -> usize {
-        self.desk.borrow().limits.takes()
+        self.desk.borrow().limits.accept_budget()
     }
 
     fn on_descriptors_exhausted(&mut self, now: Timestamp) {
--- a/crates/engine/src/machines.rs
+++ b/crates/engine/src/machines.rs
@@ -100,7 +100,7 @@
     /// A try failed or the connection ended. The next try waits for so long.
     pub fn failed(&mut self, now: Timestamp, wait: Duration, refused: bool) {
         self.reach = Reach::Down;
-        self.gate.ended(now);
+        self.gate.on_disconnected(now);
         self.told.clear();
         self.pinged_at = None;
         self.down_since.get_or_insert(now);
--- a/crates/engine/src/properties.rs
+++ b/crates/engine/src/properties.rs
@@ -404,7 +404,7 @@
 
     fn drain(&mut self) {
         loop {
-            if let Some(link) = self.engine.connections().next_dirty() {
+            if let Some(link) = self.engine.connections().next_with_output() {
                 self.take(link);
                 continue;
             }
@@ -430,7 +430,7 @@
                         self.tell(link, &welcome);
                     }
                 },
-                Some(Command::End { link, .. }) => {
+                Some(Command::Close { connection: link, .. }) => {
                     self.engine.connections().discard(link);
                     self.coming.retain(|(coming, _)| *coming != link);
                     if let Some(m) = self.machines.iter().position(|m| m.link == Some(link)) {
@@ -467,7 +467,7 @@
             return;
         }
         let bytes = self.engine.connections().outgoing(link).to_vec();
-        self.engine.connections().wrote(link, bytes.len());
+        self.engine.connections().mark_written(link, bytes.len());
         let mut frames = self.frames.remove(&link).unwrap_or_default();
         frames.take(&bytes);
         while let Some(frame) = frames.next_frame().expect("planners write frames") {
@@ -851,7 +851,7 @@
             _ if open.placed => "placed",
             None if spot.is_some_and(|spot| spot.ready().is_some()) => "behind a gate",
             None => "waiting for a connection",
-            Some(link) if desk.links.unwritten(link) > 0 => "unwritten",
+            Some(link) if desk.links.pending_bytes(link) > 0 => "unwritten",
             Some(_) => "unanswered",
         }
     }
@@ -1078,7 +1078,7 @@
         self.passes(70_000);
         let desk = self.engine.desk.borrow();
         assert!(desk.jobs.is_empty(), "tasks in hand: {:?}", desk.jobs);
-        assert_eq!(desk.admission.in_hand(), 0, "room in hand");
+        assert_eq!(desk.admission.in_flight(), 0, "room in hand");
         assert_eq!((desk.late.len(), desk.answered.len(), desk.to_forget.len()), (0, 0, 0), "kept for later");
         assert_eq!((desk.marks_held(), desk.closings.len()), (0, 0), "marks and ends to be told");
         for spot in desk.machines.values() {
--- a/crates/engine/src/receive/client.rs
+++ b/crates/engine/src/receive/client.rs
@@ -91,7 +91,7 @@
     };
     desk.jobs.insert(id, job);
     desk.write(to, &Message::Claim { task: id.0, send: 0, key: shape.key, owner: name });
-    desk.timers.set(due, Due::Claim(id));
+    desk.timers.schedule(due, Due::Claim(id));
     Ok(())
 }
 
@@ -181,7 +181,7 @@
         Some(quota) => quota.ask(desk.now, name, order.key, order.ask, desk.chance.part())?,
         None => None,
     };
-    let admitted = desk.admission.ask(desk.now, shape.service);
+    let admitted = desk.admission.try_admit(desk.now, shape.service);
     if admitted.is_err()
         && let (Some(quota), Some(ticket)) = (&mut desk.quota, ticket)
     {
--- a/crates/engine/src/receive/disconnect.rs
+++ b/crates/engine/src/receive/disconnect.rs
@@ -57,16 +57,16 @@
     let Some(spot) = spot else { return Vec::new() };
     let failed = spot.ready().is_none() || end == CloseReason::Refused;
     let wait = match failed {
-        true => backoff::after_failures(reconnect, spot.failures, drawn),
+        true => backoff::retry_delay(reconnect, spot.failures, drawn),
         // At once: the answer may prove what became of open sends.
         false if !unanswered.is_empty() => Duration::ZERO,
-        false => backoff::after_end(reconnect, drawn),
+        false => backoff::reconnect_delay(reconnect, drawn),
     };
     spot.failed(now, wait, failed);
     let (retry_at, waiting) = (spot.retry_at, std::mem::take(&mut spot.waiting));
-    desk.timers.set(retry_at, Due::Reconnect(id));
-    desk.timers.set(now + lost_after, Due::Lost(id));
-    let never_left = unwritten.into_iter().filter(|(.., how)| *how == Unsent::Whole);
+    desk.timers.schedule(retry_at, Due::Reconnect(id));
+    desk.timers.schedule(now + lost_after, Due::Lost(id));
+    let never_left = unwritten.into_iter().filter(|(.., how)| *how == Unsent::Entire);
     let mut resolved: Vec<_> =
         never_left.map(|(task, send, _)| (task, send, Outcome::NoConnection)).collect();
     resolved.extend(waiting.into_iter().map(|(task, send)| (TaskId(task), send, Outcome::NoConnection)));
--- a/crates/engine/src/receive/greeting.rs
+++ b/crates/engine/src/receive/greeting.rs
@@ -34,14 +34,14 @@
     let name: Arc<str> = known.map_or_else(|| greeting.name.into(), |(name, _)| name.clone());
     (peer.who, peer.greeted) = (Who::Client(name.clone()), true);
     desk.clients.insert(name.clone(), link);
-    if let Err(why) = desk.limits.greeted(link.0, &name) {
-        desk.let_go(link, why.words());
+    if let Err(why) = desk.limits.identify(link.0, &name) {
+        desk.let_go(link, why.message());
         return Ok(());
     }
     desk.lain(link, greeting.clock);
     let (name, life) = (desk.settings.name.clone(), desk.life);
     let version = protocol::VERSION.min(version);
-    let silence = Some(desk.limits.settings().idle_after.nanos());
+    let silence = Some(desk.limits.settings().keepalive_time.nanos());
     desk.write(link, &Message::Welcome { version, features: 0, name: &name, life, silence });
     Ok(())
 }
@@ -64,7 +64,7 @@
         Who::List => {
             desk.write(link, &Message::Bye { words: &words });
             desk.peers.remove(&link);
-            desk.links.end(link);
+            desk.links.close(link);
             list_failed(desk, ListFault::Unreadable(words));
             drop(borrowed);
             list_disconnected(shared, round);
--- a/crates/engine/src/receive/inbound.rs
+++ b/crates/engine/src/receive/inbound.rs
@@ -62,7 +62,7 @@
     link: ConnectionId,
     frames: &mut Frames,
 ) -> Option<Batch> {
-    let mut left = shared.borrow().limits.frames_a_turn();
+    let mut left = shared.borrow().limits.max_frames_per_iteration();
     let mut received_any = false;
     while left > 0 {
         let received = match frames.next_frame() {
@@ -92,16 +92,16 @@
     peer.frames = frames;
     let end = peer.end;
     if batch.received_any {
-        desk.limits.frame_heard(link.0);
+        desk.limits.frame_completed(link.0);
     }
     if batch.is_used_up && partial && peer.frames.peek().is_some() {
         desk.hear_rest_later(link);
         return None;
     }
     if matches!(peer.who, Who::Stranger | Who::Client(_)) {
-        desk.links.pause(link, false);
+        desk.links.set_reading_paused(link, false);
         let now = desk.now;
-        desk.limits.read(now, link.0, partial);
+        desk.limits.set_partial_frame(now, link.0, partial);
     }
     end
 }
--- a/crates/engine/src/receive/machine_list.rs
+++ b/crates/engine/src/receive/machine_list.rs
@@ -24,7 +24,7 @@
         desk.open_list();
     }
     let start_at = desk.now + desk.settings.start_wait;
-    desk.timers.set(start_at, Due::Start);
+    desk.timers.schedule(start_at, Due::Start);
 }
 
 /// The list service told nothing that can be used.
@@ -46,8 +46,8 @@
     }
     let (drawn, failures) = (desk.chance.part(), desk.list_failures);
     desk.list_failures += 1;
-    let retry_at = desk.now + backoff::after_failures(desk.settings.reconnect, failures, drawn);
-    desk.timers.set(retry_at, Due::List);
+    let retry_at = desk.now + backoff::retry_delay(desk.settings.reconnect, failures, drawn);
+    desk.timers.schedule(retry_at, Due::List);
 }
 
 /// Handles one message of the list service.
@@ -131,15 +131,15 @@
     let spot = desk.machines.entry(id).or_insert_with(|| Spot::new(entry, now));
     spot.update(entry, now);
     if let Some(since) = spot.since {
-        spot.gate.is_cold_until(since + desk.settings.cold.warm_after);
+        spot.gate.extend_slow_start(since + desk.settings.cold.warm_after);
     }
     if entry.mode != protocol::Mode::Active || spot.reach != Reach::Down || spot.retry_at > now {
         return;
     }
     if desk.hears_clients {
         // Many planners read this at one instant; whoever sends to it does not wait.
-        let at = now + backoff::after_end(desk.settings.reconnect, desk.chance.part());
-        desk.timers.set(at, Due::Reconnect(id));
+        let at = now + backoff::reconnect_delay(desk.settings.reconnect, desk.chance.part());
+        desk.timers.schedule(at, Due::Reconnect(id));
     } else {
         desk.open_machine(id);
     }
--- a/crates/engine/src/receive/status.rs
+++ b/crates/engine/src/receive/status.rs
@@ -23,8 +23,8 @@
         format!(
             "clients' connections {} of {} allowed, deadlines held {}",
             desk.limits.len(),
-            desk.limits.allowed(),
-            desk.limits.timers()
+            desk.limits.current_limit(),
+            desk.limits.timer_entries()
         ),
         format!(
             "machines {} of {} ready, list version {}",
--- a/crates/engine/src/receive/timers.rs
+++ b/crates/engine/src/receive/timers.rs
@@ -66,8 +66,8 @@
         }
         _ => {}
     }
-    let next = now + backoff::sign(silence, desk.chance.part());
-    desk.timers.set(next, Due::Ping(id, link));
+    let next = now + backoff::keepalive_check(silence, desk.chance.part());
+    desk.timers.schedule(next, Due::Ping(id, link));
 }
 
 /// A machine did not say in time whether it holds a task that was handed over.
--- a/crates/engine/tests/host/mod.rs
+++ b/crates/engine/tests/host/mod.rs
@@ -123,7 +123,7 @@
         let mut said = Vec::new();
         loop {
             let links = self.engine.connections();
-            if let Some(link) = links.next_dirty() {
+            if let Some(link) = links.next_with_output() {
                 if !self.unread.contains(&link) {
                     self.take(link, usize::MAX, &mut said);
                 }
@@ -135,7 +135,7 @@
                     self.links.insert(link, address.clone());
                     self.opening.push((link, address));
                 }
-                Some(Command::End { link, .. }) => {
+                Some(Command::Close { connection: link, .. }) => {
                     self.take(link, usize::MAX, &mut said);
                     self.engine.connections().discard(link);
                     self.ended.push(link);
@@ -148,7 +148,7 @@
     pub fn take(&mut self, link: ConnectionId, most: usize, said: &mut Vec<Said>) {
         let waits = self.engine.connections().outgoing(link);
         let bytes = waits[..waits.len().min(most)].to_vec();
-        self.engine.connections().wrote(link, bytes.len());
+        self.engine.connections().mark_written(link, bytes.len());
         let frames = self.frames.entry(link).or_default();
         frames.take(&bytes);
         let who = self.links.get(&link).cloned().unwrap_or_default();
--- a/crates/engine/tests/pieces/mod.rs
+++ b/crates/engine/tests/pieces/mod.rs
@@ -26,7 +26,7 @@
 
 #[test]
 fn messages_in_a_row_whose_pieces_never_end_where_they_do_are_no_slow_message() {
-    let mut host = limited(|clients| clients.frame_within = Duration::from_secs(2));
+    let mut host = limited(|clients| clients.frame_timeout = Duration::from_secs(2));
     let client = host.client("pieces");
     let one = bytes_of(&[Message::Learn { task: u64::MAX }]);
     let all = one.repeat(40);
@@ -44,7 +44,7 @@
 
 #[test]
 fn more_messages_than_a_turn_hears_before_a_part_of_one_are_no_slow_message() {
-    let mut host = limited(|clients| clients.frame_within = Duration::from_secs(2));
+    let mut host = limited(|clients| clients.frame_timeout = Duration::from_secs(2));
     let client = host.client("many");
     let one = bytes_of(&[Message::Learn { task: u64::MAX }]);
     let piece = [&one[one.len() / 2..], &one.repeat(100), &one[..one.len() / 2]].concat();
@@ -59,7 +59,7 @@
 #[test]
 fn new_clients_within_their_greetings_keep_their_places_while_others_are_free() {
     const PLACES: usize = 40;
-    let mut host = limited(|clients| (clients.most, clients.most_strangers) = (PLACES, 5));
+    let mut host = limited(|clients| (clients.max_connections, clients.max_unidentified) = (PLACES, 5));
     let mut waiting = Vec::new();
     for n in 0..PLACES {
         let name = format!("new-{n}");
@@ -80,7 +80,8 @@
 fn greetings_that_are_here_and_not_heard_yet_keep_their_places_while_others_are_free() {
     const PLACES: usize = 40;
     let change = |clients: &mut mulleinhub_limits::Settings| {
-        (clients.most, clients.most_strangers, clients.woken_a_turn) = (PLACES, 5, 2);
+        (clients.max_connections, clients.max_unidentified, clients.max_queued_per_iteration) =
+            (PLACES, 5, 2);
     };
     let mut host = limited(change);
     for n in 0..PLACES {
@@ -94,7 +95,7 @@
 
 #[test]
 fn where_all_places_are_taken_a_part_of_a_greeting_keeps_none_from_those_who_greeted() {
-    let mut host = limited(|clients| (clients.most, clients.most_strangers) = (20, 5));
+    let mut host = limited(|clients| (clients.max_connections, clients.max_unidentified) = (20, 5));
     let greeted: Vec<ConnectionId> = (0..10).map(|n| host.client(&format!("greeted-{n}"))).collect();
     for n in 0..100 {
         let name = format!("half-{n}");
--- a/crates/engine/tests/stories.rs
+++ b/crates/engine/tests/stories.rs
@@ -52,8 +52,10 @@
     let links: Vec<_> = (1..=4).map(|id| host.link(&format!("m{id}"))).collect();
     host.unread.clone_from(&links);
     host.ask(client, 1, SINGLE_USE);
-    let stuck =
-        links.into_iter().find(|link| host.engine.connections().unwritten(*link) > 0).expect("is offered");
+    let stuck = links
+        .into_iter()
+        .find(|link| host.engine.connections().pending_bytes(*link) > 0)
+        .expect("is offered");
     host.unread.clear();
     let said = host.ends(stuck, CloseReason::Broken);
     assert!(offered(&said, 1).is_some_and(|(_, send)| send == 1), "{said:?}");
@@ -66,8 +68,10 @@
     let links: Vec<_> = (1..=4).map(|id| host.link(&format!("m{id}"))).collect();
     host.unread.clone_from(&links);
     host.ask(client, 1, SINGLE_USE);
-    let stuck =
-        links.into_iter().find(|link| host.engine.connections().unwritten(*link) > 0).expect("is offered");
+    let stuck = links
+        .into_iter()
+        .find(|link| host.engine.connections().pending_bytes(*link) > 0)
+        .expect("is offered");
     host.take(stuck, 5, &mut Vec::new());
     host.unread.clear();
     let address = host.links[&stuck].clone();
@@ -329,8 +333,10 @@
     let links = [host.link("m1"), host.link("m2")];
     host.unread.extend(links);
     host.ask(client, 1, SINGLE_USE);
-    let first =
-        links.into_iter().position(|link| host.engine.connections().unwritten(link) > 0).expect("is offered");
+    let first = links
+        .into_iter()
+        .position(|link| host.engine.connections().pending_bytes(link) > 0)
+        .expect("is offered");
     host.unread.retain(|link| *link == links[first]);
     let said = host.after(6_050);
     assert!(
@@ -364,12 +370,14 @@
     let links = [host.link("m1"), host.link("m2")];
     host.unread.extend(links);
     host.ask(client, 1, SINGLE_USE);
-    let first =
-        links.into_iter().position(|link| host.engine.connections().unwritten(link) > 0).expect("is offered");
+    let first = links
+        .into_iter()
+        .position(|link| host.engine.connections().pending_bytes(link) > 0)
+        .expect("is offered");
     host.unread.retain(|link| *link == links[first]);
     let said = host.list(&[(first as u64 + 1, Mode::Leaving)]);
     assert!(offered(&said, 1).is_some_and(|(machine, _)| machine != first as u64 + 1), "{said:?}");
-    assert_eq!(host.engine.connections().unwritten(links[first]), 0);
+    assert_eq!(host.engine.connections().pending_bytes(links[first]), 0);
 }
 
 #[test]
@@ -615,7 +623,7 @@
 
 #[test]
 fn asks_that_wait_in_line_for_a_later_turn_after_a_standstill_have_less_patience_left() {
-    let mut host = limited(|clients| clients.woken_a_turn = 2);
+    let mut host = limited(|clients| clients.max_queued_per_iteration = 2);
     host.lives(300);
     let asked_at = host.now + Duration::from_nanos(100_000_000);
     host.now = asked_at + Duration::from_secs(9);
@@ -701,7 +709,7 @@
 
 #[test]
 fn a_full_house_ends_the_longest_idle_with_a_reason_and_never_one_with_a_task() {
-    let mut host = limited(|clients| clients.most = 2);
+    let mut host = limited(|clients| clients.max_connections = 2);
     let busy = host.client("busy");
     host.ask(busy, 1, REPLAYABLE);
     host.after(10);
@@ -715,7 +723,7 @@
 
 #[test]
 fn a_task_on_a_connection_that_is_let_go_in_the_same_turn_was_never_taken() {
-    let mut host = limited(|clients| clients.most = 1);
+    let mut host = limited(|clients| clients.max_connections = 1);
     let idle = host.client("idle");
     host.only_tell(idle, &[ask(1, REPLAYABLE, host.now)]);
     host.opens("new");
@@ -745,7 +753,7 @@
 
 #[test]
 fn many_that_wake_at_once_are_heard_after_a_steady_one_and_a_bounded_number_in_a_turn() {
-    let mut host = limited(|clients| clients.woken_a_turn = 10);
+    let mut host = limited(|clients| clients.max_queued_per_iteration = 10);
     let steady = host.client("steady");
     for _ in 0..7 {
         host.after(1_000);
@@ -770,7 +778,7 @@
 fn a_standstill_with_a_hundred_thousand_keep_alives_due_ends_no_live_client() {
     const ALL: usize = 100_000;
     let mut host = limited(|clients| {
-        (clients.sign_within, clients.most_strangers) = (Duration::from_secs(1), ALL);
+        (clients.keepalive_timeout, clients.max_unidentified) = (Duration::from_secs(1), ALL);
     });
     let all: Vec<_> = (0..ALL).map(|n| host.opens(&format!("quiet{n}"))).collect();
     for (n, link) in all.iter().enumerate() {
@@ -795,7 +803,7 @@
 
 #[test]
 fn after_a_restart_those_with_tasks_in_hand_are_heard_first() {
-    let mut host = limited(|clients| clients.woken_a_turn = 4);
+    let mut host = limited(|clients| clients.max_queued_per_iteration = 4);
     for n in 0..40 {
         let name = format!("back{n}");
         let link = host.opens(&name);
@@ -879,7 +887,7 @@
 
 #[test]
 fn an_early_turn_answers_what_was_read_and_takes_nobody_for_silent() {
-    let mut host = limited(|clients| clients.greet_within = Duration::from_secs(1));
+    let mut host = limited(|clients| clients.greeting_timeout = Duration::from_secs(1));
     let steady = host.client("steady");
     for _ in 0..7 {
         host.lives(1_000);
--- a/crates/event-loop/src/lib.rs
+++ b/crates/event-loop/src/lib.rs
@@ -272,7 +272,7 @@
             wait = StdDuration::ZERO;
         }
         let links = self.party.connections();
-        if self.readable.iter().any(|link| !links.is_paused(*link)) {
+        if self.readable.iter().any(|link| !links.is_reading_paused(*link)) {
             wait = StdDuration::ZERO;
         }
         self.poll_once(Some(wait))?;
@@ -302,7 +302,7 @@
         self.heard.is_empty()
             // One that rests for want of descriptors may have many waiting outside.
             && self.listeners.iter().all(|listening| !listening.ready && listening.rests_until.is_none())
-            && self.readable.iter().all(|link| links.is_paused(*link))
+            && self.readable.iter().all(|link| links.is_reading_paused(*link))
     }
 
     /// The end of this process: nobody is taken any more, and whoever came in hears all that was written to
@@ -472,7 +472,7 @@
             self.linger(link);
             return false;
         }
-        if self.party.connections().is_paused(link) {
+        if self.party.connections().is_reading_paused(link) {
             return false;
         }
         if !stream.up {
@@ -557,10 +557,10 @@
             }
             self.calls += 1;
             match stream.tcp.write(bytes) {
-                Ok(n) => self.party.connections().wrote(link, n),
+                Ok(n) => self.party.connections().mark_written(link, n),
                 Err(error) if error.kind() == ErrorKind::WouldBlock => return,
                 Err(error) if error.kind() == ErrorKind::Interrupted => {}
-                Err(_) if stream.ending || self.party.connections().is_paused(link) => {
+                Err(_) if stream.ending || self.party.connections().is_reading_paused(link) => {
                     return self.gone(link, CloseReason::Broken);
                 }
                 Err(_) => {
@@ -629,17 +629,17 @@
     /// Opens, ends and writes what the party asks for.
     fn carry_out(&mut self) {
         loop {
-            while let Some(link) = self.party.connections().next_dirty() {
+            while let Some(link) = self.party.connections().next_with_output() {
                 self.write_one(link);
             }
             let Some(ask) = self.party.connections().next_command() else { return };
             match ask {
                 Command::Open(link, to) => self.connect(link, &to),
-                Command::End { link, at_once: true } => {
+                Command::Close { connection: link, immediately: true } => {
                     self.readable.remove(&link);
                     self.streams.remove(&link);
                 }
-                Command::End { link, at_once: false } => {
+                Command::Close { connection: link, immediately: false } => {
                     if let Some(stream) = self.streams.get_mut(&link) {
                         stream.ending = true;
                         self.lingering.push_back((Instant::now() + LINGER, link));
@@ -663,11 +663,11 @@
         let end = match tcp {
             Ok(tcp) => match self.add(link, tcp, false, false) {
                 true => return,
-                false => CloseReason::Untried,
+                false => CloseReason::NotAttempted,
             },
             Err(error) if error.kind() == ErrorKind::ConnectionRefused => CloseReason::Refused,
             // Met: want of descriptors here was told as the other side's refusal.
-            Err(_) => CloseReason::Untried,
+            Err(_) => CloseReason::NotAttempted,
         };
         let now = self.now();
         self.party.on_closed(now, link, end);
--- a/crates/event-loop/tests/descriptors.rs
+++ b/crates/event-loop/tests/descriptors.rs
@@ -25,7 +25,7 @@
     fn on_data(&mut self, _: Timestamp, _: ConnectionId, _: &[u8]) {}
     fn on_closed(&mut self, _: Timestamp, link: ConnectionId, end: CloseReason) {
         self.ends.push(end);
-        self.links.forget(link);
+        self.links.remove(link);
         self.open.retain(|open| *open != link);
     }
     fn poll(&mut self, _: Timestamp) {}
@@ -39,7 +39,7 @@
         self.pinches += 1;
         for link in self.open.drain(..2) {
             self.links.send(link, b"bye", None);
-            self.links.end(link);
+            self.links.close(link);
         }
     }
 }
@@ -78,7 +78,7 @@
     shell.party.ends.clear();
     shell.party.links.open(&at.to_string());
     shell.step(Duration::from_millis(20)).expect("polls");
-    assert_eq!(shell.party.ends, [CloseReason::Untried]);
+    assert_eq!(shell.party.ends, [CloseReason::NotAttempted]);
     drop((taken, clients));
     for _ in 0..20 {
         shell.step(Duration::from_millis(20)).expect("polls");
--- a/crates/event-loop/tests/ends.rs
+++ b/crates/event-loop/tests/ends.rs
@@ -33,13 +33,13 @@
             self.spoke.push(link);
             self.links.send(link, WORD, None);
             if self.ends_them {
-                self.links.end(link);
+                self.links.close(link);
             }
         }
     }
     fn on_closed(&mut self, _: Timestamp, link: ConnectionId, end: CloseReason) {
         self.ended.push(end);
-        self.links.forget(link);
+        self.links.remove(link);
     }
     fn poll(&mut self, _: Timestamp) {
         if let Some(mut peer) = self.resets.take() {
--- a/crates/ledger/src/exchange/connections.rs
+++ b/crates/ledger/src/exchange/connections.rs
@@ -29,7 +29,7 @@
     pub(super) fn end(&mut self, link: ConnectionId, words: &str) {
         self.write(link, &Message::Bye { words });
         self.peers.remove(&link);
-        self.links.end(link);
+        self.links.close(link);
     }
 
     /// Ends the connection of a peer that broke the protocol, and no other.
@@ -137,9 +137,9 @@
         let drawn = self.keeper.part();
         let retry = self.retries.entry(name.clone()).or_default();
         if was_up {
-            retry.not_before = self.now + backoff::after_end(RETRY, drawn);
+            retry.not_before = self.now + backoff::reconnect_delay(RETRY, drawn);
         } else {
-            retry.not_before = self.now + backoff::after_failures(RETRY, retry.failures, drawn);
+            retry.not_before = self.now + backoff::retry_delay(RETRY, retry.failures, drawn);
             retry.failures += 1;
         }
     }
--- a/crates/ledger/src/exchange/mod.rs
+++ b/crates/ledger/src/exchange/mod.rs
@@ -268,7 +268,7 @@
             let waits = |(link, peer): &(&ConnectionId, &Peer)| {
                 let is_read = kind == Kind::Fleet || peer.reads_work_logs;
                 let is_behind = peer.greeted && is_read && peer.cursor(kind).is_behind(stamp);
-                is_behind && self.links.unwritten(**link) <= MAX_UNREAD
+                is_behind && self.links.pending_bytes(**link) <= MAX_UNREAD
             };
             self.peers.iter().filter(waits).map(|(_, peer)| peer.cursor(kind).next_push_at()).min()
         };
@@ -298,7 +298,7 @@
 
     fn on_closed(&mut self, now: Timestamp, link: ConnectionId, _: CloseReason) {
         self.now = self.now.max(now);
-        self.links.forget(link);
+        self.links.remove(link);
         self.failed(link);
     }
 
--- a/crates/ledger/src/exchange/receive.rs
+++ b/crates/ledger/src/exchange/receive.rs
@@ -33,7 +33,7 @@
             if let Some(peer) = self.peers.get_mut(&link) {
                 peer.frames = frames;
                 let is_full = peer.frames.kept() > MAX_WAITING;
-                self.links.pause(link, is_full);
+                self.links.set_reading_paused(link, is_full);
             }
             if let Err(bad) = received {
                 self.cut(link, &bad);
--- a/crates/ledger/src/exchange/replication.rs
+++ b/crates/ledger/src/exchange/replication.rs
@@ -94,7 +94,7 @@
 
     /// Pushes what is new to a peer: orders, heads, heartbeats. A peer that doesn't read gets nothing.
     pub(super) fn push(&mut self, link: ConnectionId) {
-        if self.links.unwritten(link) > MAX_UNREAD {
+        if self.links.pending_bytes(link) > MAX_UNREAD {
             return;
         }
         self.push_orders(link);
--- a/crates/ledger/src/exchange/work_logs.rs
+++ b/crates/ledger/src/exchange/work_logs.rs
@@ -89,7 +89,7 @@
 
     /// Tells a peer the heads of work logs that concern it and are new to it.
     pub(super) fn push_work_heads(&mut self, link: ConnectionId) {
-        if !self.shares_work_logs(link) || self.links.unwritten(link) > MAX_UNREAD {
+        if !self.shares_work_logs(link) || self.links.pending_bytes(link) > MAX_UNREAD {
             return;
         }
         let now = self.now;
--- a/crates/ledger/tests/net/mod.rs
+++ b/crates/ledger/tests/net/mod.rs
@@ -245,7 +245,7 @@
         loop {
             let Some(node) = &mut self.nodes[n] else { return };
             let links = node.exchange.connections();
-            if let Some(link) = links.next_dirty() {
+            if let Some(link) = links.next_with_output() {
                 self.carry_link(n, link);
                 continue;
             }
@@ -266,7 +266,7 @@
                         None => self.node(n).exchange.on_closed(now, link, CloseReason::Refused),
                     }
                 }
-                Command::End { link, .. } => {
+                Command::Close { connection: link, .. } => {
                     self.carry_link(n, link);
                     self.node(n).exchange.connections().discard(link);
                     if let Some((other, theirs)) = self.wires.remove(&(n, link)) {
@@ -293,7 +293,7 @@
         if bytes.is_empty() || apart {
             return;
         }
-        links.wrote(link, bytes.len());
+        links.mark_written(link, bytes.len());
         if is_strange {
             self.stranger.extend(bytes);
             return;
--- a/crates/limits/src/admission.rs
+++ b/crates/limits/src/admission.rs
@@ -1,114 +1,131 @@
-//! Which asks are taken where work in hand is bounded, and how long the others are told to stay away.
+//! Admission of task requests while the number of tasks in flight is bounded, and the `Retry-After` of those
+//! that are rejected.
 //!
-//! Met: a job of ten thousand tasks wanted at one instant took all the room in hand; every other service was
-//! nacked with no word of when to come again, came again within seconds together with the ten thousand, and
-//! so on for as long as the burst lasted.
+//! Seen: a job of ten thousand tasks requested at one moment took all places; every other service was rejected
+//! without a time to retry after, retried within seconds together with the ten thousand, and so on for as long
+//! as the burst lasted.
 
 use mulleinhub_interface::{Duration, Timestamp};
 use std::collections::BTreeMap;
 
-/// Below this part of the most, whoever asks is taken: there is nothing to share out.
+/// Below this part of the capacity every request is admitted.
 const FREE_PART: f64 = 0.5;
-/// Above this part only those with less than an equal part are taken, one part counted for whoever comes
-/// next. Half in its place was tried: a burst alone then drained at half the pace.
-const KEPT_ABOVE: f64 = 0.875;
-/// A nacked one is told to stay away for this at the least and at the most.
-const LEAST_AWAY: Duration = Duration::from_nanos(100_000_000);
-const MOST_AWAY: Duration = Duration::from_secs(10);
-/// How fast work drains is measured over spans of this, and smoothed by this weight of the newest.
-const MEASURE: Duration = Duration::from_nanos(250_000_000);
-const NEWEST: f64 = 0.5;
-/// Before anything has drained, the most in hand is taken to drain within this.
-const FIRST_GUESS: Duration = Duration::from_secs(1);
-/// So many are called back for each place that comes free: one who comes too early is nacked again at little
-/// cost, and one who comes too late leaves a place empty.
-const CALLED: f64 = 2.0;
+/// Above this part only services below an equal share are admitted, with one share reserved for a service that
+/// has none yet. One half was tried: a lone burst then drained at half the speed.
+const RESERVED_ABOVE: f64 = 0.875;
+/// The shortest time after which a rejected request is to be retried.
+const MIN_RETRY_AFTER: Duration = Duration::from_nanos(100_000_000);
+/// The longest time after which a rejected request is to be retried.
+const MAX_RETRY_AFTER: Duration = Duration::from_secs(10);
+/// The rate of completions is measured over this time.
+const RATE_WINDOW: Duration = Duration::from_nanos(250_000_000);
+/// The weight of the newest measurement in the smoothed rate.
+const RATE_WEIGHT: f64 = 0.5;
+/// Before the first completion, all capacity is assumed to be freed within this time.
+const ASSUMED_DRAIN_TIME: Duration = Duration::from_secs(1);
+/// Retries per place that becomes free: a retry that comes too early is rejected again at little cost, one that
+/// comes too late leaves a place unused.
+const RETRIES_PER_PLACE: f64 = 2.0;
+const NANOS_PER_SECOND: f64 = 1e9;
 
-/// What asks wait for: room in hand, shared among the services that want it.
+/// Places for tasks in flight, shared among the services that request them.
 #[derive(Debug)]
-pub struct Admission {
-    most: usize,
-    in_hand: usize,
+pub struct AdmissionControl {
+    capacity: usize,
+    in_flight: usize,
+    /// Tasks in flight of each service that has any.
     services: BTreeMap<u64, usize>,
-    /// Final answers in the present span of measuring, and answers a second before.
-    drained: usize,
-    since: Timestamp,
+    /// Completions in the current window, and when it began.
+    completed: usize,
+    window_start: Timestamp,
+    /// Completions per second, smoothed, once a window has passed.
     rate: Option<f64>,
-    /// Room is promised up to this instant: each nack books the next place.
-    booked: Timestamp,
+    /// Places are promised up to this timestamp: each rejection reserves the next one.
+    promised_until: Timestamp,
 }
 
-impl Admission {
-    pub fn new(most: usize) -> Self {
+impl AdmissionControl {
+    /// Admits at most `capacity` tasks at the same time, at least one.
+    pub fn new(capacity: usize) -> Self {
         Self {
-            most: most.max(1),
-            in_hand: 0,
+            capacity: capacity.max(1),
+            in_flight: 0,
             services: BTreeMap::new(),
-            drained: 0,
-            since: Timestamp::default(),
+            completed: 0,
+            window_start: Timestamp::default(),
             rate: None,
-            booked: Timestamp::default(),
+            promised_until: Timestamp::default(),
         }
     }
 
-    pub fn change(&mut self, most: usize) {
-        self.most = most.max(1);
+    /// Changes the capacity; tasks already in flight are not affected.
+    pub fn set_capacity(&mut self, capacity: usize) {
+        self.capacity = capacity.max(1);
     }
 
-    pub fn in_hand(&self) -> usize {
-        self.in_hand
+    /// Tasks admitted and not released.
+    pub fn in_flight(&self) -> usize {
+        self.in_flight
     }
 
-    /// Whether a task of this service is taken now.
+    /// Admits a task of this service, or rejects it.
     ///
     /// # Errors
-    /// For how long it is to stay away. Those nacked one after the other are called back one after the other,
-    /// at the pace at which room comes free, so that they do not come back in step.
-    pub fn ask(&mut self, now: Timestamp, service: u64) -> Result<(), Duration> {
+    /// The time after which to retry. Requests rejected one after the other are called back one after the other,
+    /// at the rate at which places become free, so that they don't retry in step.
+    pub fn try_admit(&mut self, now: Timestamp, service: u64) -> Result<(), Duration> {
         let of_service = self.services.get(&service).copied().unwrap_or(0);
-        let under = |part: f64| (self.in_hand as f64) < self.most as f64 * part;
-        let takes = under(FREE_PART)
-            || (under(KEPT_ABOVE) && of_service < self.share(service, 0))
-            || (under(1.0) && of_service < self.share(service, 1));
-        if takes {
-            self.in_hand += 1;
+        let below = |part: f64| (self.in_flight as f64) < self.capacity as f64 * part;
+        let is_admitted = below(FREE_PART)
+            || (below(RESERVED_ABOVE) && of_service < self.fair_share(service, 0))
+            || (below(1.0) && of_service < self.fair_share(service, 1));
+        if is_admitted {
+            self.in_flight += 1;
             *self.services.entry(service).or_default() += 1;
             return Ok(());
         }
-        if of_service < self.share(service, 1) {
-            // All room is taken by others; what comes free next is for such as this.
-            return Err(LEAST_AWAY);
+        if of_service < self.fair_share(service, 1) {
+            // All places are taken by other services; the next ones are for services below their share.
+            return Err(MIN_RETRY_AFTER);
         }
-        let guess = self.most as f64 / (FIRST_GUESS.nanos() as f64 / 1e9);
-        let rate = self.rate.unwrap_or(guess).max(1.0) * CALLED;
-        let gap = Duration::from_nanos((1e9 / rate) as u64);
-        let latest = now + MOST_AWAY;
-        self.booked = (self.booked.max(now + LEAST_AWAY) + gap).min(latest);
-        Err(self.booked - now)
+        Err(self.reserve_retry(now))
     }
 
-    /// The room in hand that one service may have while it is scarce: an equal part for each that has some,
-    /// and for so many more.
-    fn share(&self, service: u64, more: usize) -> usize {
-        let parts = self.services.len() + usize::from(!self.services.contains_key(&service)) + more;
-        (self.most / parts).max(1)
+    /// The time after which the next rejected request is to be retried.
+    fn reserve_retry(&mut self, now: Timestamp) -> Duration {
+        let assumed = self.capacity as f64 / (ASSUMED_DRAIN_TIME.nanos() as f64 / NANOS_PER_SECOND);
+        let rate = self.rate.unwrap_or(assumed).max(1.0) * RETRIES_PER_PLACE;
+        let gap = Duration::from_nanos((NANOS_PER_SECOND / rate) as u64);
+        let latest = now + MAX_RETRY_AFTER;
+        self.promised_until = (self.promised_until.max(now + MIN_RETRY_AFTER) + gap).min(latest);
+        self.promised_until - now
     }
 
-    /// A task of this service has had its final answer.
-    pub fn done(&mut self, now: Timestamp, service: u64) {
-        self.in_hand = self.in_hand.checked_sub(1).expect("an answer for each that was taken");
-        let count = self.services.get_mut(&service).expect("a service with a task in hand");
+    /// The places that one service may have while they are scarce: an equal share among the services that have
+    /// any, this one and `reserved` more.
+    fn fair_share(&self, service: u64, reserved: usize) -> usize {
+        let shares = self.services.len() + usize::from(!self.services.contains_key(&service)) + reserved;
+        (self.capacity / shares).max(1)
+    }
+
+    /// Releases the place of a task of this service that has its final outcome.
+    ///
+    /// # Panics
+    /// If no task of this service is in flight.
+    pub fn release(&mut self, now: Timestamp, service: u64) {
+        self.in_flight = self.in_flight.checked_sub(1).expect("each release follows an admission");
+        let count = self.services.get_mut(&service).expect("the service has a task in flight");
         *count -= 1;
         if *count == 0 {
             self.services.remove(&service);
         }
-        self.drained += 1;
-        let span = now - self.since;
-        if span >= MEASURE {
-            let newest = self.drained as f64 / (span.nanos() as f64 / 1e9);
+        self.completed += 1;
+        let elapsed = now - self.window_start;
+        if elapsed >= RATE_WINDOW {
+            let newest = self.completed as f64 / (elapsed.nanos() as f64 / NANOS_PER_SECOND);
             let before = self.rate.unwrap_or(newest);
-            self.rate = Some(before + (newest - before) * NEWEST);
-            (self.drained, self.since) = (0, now);
+            self.rate = Some(before + (newest - before) * RATE_WEIGHT);
+            (self.completed, self.window_start) = (0, now);
         }
     }
 }
--- /dev/null
+++ b/crates/limits/src/connection_pool.rs
@@ -0,0 +1,69 @@
+//! The connections to machines: one pool of descriptors for all machines, counted as they are opened.
+//!
+//! Seen: one descriptor was reserved for each listed machine, so with hundreds of machines none was left to
+//! reconnect to a silent one, and tasks on machines that had disappeared never got an outcome.
+
+use mulleinhub_interface::Timestamp;
+use std::collections::{BTreeMap, BTreeSet};
+
+/// Open connections to machines, by a number that the caller gives each of them.
+#[derive(Debug)]
+pub struct ConnectionPool {
+    max: usize,
+    last_used: BTreeMap<u64, Timestamp>,
+    by_last_use: BTreeSet<(Timestamp, u64)>,
+}
+
+impl ConnectionPool {
+    /// An empty pool of `max` connections, at least one.
+    pub fn new(max: usize) -> Self {
+        Self { max: max.max(1), last_used: BTreeMap::new(), by_last_use: BTreeSet::new() }
+    }
+
+    /// Adds a connection that was opened.
+    pub fn insert(&mut self, now: Timestamp, id: u64) {
+        self.last_used.insert(id, now);
+        self.by_last_use.insert((now, id));
+    }
+
+    /// Records that bytes were sent or received on a connection.
+    pub fn touch(&mut self, now: Timestamp, id: u64) {
+        if let Some(at) = self.last_used.get_mut(&id) {
+            self.by_last_use.remove(&(*at, id));
+            self.by_last_use.insert((now, id));
+            *at = now;
+        }
+    }
+
+    /// Removes a connection that is closed.
+    pub fn remove(&mut self, id: u64) {
+        if let Some(at) = self.last_used.remove(&id) {
+            self.by_last_use.remove(&(at, id));
+        }
+    }
+
+    /// Whether another connection may be opened.
+    pub fn has_capacity(&self) -> bool {
+        self.last_used.len() < self.max
+    }
+
+    /// Open connections.
+    pub fn len(&self) -> usize {
+        self.last_used.len()
+    }
+
+    /// Whether no connection is open.
+    pub fn is_empty(&self) -> bool {
+        self.last_used.is_empty()
+    }
+
+    /// The least recently used connection among those not used since then that `may_close` allows to close.
+    pub fn least_recently_used(
+        &self,
+        unused_since: Timestamp,
+        may_close: impl Fn(u64) -> bool,
+    ) -> Option<u64> {
+        let unused = self.by_last_use.iter().take_while(|(at, _)| *at <= unused_since);
+        unused.map(|(_, id)| *id).find(|id| may_close(*id))
+    }
+}
--- a/crates/load-test/src/busy.rs
+++ b/crates/load-test/src/busy.rs
@@ -212,19 +212,19 @@
     }
 
     fn on_closed(&mut self, now: Timestamp, link: ConnectionId, _: CloseReason) {
-        self.links.forget(link);
+        self.links.remove(link);
         if let Some(desk) = self.desks.iter().position(|desk| desk.link == Some(link)) {
             let to = std::mem::take(&mut self.desks[desk].to);
             self.desks[desk] = Desk { to, link: None, up: false, frames: Frames::default() };
-            self.timers.set(now + RECONNECT, Due::Open(desk));
+            self.timers.schedule(now + RECONNECT, Due::Open(desk));
         }
     }
 
     fn poll(&mut self, now: Timestamp) {
         if !std::mem::replace(&mut self.begun, true) {
-            (0..self.desks.len()).for_each(|desk| self.timers.set(now, Due::Open(desk)));
+            (0..self.desks.len()).for_each(|desk| self.timers.schedule(now, Due::Open(desk)));
         }
-        while let Some(Due::Open(desk)) = self.timers.due(now) {
+        while let Some(Due::Open(desk)) = self.timers.pop_due(now) {
             let link = self.links.open(&self.desks[desk].to.clone());
             self.desks[desk].link = Some(link);
         }
@@ -242,7 +242,7 @@
         if !self.begun {
             return Some(Timestamp::default());
         }
-        [self.timers.next(), self.next].into_iter().flatten().min()
+        [self.timers.next_wakeup(), self.next].into_iter().flatten().min()
     }
 
     fn connections(&mut self) -> &mut Connections {
--- a/crates/planner/src/conf.rs
+++ b/crates/planner/src/conf.rs
@@ -127,18 +127,18 @@
     let mut clients = scope.once("clients", faults).map_or(none, Scope::of);
     let usual = mulleinhub_limits::Settings::default();
     let of_clients = mulleinhub_limits::Settings {
-        most: clients.or("most", usual.most, faults).max(1),
-        most_of_a_tenant: clients.or("most-of-a-tenant", usual.most_of_a_tenant, faults).max(1),
-        most_of_a_name: clients.or("most-of-a-name", usual.most_of_a_name, faults).max(1),
-        most_strangers: clients.or("most-strangers", usual.most_strangers, faults).max(1),
-        opens_a_turn: clients.or("opens-a-turn", usual.opens_a_turn, faults).max(1),
-        greet_within: clients.or("greet-within", usual.greet_within, faults),
-        frame_within: clients.or("frame-within", usual.frame_within, faults),
-        idle_after: clients.or("idle-after", usual.idle_after, faults),
-        sign_within: clients.or("sign-within", usual.sign_within, faults),
-        steady_for: clients.or("steady-for", usual.steady_for, faults),
-        may_speak: usual.may_speak,
-        woken_a_turn: clients.or("woken-a-turn", usual.woken_a_turn, faults).max(1),
+        max_connections: clients.or("most", usual.max_connections, faults).max(1),
+        max_per_tenant: clients.or("most-of-a-tenant", usual.max_per_tenant, faults).max(1),
+        max_per_name: clients.or("most-of-a-name", usual.max_per_name, faults).max(1),
+        max_unidentified: clients.or("most-strangers", usual.max_unidentified, faults).max(1),
+        max_accepts_per_iteration: clients.or("opens-a-turn", usual.max_accepts_per_iteration, faults).max(1),
+        greeting_timeout: clients.or("greet-within", usual.greeting_timeout, faults),
+        frame_timeout: clients.or("frame-within", usual.frame_timeout, faults),
+        keepalive_time: clients.or("idle-after", usual.keepalive_time, faults),
+        keepalive_timeout: clients.or("sign-within", usual.keepalive_timeout, faults),
+        steady_period: clients.or("steady-for", usual.steady_period, faults),
+        eviction_grace: usual.eviction_grace,
+        max_queued_per_iteration: clients.or("woken-a-turn", usual.max_queued_per_iteration, faults).max(1),
     };
     clients.finish(faults);
     let me = name.as_ref().map_or("", |name| name.0.as_str());
--- a/crates/planner/src/daemon.rs
+++ b/crates/planner/src/daemon.rs
@@ -46,7 +46,7 @@
             body.len()
         );
         self.engine.connections().send(link, format!("{head}{body}").as_bytes(), None);
-        self.engine.connections().end(link);
+        self.engine.connections().close(link);
     }
 }
 
@@ -78,7 +78,7 @@
 
     fn on_closed(&mut self, now: Timestamp, link: ConnectionId, end: CloseReason) {
         if self.readers.remove(&link).is_some() {
-            self.engine.connections().forget(link);
+            self.engine.connections().remove(link);
         } else {
             self.engine.on_closed(now, link, end);
         }
--- a/crates/platform-settings/src/lib.rs
+++ b/crates/platform-settings/src/lib.rs
@@ -1,169 +1,133 @@
-//! The settings object that a scheduler is given, on the simulator's wire and in the platform's
-//! configuration.
+//! The settings object that a scheduler receives, on the simulator's wire and in the platform's configuration.
 //!
-//! For: reading it into the types of the interface, once for both adapters. Unknown keys are passed over.
-//! May not touch: any decision, any value that is not in the object.
+//! Reads it into the types of the interface, once for both adapters. Unknown keys are ignored. The crate makes no
+//! decision and adds no value that is not in the object, except for the defaults that the format defines.
 
+#![warn(missing_docs)]
+
+mod error;
+mod json;
+mod use_cases;
+
+pub use error::SettingsError;
+
+use json::{duration, flag, list, number, required, strings, text};
 use mulleinhub::interface::*;
 use mulleinhub::{Duration, PlacementPolicy};
 use serde_json::Value;
 
-/// What was wrong, in words for whoever reads standard error.
-pub type Bad = String;
-
-/// What a scheduler is told of the site it serves, and of itself.
+/// What a scheduler knows of the platform that it serves, and of itself.
 #[derive(Clone, Debug)]
-pub struct Site {
+pub struct PlatformSettings {
+    /// The use cases, in the order of their numbers.
     pub use_cases: Vec<UseCase>,
-    /// Sizes of the kinds of machine.
-    pub kinds: Vec<Resources>,
-    pub taking: AcceptanceRules,
-    pub cold: SlowStart,
-    pub listing: Discovery,
-    pub home: LocalityCosts,
+    /// The sizes of the machine kinds, in the order of their numbers.
+    pub machine_kinds: Vec<Resources>,
+    /// How machines accept tasks.
+    pub acceptance: AcceptanceRules,
+    /// How machines that have just started are loaded.
+    pub slow_start: SlowStart,
+    /// How the scheduler learns of machines.
+    pub discovery: Discovery,
+    /// The scheduler's zone, and what remote machines cost.
+    pub locality_costs: LocalityCosts,
+    /// The names behind the numbers.
     pub names: Names,
-    /// The names of a load report's values, and whether x0 and x1 tell room not in use (else room not asked
-    /// for).
-    pub report: Vec<String>,
-    pub report_of_use: bool,
-    /// A connection that is not up after this counts as none.
-    pub connect_within: Duration,
-    /// After so long without traffic the other side closes a connection.
-    pub idle_after: Duration,
+    /// The names of a load report's values.
+    pub report_fields: Vec<String>,
+    /// The values x0 and x1 of a load report are the resources not in use; else those not requested.
+    pub report_measures_usage: bool,
+    /// A connection that is not established after this time has failed.
+    pub connect_timeout: Duration,
+    /// The peer closes a connection without traffic after this time.
+    pub idle_timeout: Duration,
 }
 
-/// What use cases, kinds of machine and zones are called, each in the order of their numbers.
+/// The names of use cases, machine kinds and zones, each in the order of their numbers.
 #[derive(Clone, Debug, Default)]
 pub struct Names {
+    /// The names of the use cases.
     pub use_cases: Vec<String>,
+    /// The names of the machine kinds.
     pub kinds: Vec<String>,
+    /// The names of the zones.
     pub zones: Vec<String>,
 }
 
-impl Site {
+impl PlatformSettings {
+    /// Reads the settings object.
+    ///
     /// # Errors
-    /// What is missing or can't be understood.
-    pub fn read(config: &Value) -> Result<Self, Bad> {
-        let facts = part(config, "specifics")?;
-        let rules = part(config, "rules")?;
-        let limits = part(config, "limits")?;
-        let tariffs = part(config, "tariffs")?;
+    /// The first key that is missing or has a value of the wrong type.
+    pub fn from_json(config: &Value) -> Result<Self, SettingsError> {
+        let facts = required(config, "specifics")?;
+        let rules = required(config, "rules")?;
+        let limits = required(config, "limits")?;
+        let tariffs = required(config, "tariffs")?;
         let zone = ZoneId(number(config, "myZone")? as u32);
-        let names = config.get("feedback").and_then(|f| f.get("names")).and_then(Value::as_array);
-        let class_names =
-            list(config, "classes")?.iter().map(|class| class.get("name").and_then(Value::as_str));
+        let classes = list(config, "classes")?;
         Ok(Self {
-            use_cases: use_cases(config, facts)?,
-            kinds: kinds(facts)?,
-            taking: AcceptanceRules {
-                cores: number(facts, "acceptsCores")?,
-                memory: number(facts, "acceptsMemory")?,
-                yes_when_running: facts.get("yesAt").and_then(Value::as_str) == Some("running"),
-                max_sends: number(limits, "maxAttempts")? as u32,
-                tells_pressure: facts.get("tellsPressure").and_then(Value::as_bool) == Some(true),
-                recalls: limits.get("cancel").and_then(Value::as_bool) == Some(true),
+            use_cases: use_cases::use_cases(config, facts)?,
+            machine_kinds: use_cases::machine_kinds(facts)?,
+            acceptance: acceptance_rules(facts, limits)?,
+            slow_start: slow_start(config, rules, facts)?,
+            discovery: Discovery {
+                asked: text(config, "discovery") == Some("ask"),
+                ask_within: duration(rules, "askWithin")?,
             },
-            cold: SlowStart {
-                warm_after: span(rules, "warmAfter")?,
-                fall: span(rules, "fall")?,
-                young_limit: number(facts, "youngLimit")?,
-                schedulers: number(config, "balancers")? as u32,
-                number: number(config, "index")? as u32,
-            },
-            listing: Discovery {
-                asked: config.get("discovery").and_then(Value::as_str) == Some("ask"),
-                ask_within: span(rules, "askWithin")?,
-            },
-            home: LocalityCosts {
+            locality_costs: LocalityCosts {
                 zone,
                 cross_zone_price: number(tariffs, "crossZone").unwrap_or(0.0),
                 machine_price: number(tariffs, "fleet").unwrap_or(0.0),
             },
             names: Names {
-                use_cases: class_names.map(|name| name.unwrap_or_default().to_owned()).collect(),
-                kinds: texts(config, "shapes"),
-                zones: texts(config, "localities"),
+                use_cases: classes.iter().map(|c| text(c, "name").unwrap_or_default().to_owned()).collect(),
+                kinds: strings(config, "shapes"),
+                zones: strings(config, "localities"),
             },
-            report: names.into_iter().flatten().filter_map(|n| n.as_str().map(String::from)).collect(),
-            report_of_use: facts.get("measuredBy").and_then(Value::as_str) == Some("used"),
-            connect_within: span(limits, "connectTimeout")?,
-            idle_after: span(limits, "keepalive")?,
+            report_fields: report_fields(config),
+            report_measures_usage: text(facts, "measuredBy") == Some("used"),
+            connect_timeout: duration(limits, "connectTimeout")?,
+            idle_timeout: duration(limits, "keepalive")?,
         })
     }
 
-    pub fn brain(&self, seed: u64) -> PlacementPolicy {
+    /// The placement policy for these settings.
+    pub fn placement_policy(&self, seed: u64) -> PlacementPolicy {
         PlacementPolicy::new(
             seed,
             self.use_cases.clone(),
-            self.kinds.clone(),
-            self.taking,
-            self.cold,
-            self.listing,
-            self.home,
+            self.machine_kinds.clone(),
+            self.acceptance,
+            self.slow_start,
+            self.discovery,
+            self.locality_costs,
         )
     }
 }
 
-fn texts(of: &Value, key: &str) -> Vec<String> {
-    let texts = of.get(key).and_then(Value::as_array).into_iter().flatten();
-    texts.map(|text| text.as_str().unwrap_or_default().to_owned()).collect()
-}
-
-fn part<'a>(of: &'a Value, key: &str) -> Result<&'a Value, Bad> {
-    of.get(key).ok_or_else(|| format!("the settings lack {key}"))
+fn acceptance_rules(facts: &Value, limits: &Value) -> Result<AcceptanceRules, SettingsError> {
+    Ok(AcceptanceRules {
+        cores: number(facts, "acceptsCores")?,
+        memory: number(facts, "acceptsMemory")?,
+        yes_when_running: text(facts, "yesAt") == Some("running"),
+        max_sends: number(limits, "maxAttempts")? as u32,
+        tells_pressure: flag(facts, "tellsPressure"),
+        recalls: flag(limits, "cancel"),
+    })
 }
 
-fn number(of: &Value, key: &str) -> Result<f64, Bad> {
-    part(of, key)?.as_f64().ok_or_else(|| format!("settings: {key} is no number"))
+fn slow_start(config: &Value, rules: &Value, facts: &Value) -> Result<SlowStart, SettingsError> {
+    Ok(SlowStart {
+        warm_after: duration(rules, "warmAfter")?,
+        fall: duration(rules, "fall")?,
+        young_limit: number(facts, "youngLimit")?,
+        schedulers: number(config, "balancers")? as u32,
+        number: number(config, "index")? as u32,
+    })
 }
 
-fn span(of: &Value, key: &str) -> Result<Duration, Bad> {
-    let nanos = part(of, key)?.as_u64().ok_or_else(|| format!("settings: {key} is no span of time"))?;
-    Ok(Duration::from_nanos(nanos))
-}
-
-fn list<'a>(of: &'a Value, key: &str) -> Result<&'a [Value], Bad> {
-    part(of, key)?.as_array().map(Vec::as_slice).ok_or_else(|| format!("settings: {key} is no list"))
-}
-
-fn kinds(facts: &Value) -> Result<Vec<Resources>, Bad> {
-    let (cores, memory) = (list(facts, "kindCores")?, list(facts, "memoryByKind")?);
-    let size = |(c, m): (&Value, &Value)| Some(Resources::new(c.as_f64()?, m.as_f64()?));
-    let sizes: Option<Vec<Resources>> = cores.iter().zip(memory).map(size).collect();
-    sizes.ok_or_else(|| "settings: kindCores and memoryByKind must be numbers".into())
-}
-
-fn use_cases(config: &Value, facts: &Value) -> Result<Vec<UseCase>, Bad> {
-    let at = |key: &str, n: usize| facts.get(key).and_then(|values| values.get(n));
-    let figure = |key: &str, n: usize| at(key, n).and_then(Value::as_f64);
-    let read = |(n, class): (usize, &Value)| {
-        let group = match class.get("group").and_then(Value::as_str) {
-            Some("all") => FailureDomain::All,
-            Some("zone") => FailureDomain::Zone,
-            _ => FailureDomain::Cell,
-        };
-        let effect = match class.get("effect").and_then(Value::as_str) {
-            Some("repeatable") => Idempotency::Idempotent,
-            Some("by_key") => Idempotency::Keyed { domain: group, window: span(class, "window")? },
-            _ => Idempotency::NonIdempotent,
-        };
-        let reach = match at("spreadOver", n).and_then(Value::as_str) {
-            Some("machine") => Some(FailureDomain::Machine),
-            Some("cell") => Some(FailureDomain::Cell),
-            Some("zone") => Some(FailureDomain::Zone),
-            _ => None,
-        };
-        Ok(UseCase {
-            soft_limit: span(class, "target")?,
-            client_timeout: span(class, "deadline")?,
-            effect,
-            earnings: number(class, "gain")?,
-            priority: figure("precedence", n).unwrap_or(0.0) as u8,
-            kind: figure("kindByClass", n).filter(|kind| *kind >= 0.0).map(|kind| KindId(kind as usize)),
-            spread: reach.zip(figure("togetherMax", n).map(|most| most as usize)),
-            full_up_to: figure("fullUpTo", n).unwrap_or(1.0),
-            fade: figure("classFade", n).unwrap_or(0.0),
-        })
-    };
-    list(config, "classes")?.iter().enumerate().map(read).collect()
+fn report_fields(config: &Value) -> Vec<String> {
+    let names = config.get("feedback").and_then(|feedback| feedback.get("names")).and_then(Value::as_array);
+    names.into_iter().flatten().filter_map(|name| name.as_str().map(String::from)).collect()
 }
--- a/crates/platform/src/conf.rs
+++ b/crates/platform/src/conf.rs
@@ -1,7 +1,7 @@
 //! The configuration that the platform gives.
 
 use mulleinhub_platform_protocol::{Known, known};
-use mulleinhub_platform_settings::Site;
+use mulleinhub_platform_settings::PlatformSettings;
 use serde_json::Value;
 
 /// All that a scheduler is started with.
@@ -14,7 +14,7 @@
     pub descriptors: usize,
     pub bulletin: String,
     pub known: Known,
-    pub site: Site,
+    pub site: PlatformSettings,
 }
 
 impl Conf {
@@ -40,7 +40,7 @@
             descriptors: limit("sockets")?,
             bulletin: text("bulletin")?,
             known: known(value.get("known").cloned().unwrap_or_default()).map_err(|bad| bad.to_string())?,
-            site: Site::read(settings)?,
+            site: PlatformSettings::from_json(settings)?,
         })
     }
 }
--- a/crates/platform/src/desk.rs
+++ b/crates/platform/src/desk.rs
@@ -9,11 +9,12 @@
 use mulleinhub::{Pcg, mix};
 use mulleinhub_interface::{Duration, Idempotency, MachineId, MachineState, Outcome, TaskId, Timestamp};
 use mulleinhub_limits::{
-    Admission, Doorway, Limits, MOST_CONNECTIONS, Pool, connections_to_machines, tasks_held, tasks_in_hand,
+    AcceptBudget, AdmissionControl, ConnectionLimits, ConnectionPool, MAX_CONNECTIONS_PER_MACHINE,
+    machine_connection_limit, max_tasks_in_flight, max_tasks_tracked,
 };
 use mulleinhub_platform_protocol::{self as protocol, Cause, Event, kind, why};
-use mulleinhub_platform_settings::Site;
-use mulleinhub_resilience::{HEARTBEAT, PauseDetector, backoff};
+use mulleinhub_platform_settings::PlatformSettings;
+use mulleinhub_resilience::{MAX_POLL_INTERVAL, PauseDetector, backoff};
 use mulleinhub_sans_io::{CloseReason, ConnectionId, Connections, Timers};
 use std::collections::VecDeque;
 use std::sync::Arc;
@@ -84,20 +85,20 @@
 }
 
 pub struct Desk {
-    pub site: Site,
+    pub site: PlatformSettings,
     pub now: Timestamp,
     pub links: Connections,
     pub owners: Owners,
     pub machines: Machines,
     pub watch: Watch,
     pub tasks: Tasks,
-    pub limits: Limits,
-    pub admission: Admission,
+    pub limits: ConnectionLimits,
+    pub admission: AdmissionControl,
     pub patience: Patience,
     /// Descriptors of connections to machines.
-    pub pool: Pool,
+    pub pool: ConnectionPool,
     connections_in_all: usize,
-    doorway: Doorway,
+    doorway: AcceptBudget,
     /// Tasks that may be held in all.
     pub most_held: usize,
     pub handovers: HandOvers,
@@ -130,39 +131,39 @@
 
 impl Desk {
     pub fn new(conf: Conf) -> Self {
-        let doorway = Doorway::new(conf.descriptors);
+        let doorway = AcceptBudget::new(conf.descriptors);
         let limits = mulleinhub_limits::Settings {
-            most: conf.descriptors,
-            most_of_a_tenant: conf.descriptors,
-            most_of_a_name: conf.descriptors,
+            max_connections: conf.descriptors,
+            max_per_tenant: conf.descriptors,
+            max_per_name: conf.descriptors,
             // Who says nothing has a part of what owners have, and no more.
-            most_strangers: (conf.descriptors / 8).max(1),
-            opens_a_turn: doorway.taken_a_turn,
-            greet_within: Duration::from_nanos(2_000_000_000),
-            frame_within: Duration::from_nanos(2_000_000_000),
-            idle_after: Duration::from_secs(30),
-            sign_within: Duration::from_secs(10),
-            steady_for: Duration::from_secs(5),
-            may_speak: Duration::from_nanos(20_000_000),
-            woken_a_turn: 256,
+            max_unidentified: (conf.descriptors / 8).max(1),
+            max_accepts_per_iteration: doorway.max_accepts,
+            greeting_timeout: Duration::from_nanos(2_000_000_000),
+            frame_timeout: Duration::from_nanos(2_000_000_000),
+            keepalive_time: Duration::from_secs(30),
+            keepalive_timeout: Duration::from_secs(10),
+            steady_period: Duration::from_secs(5),
+            eviction_grace: Duration::from_nanos(20_000_000),
+            max_queued_per_iteration: 256,
         };
-        let mut limits = Limits::new(limits);
-        limits.descriptors(conf.descriptors);
-        let patience = Patience::new(conf.site.idle_after, conf.site.connect_within);
+        let mut limits = ConnectionLimits::new(limits);
+        limits.set_descriptor_limit(conf.descriptors);
+        let patience = Patience::new(conf.site.idle_timeout, conf.site.connect_timeout);
         Self {
             limits,
             patience,
-            admission: Admission::new(tasks_in_hand(conf.memory_mb)),
+            admission: AdmissionControl::new(max_tasks_in_flight(conf.memory_mb)),
             now: Timestamp::default(),
             links: Connections::default(),
             owners: Owners::default(),
             machines: Machines::default(),
             watch: Watch::new(conf.bulletin, conf.known.no),
             tasks: Tasks::default(),
-            pool: Pool::new(connections_to_machines(conf.descriptors)),
+            pool: ConnectionPool::new(machine_connection_limit(conf.descriptors)),
             doorway,
-            connections_in_all: connections_to_machines(conf.descriptors),
-            most_held: tasks_held(conf.memory_mb),
+            connections_in_all: machine_connection_limit(conf.descriptors),
+            most_held: max_tasks_tracked(conf.memory_mb),
             handovers: HandOvers::default(),
             owners_name: "owner".into(),
             saved: conf.known.items,
@@ -174,7 +175,7 @@
             timers: Timers::default(),
             next_mark: 0,
             stood: PauseDetector::default(),
-            chance: Pcg::new(mix(conf.seed, conf.site.cold.number.into())),
+            chance: Pcg::new(mix(conf.seed, conf.site.slow_start.number.into())),
             ending: None,
             told_end: false,
             counts: Counts::default(),
@@ -189,25 +190,25 @@
 
     pub fn owner_came(&mut self, now: Timestamp, link: ConnectionId) {
         self.now = self.now.max(now);
-        self.owners.by_link.insert(link, Owner::new((self.now, self.stood.turns())));
-        match self.limits.opened(self.now, link.0) {
+        self.owners.by_link.insert(link, Owner::new((self.now, self.stood.iterations())));
+        match self.limits.accept(self.now, link.0) {
             Ok(None) => {}
             Ok(Some(idle)) => self.is_to_give_way(ConnectionId(idle)),
             Err(_) => {
                 let until = self.now + ASKS_WITHIN;
                 self.owners.by_link.get_mut(&link).expect("just came").turned_away = true;
                 self.owners.turned_away.push_back((until, link));
-                self.timers.set(until, Due::TurnedAway);
+                self.timers.schedule(until, Due::TurnedAway);
             }
         }
     }
 
     /// An owner's connection without anything open on it is ended.
     pub fn drop_owner(&mut self, link: ConnectionId) {
-        self.limits.forget(link.0);
+        self.limits.remove(link.0);
         self.owners.turned_away.retain(|(_, other)| *other != link);
         self.owners.by_link.remove(&link);
-        self.links.end(link);
+        self.links.close(link);
     }
 
     /// An idle connection is to make room, unless something of it is here when the turn has heard all.
@@ -223,19 +224,19 @@
         for link in std::mem::take(&mut self.owners.giving_way) {
             let Some(owner) = self.owners.by_link.get(&link) else { continue };
             let Some(since) = owner.gives_way else { continue };
-            let until = since + self.limits.settings().may_speak;
+            let until = since + self.limits.settings().eviction_grace;
             let speaks =
                 owner.queued || owner.frames.has_next() || !owner.open.is_empty() || owner.end.is_some();
             // Met: of as many new owners as there were places for, all beyond an eighth of the descriptors
             // were ended in the middle of their first set-up, which came in pieces.
-            let has_room = self.owners.by_link.len() <= self.limits.allowed();
+            let has_room = self.owners.by_link.len() <= self.limits.current_limit();
             if speaks || (has_room && self.is_within_a_message(link)) {
                 self.stays(link);
             } else if owner.frames.kept() > 0 && until > self.now {
                 // The rest of a message may be on its way. Met: whoever sent a part of one kept its place for
                 // two seconds beyond all limits, and such clients took every descriptor there was.
                 self.owners.giving_way.push(link);
-                self.timers.set(until, Due::GiveWay);
+                self.timers.schedule(until, Due::GiveWay);
             } else {
                 self.drop_owner(link);
             }
@@ -245,7 +246,7 @@
     /// Whether a part of a message is here that still has time to become whole.
     fn is_within_a_message(&self, link: ConnectionId) -> bool {
         let since = self.owners.by_link.get(&link).and_then(|owner| owner.partial_since);
-        since.is_some_and(|since| self.now - since < self.limits.settings().frame_within)
+        since.is_some_and(|since| self.now - since < self.limits.settings().frame_timeout)
     }
 
     /// It spoke, so it makes no room.
@@ -253,16 +254,16 @@
         let Some(owner) = self.owners.by_link.get_mut(&link) else { return };
         owner.gives_way = None;
         let (proven, open, partial_since) = (owner.proven, owner.open.len() as u32, owner.partial_since);
-        self.limits.stays(self.now, link.0);
+        self.limits.readmit(self.now, link.0);
         if let Some(since) = partial_since {
-            self.limits.read(since, link.0, true);
+            self.limits.set_partial_frame(since, link.0, true);
         }
         if proven {
             // There is no bound on one name here.
-            let _ = self.limits.greeted(link.0, &self.owners_name);
-            self.limits.is_of_use(link.0);
+            let _ = self.limits.identify(link.0, &self.owners_name);
+            self.limits.mark_legitimate(link.0);
         }
-        self.limits.in_hand(link.0, open);
+        self.limits.set_tasks_in_flight(link.0, open);
     }
 
     /// Those for whom there was no room and who asked nothing in time.
@@ -277,13 +278,13 @@
 
     /// How many connections of owners are taken before the next turn.
     pub fn takes(&self) -> usize {
-        if self.limits.waits_until().is_some_and(|until| until > self.now) {
+        if self.limits.accept_paused_until().is_some_and(|until| until > self.now) {
             return 0;
         }
-        let refused = self.doorway.turned_away.saturating_sub(self.owners.turned_away.len());
+        let refused = self.doorway.max_rejections.saturating_sub(self.owners.turned_away.len());
         // Those who make room are still here.
-        let most = self.limits.allowed() + self.doorway.taken_a_turn + self.doorway.turned_away;
-        self.limits.takes().min(refused).min(most.saturating_sub(self.owners.by_link.len()))
+        let most = self.limits.current_limit() + self.doorway.max_accepts + self.doorway.max_rejections;
+        self.limits.accept_budget().min(refused).min(most.saturating_sub(self.owners.by_link.len()))
     }
 
     pub fn who(&self, link: ConnectionId) -> Option<Who> {
@@ -300,7 +301,7 @@
         self.now = self.now.max(now);
         match self.who(link) {
             Some(Who::Machine) => {
-                self.pool.used(now, link.0);
+                self.pool.touch(now, link.0);
                 self.came_up.push(link);
             }
             Some(Who::Watch) => {
@@ -308,7 +309,7 @@
                 self.watch.heard_at = now;
                 let call = self.watch.call();
                 self.links.send(link, call.as_bytes(), None);
-                self.timers.set(now + watch::SILENCE, Due::Watch(link));
+                self.timers.schedule(now + watch::SILENCE, Due::Watch(link));
             }
             Some(Who::Owner) | None => {}
         }
@@ -317,21 +318,21 @@
     pub fn came_in(&mut self, now: Timestamp, link: ConnectionId, bytes: &[u8]) {
         match self.who(link) {
             Some(Who::Owner) => {
-                let turns = self.stood.turns();
+                let turns = self.stood.iterations();
                 let owner = self.owners.by_link.get_mut(&link).expect("is one");
                 owner.frames.take(bytes);
                 owner.heard_at = now;
                 if !owner.queued {
                     owner.since = (now, turns);
                 }
-                if self.limits.slows(owner.frames.kept()) {
-                    self.links.pause(link, true);
+                if self.limits.should_pause_reading(owner.frames.kept()) {
+                    self.links.set_reading_paused(link, true);
                 }
-                self.limits.heard(now, link.0);
+                self.limits.record_activity(now, link.0);
                 self.queue_owner(link);
             }
             Some(Who::Machine) => {
-                self.pool.used(now, link.0);
+                self.pool.touch(now, link.0);
                 let connection = self.machines.connections.get_mut(&link).expect("is one");
                 connection.used_at = now;
                 connection.frames.take(bytes);
@@ -361,10 +362,10 @@
                 self.queue_machine(link);
             }
             Some(Who::Watch) => {
-                self.links.forget(link);
+                self.links.remove(link);
                 self.watch_ended(false);
             }
-            None => drop(self.links.forget(link)),
+            None => drop(self.links.remove(link)),
         }
     }
 
@@ -374,7 +375,7 @@
             return;
         }
         let returns = !owner.open.is_empty();
-        if self.limits.speaks(self.now, link.0, returns) {
+        if self.limits.admit_input(self.now, link.0, returns) {
             self.arrivals.push_back(link);
         }
     }
@@ -397,7 +398,7 @@
 
     /// The next connection that something came in on.
     pub fn next_arrival(&mut self) -> Option<ConnectionId> {
-        let link = self.arrivals.pop_front().or_else(|| self.limits.next_heard().map(ConnectionId))?;
+        let link = self.arrivals.pop_front().or_else(|| self.limits.next_queued().map(ConnectionId))?;
         if let Some(owner) = self.owners.by_link.get_mut(&link) {
             owner.queued = false;
         } else if let Some(connection) = self.machines.connections.get_mut(&link) {
@@ -410,24 +411,24 @@
 
     pub fn begin_turn(&mut self, now: Timestamp) {
         self.now = now;
-        if self.stood.begin(now) {
-            self.limits.woke(now);
+        if self.stood.begin_iteration(now) {
+            self.limits.on_process_resumed(now);
         }
-        self.limits.begin_turn(self.connections_in_all);
+        self.limits.begin_iteration(self.connections_in_all);
         let up_at = self.said_at();
         for link in std::mem::take(&mut self.came_up) {
             self.machines.comes_up(now, up_at, link);
             tracing::debug!(connection = link.0, "a connection is up");
         }
         for link in std::mem::take(&mut self.rest) {
-            self.limits.stands_in_line(link.0, true);
+            self.limits.enqueue_input(link.0, true);
         }
     }
 
     /// When what was read before this turn was said at the earliest. Met in a story: what a machine had said
     /// before it stopped lay here through a standstill of ours, and counted from when it was read.
     pub fn said_at(&self) -> Timestamp {
-        let lay = self.stood.lay(self.now, (self.now, self.stood.turns() - 1));
+        let lay = self.stood.queued_for(self.now, (self.now, self.stood.iterations() - 1));
         Timestamp::default() + ((self.now - Timestamp::default()) - lay)
     }
 
@@ -439,7 +440,7 @@
                 Some(Who::Watch) | None => {}
             }
         }
-        self.stood.end(self.wake());
+        self.stood.end_iteration(self.wake());
     }
 
     pub fn wake(&self) -> Option<Timestamp> {
@@ -447,15 +448,20 @@
             || !self.gone.is_empty()
             || !self.arrivals.is_empty()
             || !self.rest.is_empty()
-            || self.limits.any_in_line();
+            || self.limits.has_queued();
         if at_once {
             return Some(self.now);
         }
-        let takes_again = self.limits.waits_until().filter(|until| *until > self.now);
-        [self.timers.next(), self.limits.wake(), takes_again, Some(self.now + HEARTBEAT)]
-            .into_iter()
-            .flatten()
-            .min()
+        let takes_again = self.limits.accept_paused_until().filter(|until| *until > self.now);
+        [
+            self.timers.next_wakeup(),
+            self.limits.next_wakeup(),
+            takes_again,
+            Some(self.now + MAX_POLL_INTERVAL),
+        ]
+        .into_iter()
+        .flatten()
+        .min()
     }
 
     /// A fault of a peer, logged a few times a second at the most.
@@ -478,7 +484,7 @@
 
     fn send_scratch(&mut self, link: ConnectionId, mark: Option<u64>) {
         self.links.send(link, &self.scratch, mark);
-        if self.links.unwritten(link) > MOST_UNWRITTEN {
+        if self.links.pending_bytes(link) > MOST_UNWRITTEN {
             self.stuck.push(link);
         }
     }
@@ -521,7 +527,7 @@
         } else {
             owner.open.remove(&id)
         };
-        self.limits.in_hand(link.0, owner.open.len() as u32);
+        self.limits.set_tasks_in_flight(link.0, owner.open.len() as u32);
     }
 
     /// The final answer of a task in hand is given, or none is owed any more.
@@ -532,7 +538,7 @@
         }
         let (service, link) = (job.order.service.0, job.owner);
         self.tasks.unanswered -= 1;
-        self.admission.done(self.now, service);
+        self.admission.release(self.now, service);
         self.hand(link, id, false);
     }
 
@@ -541,7 +547,7 @@
     /// Whether a connection to a machine may be opened: where the pool is used up, the idle one that was used
     /// longest ago makes room. One used just now may still bring what its machine has to tell.
     pub fn makes_room(&mut self) -> bool {
-        if self.pool.has_room() {
+        if self.pool.has_capacity() {
             return true;
         }
         let connections = &self.machines.connections;
@@ -549,8 +555,9 @@
             connection.up && connection.end.is_none() && !connection.queued && connection.open.is_empty()
         };
         let since = Timestamp::default() + (self.now - (Timestamp::default() + self.patience.connect));
-        let longest =
-            self.pool.to_let_go(since, |conn| connections.get(&ConnectionId(conn)).is_some_and(is_idle));
+        let longest = self
+            .pool
+            .least_recently_used(since, |conn| connections.get(&ConnectionId(conn)).is_some_and(is_idle));
         let Some(longest) = longest else { return false };
         self.end_connection(ConnectionId(longest));
         true
@@ -565,12 +572,12 @@
         let link = self.links.open(&machine.address);
         machine.connections.push(link);
         let (now, cuts) = (self.now, std::mem::take(&mut machine.cuts));
-        self.pool.opened(now, link.0);
+        self.pool.insert(now, link.0);
         self.machines.connections.insert(link, Connection::new(id, now));
         for task in cuts {
             self.send(link, |out| protocol::write_with_cause(out, kind::RELEASE, task.0, why::CANCELLED));
         }
-        self.timers.set(now + self.patience.connect, Due::Up(link));
+        self.timers.schedule(now + self.patience.connect, Due::Up(link));
         self.look_after(id);
         Some(link)
     }
@@ -591,14 +598,14 @@
 
     /// It is looked at from now on, as long as there is anything to look after.
     pub fn look_after(&mut self, id: MachineId) {
-        let drawn = self.now + backoff::sign(self.patience.look * 2.0, self.chance.part());
+        let drawn = self.now + backoff::keepalive_check(self.patience.look * 2.0, self.chance.part());
         if let Some(machine) = self.machines.by_id.get_mut(&id)
             && !std::mem::replace(&mut machine.looked_after, true)
         {
             // The look that finds it lost comes in time.
             let lost = machine.heard_at + self.patience.lost;
             let at = if lost > self.now { drawn.min(lost) } else { drawn };
-            self.timers.set(at, Due::Look(id));
+            self.timers.schedule(at, Due::Look(id));
         }
     }
 
@@ -612,7 +619,7 @@
             .machines
             .by_id
             .get(&machine)
-            .is_some_and(|machine| machine.connections.len() < MOST_CONNECTIONS)
+            .is_some_and(|machine| machine.connections.len() < MAX_CONNECTIONS_PER_MACHINE)
             && let Some(link) = self.open_connection(machine)
         {
             return Some(link);
@@ -628,14 +635,14 @@
     }
 
     pub fn forget_connection(&mut self, link: ConnectionId) -> Option<Connection> {
-        self.pool.over(link.0);
+        self.pool.remove(link.0);
         self.machines.forget_connection(link)
     }
 
     /// Ends a connection to a machine on which nothing is open.
     pub fn end_connection(&mut self, link: ConnectionId) {
         self.forget_connection(link);
-        self.links.end(link);
+        self.links.close(link);
     }
 
     /// Writes the set-up of an open send. False where there is no connection to the machine.
@@ -649,9 +656,9 @@
         self.next_mark += 1;
         let mark = self.next_mark;
         if let Some(machine) = self.machines.by_id.get_mut(&open.machine) {
-            machine.gate.wrote(now, id.0, open.number);
+            machine.gate.on_sent(now, id.0, open.number);
         }
-        self.pool.used(now, link.0);
+        self.pool.touch(now, link.0);
         let connection = self.machines.connections.get_mut(&link).expect("was chosen");
         connection.open.push(id);
         connection.used_at = now;
@@ -737,7 +744,7 @@
             (Idempotency::Keyed { window, .. }, Some(first)) => first + window,
             _ => never,
         };
-        machine.gate.stale_after(self.now, self.site.cold.fall).map_or(window, |cold| cold.min(window))
+        machine.gate.stale_after(self.now, self.site.slow_start.fall).map_or(window, |cold| cold.min(window))
     }
 
     /// What proves that a send never ran, once it is taken back; nothing where it may.
@@ -762,11 +769,11 @@
     /// Writes the set-ups that the gate held back, as far as it lets them. What waited too long for a cold
     /// machine goes back to the module, whose budget counts it no longer.
     pub fn release(&mut self, id: MachineId) {
-        let (now, fall) = (self.now, self.site.cold.fall);
+        let (now, fall) = (self.now, self.site.slow_start.fall);
         let Some(machine) = self.machines.by_id.get_mut(&id).filter(|m| !m.waiting.is_empty()) else {
             return;
         };
-        let shut = machine.gate.shut_until(now, fall);
+        let shut = machine.gate.closed_until(now, fall);
         let mut waits_on = Vec::new();
         for (task, send) in std::mem::take(&mut machine.waiting) {
             let open = self.tasks.by_id.get(&task).and_then(|job| job.open);
@@ -783,7 +790,7 @@
             }
         }
         if let Some(until) = shut.filter(|_| !waits_on.is_empty()) {
-            self.timers.set(until, Due::Release(id));
+            self.timers.schedule(until, Due::Release(id));
         }
         self.machines.by_id.get_mut(&id).expect("is there").waiting.extend(waits_on);
     }
@@ -796,7 +803,7 @@
             return self.closings.push_back((task, send, Outcome::NoConnection));
         }
         machine.waiting.push((task, send));
-        self.timers.set(self.now + self.patience.connect * CONNECTION_PART, Due::Release(id));
+        self.timers.schedule(self.now + self.patience.connect * CONNECTION_PART, Due::Release(id));
     }
 
     /// All that stands on a machine is over with it.
@@ -831,7 +838,7 @@
         }
         let link = self.links.open(&self.watch.address);
         self.watch.begins(link, self.now);
-        self.timers.set(self.now + watch::CONNECT, Due::Up(link));
+        self.timers.schedule(self.now + watch::CONNECT, Due::Up(link));
     }
 
     /// Its connection is over: a new one is made at once, and later ones at a pace.
@@ -845,8 +852,8 @@
         if failures == 0 {
             self.open_watch();
         } else {
-            let wait = backoff::after_failures(watch::AGAIN, failures - 1, self.chance.part());
-            self.timers.set(self.now + wait, Due::OpenWatch);
+            let wait = backoff::retry_delay(watch::AGAIN, failures - 1, self.chance.part());
+            self.timers.schedule(self.now + wait, Due::OpenWatch);
         }
     }
 
@@ -867,7 +874,7 @@
 
     /// Whether anything was read and not heard yet.
     fn has_unheard(&self) -> bool {
-        !self.arrivals.is_empty() || !self.rest.is_empty() || self.limits.any_in_line()
+        !self.arrivals.is_empty() || !self.rest.is_empty() || self.limits.has_queued()
     }
 
     /// By when all answers are owed, where it is to end.
@@ -888,6 +895,6 @@
         self.ending.is_some_and(|since| now - since >= NO_END_BEFORE)
             && self.tasks.unanswered == 0
             && !self.has_unheard()
-            && self.owners.by_link.keys().all(|link| self.links.unwritten(*link) == 0)
+            && self.owners.by_link.keys().all(|link| self.links.pending_bytes(*link) == 0)
     }
 }
--- a/crates/platform/src/hear.rs
+++ b/crates/platform/src/hear.rs
@@ -12,7 +12,7 @@
     MachineState, Outcome, PolicyEvents, Rejection, Resources, ServiceId, TaskId, TaskKey, TaskSpec,
     Timestamp, UseCaseId, ZoneId,
 };
-use mulleinhub_limits::Act;
+use mulleinhub_limits::Action;
 use mulleinhub_platform_protocol::{
     self as protocol, Bad, Cause, Frame, Listed, SetUp, Unusable, Why, kind, why,
 };
@@ -46,7 +46,7 @@
     list(desk, round, ListKind::Cached, &known);
     let d = &mut *desk.borrow_mut();
     d.open_watch();
-    d.timers.set(d.now + TELL, Due::Tell);
+    d.timers.schedule(d.now + TELL, Due::Tell);
 }
 
 /// Between two lines in the log that tell how it is.
@@ -61,7 +61,7 @@
             job.order.deadline = job.order.deadline.min(by);
             if let Some(open) = job.open.as_mut().filter(|open| open.due > by) {
                 open.due = by;
-                d.timers.set(by, Due::Send(*id, open.number));
+                d.timers.schedule(by, Due::Send(*id, open.number));
             }
         }
         by
@@ -182,9 +182,9 @@
         index.entry(address.to_owned()).or_default().insert(id);
     }
     if let Some(since) = entry.since {
-        let until = since + d.site.cold.warm_after;
+        let until = since + d.site.slow_start.warm_after;
         if until > now {
-            machine.gate.is_cold_until(until);
+            machine.gate.extend_slow_start(until);
         }
     }
 }
@@ -212,7 +212,7 @@
     // The frames are taken out for the while, so that messages can borrow them and the desk stays free.
     let take = |d: &mut Desk| Some(std::mem::take(&mut d.owners.by_link.get_mut(&link)?.frames));
     let Some(mut frames) = take(&mut desk.borrow_mut()) else { return };
-    let mut left = desk.borrow().limits.frames_a_turn();
+    let mut left = desk.borrow().limits.max_frames_per_iteration();
     let mut heard_any = false;
     while left > 0 {
         left -= 1;
@@ -238,22 +238,22 @@
     let (partial, more) = (frames.kept() > 0, frames.has_next());
     owner.frames = frames;
     if heard_any {
-        d.limits.frame_heard(link.0);
+        d.limits.frame_completed(link.0);
     }
     let since = owner.partial_since.filter(|_| !heard_any).unwrap_or(now);
     owner.partial_since = partial.then_some(since);
     let (end, turned_away) = (owner.end, owner.turned_away);
     if more {
         // What is whole by now is no slow frame.
-        d.limits.read(now, link.0, false);
+        d.limits.set_partial_frame(now, link.0, false);
         return d.hear_rest_later(link);
     }
-    let paused = d.links.is_paused(link);
-    d.links.pause(link, false);
+    let paused = d.links.is_reading_paused(link);
+    d.links.set_reading_paused(link, false);
     if turned_away && !partial {
         return d.drop_owner(link);
     }
-    d.limits.read(now, link.0, partial);
+    d.limits.set_partial_frame(now, link.0, partial);
     if end.is_some() {
         return owner_is_gone(d, link);
     }
@@ -295,14 +295,14 @@
 /// It says what owners say.
 fn greets(d: &mut Desk, link: ConnectionId) {
     // Told again, it changes nothing.
-    let _ = d.limits.greeted(link.0, &d.owners_name);
+    let _ = d.limits.identify(link.0, &d.owners_name);
 }
 
 /// What came of it proves that it is an owner's.
 fn proves(d: &mut Desk, link: ConnectionId) {
     if let Some(owner) = d.owners.by_link.get_mut(&link) {
         owner.proven = true;
-        d.limits.is_of_use(link.0);
+        d.limits.mark_legitimate(link.0);
     }
 }
 
@@ -334,7 +334,7 @@
             // over.
             greets(d, link);
             let until = d.handovers.waits(d.now, order, machine, link);
-            d.timers.set(until, Due::HandOver);
+            d.timers.schedule(until, Due::HandOver);
             return Ok(());
         }
         drop(borrowed);
@@ -349,7 +349,8 @@
         Err(unusable) => return refuse_unusable(d, link, id, &unusable),
     };
     greets(d, link);
-    let lay = d.owners.by_link.get(&link).map_or(Duration::ZERO, |owner| d.stood.lay(d.now, owner.since));
+    let lay =
+        d.owners.by_link.get(&link).map_or(Duration::ZERO, |owner| d.stood.queued_for(d.now, owner.since));
     let longest = d.site.use_cases[case.0].client_timeout;
     let patience = Duration::from_nanos(setup.patience_ms * 1_000_000).min(longest) - lay;
     if d.is_closed() || patience == Duration::ZERO {
@@ -366,7 +367,7 @@
         d.send(link, |out| protocol::write_refusal(out, id.0, why::BUSY, away));
         return Ok(());
     }
-    if let Err(away) = d.admission.ask(d.now, setup.figures.service) {
+    if let Err(away) = d.admission.try_admit(d.now, setup.figures.service) {
         let away = away.nanos() / 1_000_000;
         d.send(link, |out| protocol::write_refusal(out, id.0, why::BUSY, away));
         return Ok(());
@@ -438,8 +439,8 @@
     if std::str::from_utf8(setup.description).is_err() {
         return Err(Unusable("a description that is no text"));
     }
-    let taking = &d.site.taking;
-    let largest = d.site.kinds.iter().fold(Resources::ZERO, |most, size| most.at_least(*size));
+    let taking = &d.site.acceptance;
+    let largest = d.site.machine_kinds.iter().fold(Resources::ZERO, |most, size| most.at_least(*size));
     let asked = Resources::new(setup.figures.cores, setup.figures.memory);
     if !(largest + taking.beyond(largest)).fits(asked) {
         return Err(Unusable("more than any machine takes"));
@@ -522,24 +523,22 @@
         abandon(d, id);
     }
     d.owners.by_link.remove(&link);
-    d.limits.forget(link.0);
+    d.limits.remove(link.0);
     d.links.abort(link);
 }
 
 /// Deadlines of owners' connections, a bounded number of them in one turn.
 pub fn look_after_owners(d: &mut Desk) {
     let (now, mut budget) = (d.now, 64);
-    while let Some((conn, act)) = d.limits.due(now, &mut budget) {
+    while let Some((conn, act)) = d.limits.next_due(now, &mut budget) {
         match act {
             // There is no sign to ask for: a connection without a task in hand may be closed. Of one with a
             // task in hand the answer is ours. Met: an owner that waited for longer than the silence was let
             // go.
-            Act::AskForSign
-                if d.owners.by_link.get(&ConnectionId(conn)).is_some_and(|o| !o.open.is_empty()) =>
-            {
-                d.limits.heard(now, conn);
+            Action::Ping if d.owners.by_link.get(&ConnectionId(conn)).is_some_and(|o| !o.open.is_empty()) => {
+                d.limits.record_activity(now, conn);
             }
-            Act::AskForSign | Act::End(_) => close_owner(d, ConnectionId(conn)),
+            Action::Ping | Action::Disconnect(_) => close_owner(d, ConnectionId(conn)),
         }
     }
     d.give_way();
@@ -690,9 +689,9 @@
 
 /// A machine said something of a send: what was written before it has arrived too.
 fn answered_by(d: &mut Desk, machine: MachineId, id: TaskId, send: u32) {
-    let (now, fall) = (d.now, d.site.cold.fall);
+    let (now, fall) = (d.now, d.site.slow_start.fall);
     if let Some(machine) = d.machines.by_id.get_mut(&machine) {
-        machine.gate.answered(now, fall, id.0, send);
+        machine.gate.on_answered(now, fall, id.0, send);
     }
     d.release(machine);
 }
@@ -838,15 +837,15 @@
         d.machines.connections_of(id).filter(|(_, other)| other.up).map(|(link, _)| link).collect();
     let refused = end == CloseReason::Refused;
     if let Some(machine) = d.machines.by_id.get_mut(&id) {
-        machine.gate.ended(now);
+        machine.gate.on_disconnected(now);
         machine.was_not_there(&connection, now, d.patience.idle);
-        if end == CloseReason::Untried {
+        if end == CloseReason::NotAttempted {
             // A want of ours proves nothing of the machine.
             machine.retry_at = now + d.patience.look;
         } else if connection.up {
-            machine.retry_at = now + backoff::after_end(d.patience.again, drawn);
+            machine.retry_at = now + backoff::reconnect_delay(d.patience.again, drawn);
         } else {
-            machine.retry_at = now + backoff::after_failures(d.patience.again, machine.failures, drawn);
+            machine.retry_at = now + backoff::retry_delay(d.patience.again, machine.failures, drawn);
             machine.failures += 1;
             // A process that dies resets its connections. Met: machines that drain refuse new ones, and what
             // stood there was taken for lost.
@@ -865,12 +864,12 @@
     for task in connection.open {
         let Some(job) = d.tasks.by_id.get_mut(&task) else { continue };
         let Some(open) = job.open.filter(|open| open.link == Some(link)) else { continue };
-        if end == CloseReason::Untried {
+        if end == CloseReason::NotAttempted {
             job.open = Some(Open { link: None, ..open });
             d.waits_for_connection(task, open.number, id);
             continue;
         }
-        let never_left = unwritten.contains(&(open.mark, Unsent::Whole));
+        let never_left = unwritten.contains(&(open.mark, Unsent::Entire));
         if never_left && connection.up && !open.anew {
             // An idle connection that the other side had closed, or one reset as it came up: the same send
             // goes out on another one.
@@ -921,14 +920,14 @@
             if until <= d.now {
                 d.watch_ended(true);
             } else {
-                d.timers.set(until, Due::Watch(link));
+                d.timers.schedule(until, Due::Watch(link));
             }
         }
         Due::Watch(_) => {}
         Due::OpenWatch => d.open_watch(),
         Due::Tell => {
             tell(d);
-            d.timers.set(d.now + TELL, Due::Tell);
+            d.timers.schedule(d.now + TELL, Due::Tell);
         }
     }
 }
@@ -960,7 +959,7 @@
     let cuts = !d.machines.by_id[&id].cuts.is_empty();
     // Where the pool is used up, machines where tasks stand are visited in turn, each well within the time
     // in which owners must hear of an end that nobody could tell.
-    let in_turn = d.pool.has_room() || quiet >= patience.quiet;
+    let in_turn = d.pool.has_capacity() || quiet >= patience.quiet;
     let mut wants_new = stands && !coming && if up == 0 { in_turn } else { quiet >= patience.quiet };
     wants_new |= cuts && !coming;
     for (link, used_at) in &idle {
@@ -980,7 +979,7 @@
             .iter()
             .filter(|(link, _)| d.machines.connections.contains_key(link))
             .min_by_key(|(_, at)| *at);
-        if let (true, true, Some((link, _))) = (!d.pool.has_room(), up > 1, oldest) {
+        if let (true, true, Some((link, _))) = (!d.pool.has_capacity(), up > 1, oldest) {
             d.end_connection(*link);
         }
         d.open_connection(id);
--- a/crates/platform/src/lib.rs
+++ b/crates/platform/src/lib.rs
@@ -36,7 +36,7 @@
 
 impl Platform {
     pub fn new(conf: Conf) -> Self {
-        let mind = conf.site.brain(conf.seed);
+        let mind = conf.site.placement_policy(conf.seed);
         Self { mind, desk: RefCell::new(Desk::new(conf)), begun: false }
     }
 
@@ -96,9 +96,9 @@
             // is out by then, before the module's next send of that task.
             hear::closings(desk, round);
             // Only now: an answer that lay waiting while this process stood still came first.
-            let mark = desk.borrow().timers.mark();
+            let mark = desk.borrow().timers.last_sequence();
             loop {
-                let due = desk.borrow_mut().timers.due_of(now, mark);
+                let due = desk.borrow_mut().timers.pop_due_up_to(now, mark);
                 match due {
                     Some(Due::Token(token)) => round.on_timer(token),
                     Some(due) => hear::due(desk, due),
@@ -132,7 +132,7 @@
     fn on_descriptors_exhausted(&mut self, now: Timestamp) {
         let desk = self.desk.get_mut();
         desk.now = desk.now.max(now);
-        for conn in desk.limits.pinched(now) {
+        for conn in desk.limits.on_descriptors_exhausted(now) {
             desk.is_to_give_way(ConnectionId(conn));
         }
     }
--- a/crates/platform/src/pen.rs
+++ b/crates/platform/src/pen.rs
@@ -37,10 +37,10 @@
         job.sends += 1;
         let due = now + time_out;
         desk.counts.sends += 1;
-        desk.timers.set(due, Due::Send(task, number));
+        desk.timers.schedule(due, Due::Send(task, number));
         let write_by = desk.write_by(task, machine);
         if write_by < due {
-            desk.timers.set(write_by, Due::Write(task, number));
+            desk.timers.schedule(write_by, Due::Write(task, number));
         }
         let job = desk.tasks.by_id.get_mut(&task).expect("was there");
         job.open = Some(Open { write_by, ..Open::new(number, machine, now, due) });
@@ -50,9 +50,9 @@
             "task {}: a send to a machine that drains or is gone",
             task.0
         );
-        if let Some(until) = spot.gate.shut_until(now, desk.site.cold.fall) {
+        if let Some(until) = spot.gate.closed_until(now, desk.site.slow_start.fall) {
             spot.waiting.push((task, number));
-            desk.timers.set(until, Due::Release(machine));
+            desk.timers.schedule(until, Due::Release(machine));
         } else if !desk.write_setup(task) {
             desk.waits_for_connection(task, number, machine);
         }
@@ -95,7 +95,7 @@
     }
 
     fn wake_at(&mut self, token: u64, at: Timestamp) {
-        self.0.borrow_mut().timers.set(at, Due::Token(token));
+        self.0.borrow_mut().timers.schedule(at, Due::Token(token));
     }
 
     fn watch_endpoints(&mut self) {
--- a/crates/platform/src/stories/mod.rs
+++ b/crates/platform/src/stories/mod.rs
@@ -427,5 +427,5 @@
     assert_eq!((desk.machines.by_id.len(), desk.machines.connections.len()), (2, 0));
     assert!(desk.timers.len() < 20 && desk.closings.is_empty(), "{}", desk.timers.len());
     assert_eq!(desk.limits.len(), 0);
-    assert!(desk.links.held() < 2_000_000);
+    assert!(desk.links.buffer_capacity() < 2_000_000);
 }
--- a/crates/platform/src/stories/rig.rs
+++ b/crates/platform/src/stories/rig.rs
@@ -151,7 +151,7 @@
     fn carry(&mut self) -> bool {
         let mut back = false;
         loop {
-            while let Some(link) = self.platform.connections().next_dirty() {
+            while let Some(link) = self.platform.connections().next_with_output() {
                 self.take_from(link);
             }
             let Some(ask) = self.platform.connections().next_command() else { return back };
@@ -168,7 +168,7 @@
                             let end = if door == Entrance::Refuses {
                                 CloseReason::Refused
                             } else {
-                                CloseReason::Untried
+                                CloseReason::NotAttempted
                             };
                             self.platform.on_closed(self.now, link, end);
                         }
@@ -178,7 +178,7 @@
                     }
                     back = true;
                 }
-                Command::End { link, .. } => {
+                Command::Close { connection: link, .. } => {
                     self.take_from(link);
                     self.platform.connections().discard(link);
                     self.opened.remove(&link);
@@ -194,7 +194,7 @@
             return;
         }
         let bytes = self.platform.connections().outgoing(link).to_vec();
-        self.platform.connections().wrote(link, bytes.len());
+        self.platform.connections().mark_written(link, bytes.len());
         if self.opened.get(&link).is_some_and(|to| to.ends_with(":8500") || to.ends_with(":8501")) {
             return self.raw.entry(link).or_default().extend(bytes);
         }
--- a/crates/resilience/src/backoff.rs
+++ b/crates/resilience/src/backoff.rs
@@ -1,35 +1,40 @@
-//! When a planner comes back to a peer that it lost, or asks one for a sign of life.
+//! Delays before a planner reconnects to a peer, and between keepalive checks, with jitter.
 //!
-//! Met, counted over 120 planners: whoever learnt of a lost rack or list at one instant came back at one
-//! instant, and again at each doubling; whoever started together asked for signs of life together for ever
-//! after. So a part of each wait is drawn, and no wait between tries is longer than it would be undrawn. What
-//! can't wait doesn't: open sends that want a proof, and sends to a machine that has not refused.
+//! Seen, counted over 120 planners: those that lost a rack or the endpoint list at the same moment reconnected at
+//! the same moment, and again at each doubling; those that started together sent keepalives together ever after.
+//! So a part of each delay is random, and no delay is longer than it would be without jitter. What can't wait
+//! is not delayed: attempts in flight that need a confirmation, and attempts on a machine that has not rejected
+//! any.
+//!
+//! The `random` parameters are uniform numbers from 0 to 1 that the caller draws.
 
 use mulleinhub_interface::Duration;
 
-/// The part of a wait between tries that is drawn.
-const TRY: f64 = 0.5;
-/// And of that between two looks for signs of life.
-const LOOK: f64 = 0.25;
-/// Waits double so often at the most.
-const DOUBLINGS: u32 = 3;
+/// The part of a retry delay that is random.
+const RETRY_JITTER: f64 = 0.5;
+/// The part of a keepalive interval that is random.
+const KEEPALIVE_JITTER: f64 = 0.25;
+/// The part of the keepalive timeout between two checks.
+const CHECK_PART: f64 = 0.5;
+/// A retry delay is doubled at most this often.
+const MAX_DOUBLINGS: u32 = 3;
 
-/// How long to wait after so many tries that failed; `drawn` is a part of a whole, by chance.
-pub fn after_failures(first: Duration, failures: u32, drawn: f64) -> Duration {
-    first * f64::from(1u32 << failures.min(DOUBLINGS)) * (1.0 - TRY * drawn)
+/// The delay before the next attempt after this many consecutive failures: exponential, with jitter.
+pub fn retry_delay(initial: Duration, failures: u32, random: f64) -> Duration {
+    initial * f64::from(1u32 << failures.min(MAX_DOUBLINGS)) * (1.0 - RETRY_JITTER * random)
 }
 
-/// How long after a connection that was up has ended, where nothing waits for what the other side tells.
-pub fn after_end(first: Duration, drawn: f64) -> Duration {
-    first * drawn
+/// The delay before the reconnect after an established connection was closed, where nothing waits for the peer.
+pub fn reconnect_delay(initial: Duration, random: f64) -> Duration {
+    initial * random
 }
 
-/// From the asking for a connection to the first look for signs of life: a greeting has all the silence.
-pub fn first_sign(silence: Duration, drawn: f64) -> Duration {
-    silence + sign(silence, drawn) * 0.5
+/// The delay from the connection attempt to the first keepalive check: the greeting has the whole timeout.
+pub fn first_keepalive_check(timeout: Duration, random: f64) -> Duration {
+    timeout + keepalive_check(timeout, random) * CHECK_PART
 }
 
-/// From one look for signs of life to the next.
-pub fn sign(silence: Duration, drawn: f64) -> Duration {
-    silence * 0.5 * (1.0 - LOOK * drawn)
+/// The delay from one keepalive check to the next.
+pub fn keepalive_check(timeout: Duration, random: f64) -> Duration {
+    timeout * CHECK_PART * (1.0 - KEEPALIVE_JITTER * random)
 }
--- a/crates/resilience/src/lib.rs
+++ b/crates/resilience/src/lib.rs
@@ -1,12 +1,15 @@
-//! What every way in and out needs beside the module: returns that are drawn, the gate before a cold machine,
-//! and the knowledge that this process stood still.
+//! Protection against thundering herds, slow machines and pauses of this process.
 //!
-//! For: the engine and the platform's party.
-//! May not touch: frames, connections, any choice of the module.
+//! [`backoff`] computes reconnect and keepalive delays with jitter; [`SlowStartGate`] holds back task offers to a
+//! machine in slow start whose connection is stalled; [`PauseDetector`] notices that this process itself was
+//! paused. The engine and the platform use all three. The crate performs no I/O, has no clock and makes no
+//! placement decision.
+
+#![warn(missing_docs)]
 
 pub mod backoff;
-mod cold;
-mod standstill;
+mod pause_detector;
+mod slow_start;
 
-pub use cold::SlowStartGate;
-pub use standstill::{HEARTBEAT, PAUSE_THRESHOLD, PauseDetector};
+pub use pause_detector::{MAX_POLL_INTERVAL, PAUSE_THRESHOLD, PauseDetector};
+pub use slow_start::SlowStartGate;
--- a/crates/sans-io/src/lib.rs
+++ b/crates/sans-io/src/lib.rs
@@ -1,14 +1,16 @@
-//! The seam between programs and I/O.
+//! Sans-I/O state machines: the boundary between the programs and their I/O.
 //!
-//! For: what each program and stand-in is made of. A [`StateMachine`] is told bytes, ends of connections and the
-//! time, and leaves bytes, connections to open or end, and a wake time in its [`Connections`]. A shell with real
-//! sockets and a runner in virtual time feed the same parties.
-//! May not touch: sockets, clocks, threads, files; what bytes mean.
+//! Each program and each emulator is a [`StateMachine`]. Its host reports bytes, closed connections and the time,
+//! and takes bytes, [`Command`]s and a wakeup time from its [`Connections`]. The host is either the event loop
+//! with real sockets or the simulation in virtual time; the state machines are the same. The crate performs no
+//! I/O, reads no clock, starts no thread and doesn't interpret the bytes.
 
-mod links;
+#![warn(missing_docs)]
+
+mod connections;
 mod timers;
 
-pub use links::{ConnectionId, Connections, Unsent};
+pub use connections::{ConnectionId, Connections, Unsent};
 pub use timers::Timers;
 
 use mulleinhub_interface::Timestamp;
@@ -16,65 +18,73 @@
 /// How a connection ended, as far as this side can know.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CloseReason {
-    /// It never came up: nothing was delivered.
+    /// It was never established: nothing was delivered.
     Refused,
-    /// It was never tried, for want of something of ours: a descriptor, a port. Nothing is known of the other
-    /// side, and nothing was delivered.
-    Untried,
-    /// The other side closed it.
+    /// It was never attempted, because this side had no descriptor or no port. Nothing is known of the peer, and
+    /// nothing was delivered.
+    NotAttempted,
+    /// The peer closed it.
     Closed,
-    /// It broke, or this side's own I/O failed.
+    /// It was reset, or this side's own I/O failed.
     Broken,
 }
 
-/// The way in that a connection came through; the party that listens gives it its meaning.
+/// The listener that accepted a connection; the state machine defines what its number means.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ListenerId(pub u32);
 
-/// What a shell or a runner has to do for a party, beside carrying bytes.
+/// What the host has to do for a state machine, beside transferring bytes.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Command {
-    /// Open a connection to this address, and call it by this link.
+    /// Open a connection to this address; it is called by this id.
     Open(ConnectionId, String),
-    /// End this connection once its outgoing bytes are written, or at once where `at_once` is set.
-    End { link: ConnectionId, at_once: bool },
+    /// Close a connection.
+    Close {
+        /// The connection.
+        connection: ConnectionId,
+        /// Close it now; else after its outgoing bytes are written.
+        immediately: bool,
+    },
 }
 
-/// A program or stand-in without I/O.
+/// A program or an emulator without I/O.
 ///
-/// A turn is: any number of `opened`, `up`, `received` and `ended`, then one `turn`. Whoever feeds it tells
-/// all that has come in before `turn`, so that a standstill is no silence of the others.
+/// One iteration of the host calls `on_connection_accepted`, `on_connected`, `on_data` and `on_closed` any number
+/// of times, then `poll` once. The host reports all input that has arrived before it calls `poll`, so that a pause
+/// of this process isn't taken for silence of its peers.
 pub trait StateMachine {
-    /// Somebody opened a connection to this party.
-    fn on_connection_accepted(&mut self, now: Timestamp, link: ConnectionId, door: ListenerId);
-    /// A connection that this party asked for is up.
-    fn on_connected(&mut self, now: Timestamp, link: ConnectionId);
-    fn on_data(&mut self, now: Timestamp, link: ConnectionId, bytes: &[u8]);
-    /// The connection is over; the link is never named again by either side.
-    fn on_closed(&mut self, now: Timestamp, link: ConnectionId, end: CloseReason);
-    /// All that came in was told: time to act.
+    /// A listener has accepted a connection.
+    fn on_connection_accepted(&mut self, now: Timestamp, connection: ConnectionId, listener: ListenerId);
+    /// A connection that this state machine requested is established.
+    fn on_connected(&mut self, now: Timestamp, connection: ConnectionId);
+    /// Bytes have arrived.
+    fn on_data(&mut self, now: Timestamp, connection: ConnectionId, bytes: &[u8]);
+    /// A connection is closed; neither side uses its id again.
+    fn on_closed(&mut self, now: Timestamp, connection: ConnectionId, reason: CloseReason);
+    /// All input was reported: acts on it, and on timers that are due.
     fn poll(&mut self, now: Timestamp);
-    /// Some of what came in was told, and more lies unread: what was told may be answered, and nobody is
-    /// taken for silent before `turn`.
+    /// A part of the input was reported and more is unread: may answer what was reported, but must not take any
+    /// peer for silent before `poll`.
     fn poll_early(&mut self, _now: Timestamp) {}
-    /// Whether what comes on this connection is told before what comes on others, where much comes at once.
-    fn is_priority(&self, _link: ConnectionId) -> bool {
+    /// Whether the input of this connection is reported before that of others when much arrives at once.
+    fn is_priority(&self, _connection: ConnectionId) -> bool {
         false
     }
-    /// When `turn` is wanted at the latest, if nothing comes in before.
+    /// When `poll` is to be called at the latest, even without input.
     fn next_wakeup(&self) -> Option<Timestamp>;
+    /// The connections of this state machine.
     fn connections(&mut self) -> &mut Connections;
-    /// Whether a connection through this door is taken now; where not, it is refused.
+    /// Whether this listener accepts connections now; else they are refused.
     fn is_listening(&self, _: ListenerId) -> bool {
         true
     }
-    /// How many more connections through this door are taken before the next turn; others wait outside.
+    /// How many more connections this listener accepts before the next `poll`; others wait in the backlog.
     fn accept_budget(&self, _: ListenerId) -> usize {
         usize::MAX
     }
-    /// No connection can be accepted for want of descriptors.
+    /// No connection can be accepted because the descriptors are exhausted.
     fn on_descriptors_exhausted(&mut self, _now: Timestamp) {}
-    /// What is to be kept for the party's next life, where that has changed since the last call.
+    /// State for the next incarnation of this state machine, if it has changed since the last call.
     fn state_to_persist(&mut self) -> Option<Vec<u8>> {
         None
     }
--- a/crates/sans-io/src/timers.rs
+++ b/crates/sans-io/src/timers.rs
@@ -1,56 +1,60 @@
-//! Wake times of one party, in the order of their instants and then of their setting.
+//! Timers of one state machine, in the order of their timestamps and then of their scheduling.
 
 use mulleinhub_interface::Timestamp;
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
 
-/// Things to come back to. Nothing is taken out early: whoever is woken looks whether it still matters.
+/// Scheduled events. They can't be cancelled: the receiver of an event checks whether it still matters.
 #[derive(Debug)]
 pub struct Timers<T> {
     heap: BinaryHeap<Reverse<(Timestamp, u64, T)>>,
-    set: u64,
+    scheduled: u64,
 }
 
 impl<T: Ord> Default for Timers<T> {
     fn default() -> Self {
-        Self { heap: BinaryHeap::new(), set: 0 }
+        Self { heap: BinaryHeap::new(), scheduled: 0 }
     }
 }
 
 impl<T: Ord> Timers<T> {
-    pub fn set(&mut self, at: Timestamp, what: T) {
-        self.set += 1;
-        self.heap.push(Reverse((at, self.set, what)));
+    /// Schedules an event.
+    pub fn schedule(&mut self, at: Timestamp, event: T) {
+        self.scheduled += 1;
+        self.heap.push(Reverse((at, self.scheduled, event)));
     }
 
-    pub fn next(&self) -> Option<Timestamp> {
+    /// The timestamp of the earliest event.
+    pub fn next_wakeup(&self) -> Option<Timestamp> {
         self.heap.peek().map(|Reverse((at, ..))| *at)
     }
 
-    /// The earliest thing that is due by now.
-    pub fn due(&mut self, now: Timestamp) -> Option<T> {
-        if self.next()? > now {
+    /// Removes the earliest event, if it is due.
+    pub fn pop_due(&mut self, now: Timestamp) -> Option<T> {
+        if self.next_wakeup()? > now {
             return None;
         }
-        self.heap.pop().map(|Reverse((_, _, what))| what)
+        self.heap.pop().map(|Reverse((_, _, event))| event)
     }
 
-    /// How many were ever set: a mark for `due_of`.
-    pub fn mark(&self) -> u64 {
-        self.set
+    /// How many events were ever scheduled: the sequence number of the last one.
+    pub fn last_sequence(&self) -> u64 {
+        self.scheduled
     }
 
-    /// The earliest thing that is due by now and was set before the mark, so that what is set again for the
-    /// same instant waits for the next turn.
-    pub fn due_of(&mut self, now: Timestamp, mark: u64) -> Option<T> {
-        let Reverse((_, set, _)) = self.heap.peek()?;
-        if *set > mark { None } else { self.due(now) }
+    /// Removes the earliest event, if it is due and its sequence number is at most `sequence`: an event that is
+    /// scheduled again for the same timestamp waits for the next iteration.
+    pub fn pop_due_up_to(&mut self, now: Timestamp, sequence: u64) -> Option<T> {
+        let Reverse((_, scheduled, _)) = self.heap.peek()?;
+        if *scheduled > sequence { None } else { self.pop_due(now) }
     }
 
+    /// Scheduled events.
     pub fn len(&self) -> usize {
         self.heap.len()
     }
 
+    /// Whether no event is scheduled.
     pub fn is_empty(&self) -> bool {
         self.heap.is_empty()
     }
--- a/crates/scale/src/ledgers/fleet.rs
+++ b/crates/scale/src/ledgers/fleet.rs
@@ -155,7 +155,7 @@
         };
         for member in 0..schedulers {
             let at = BEGIN + START_SPREAD * fleet.chance.part();
-            fleet.events.set(at, Event::Start { member });
+            fleet.events.schedule(at, Event::Start { member });
         }
         fleet
     }
@@ -165,7 +165,7 @@
     /// When something happens next.
     #[must_use]
     pub fn next(&self) -> Option<Timestamp> {
-        self.events.next()
+        self.events.next_wakeup()
     }
 
     #[must_use]
@@ -174,14 +174,14 @@
     }
 
     pub fn cue(&mut self, at: Timestamp, cue: Cue) {
-        self.events.set(at, Event::Cue(cue));
+        self.events.schedule(at, Event::Cue(cue));
     }
 
     /// Tells members what comes at this instant; what of it is the driver's.
     pub fn deliver(&mut self, now: Timestamp) -> Vec<Cue> {
         self.now = now;
         let mut cues = Vec::new();
-        while let Some(event) = self.events.due(now) {
+        while let Some(event) = self.events.pop_due(now) {
             match event {
                 Event::Cue(cue) => cues.push(cue),
                 event => self.happens(event),
@@ -359,7 +359,7 @@
             self.tell(to, Told::Opened { connection: id });
             self.after_delay(id, Event::Taken(id));
             if let Some(span) = self.network.breaks_after() {
-                self.events.set(self.now + span, Event::Breaks(id));
+                self.events.schedule(self.now + span, Event::Breaks(id));
             }
         } else {
             self.after_delay(id, Event::Refused(id));
@@ -385,7 +385,7 @@
 
     fn after_delay(&mut self, id: FlowId, event: Event) {
         if let Some(connection) = self.network.get(id) {
-            self.events.set(self.now + connection.delay, event);
+            self.events.schedule(self.now + connection.delay, event);
         }
     }
 
@@ -420,7 +420,7 @@
         if at != seat.wake_at
             && let Some(at) = at
         {
-            self.events.set(at, Event::Wake { member });
+            self.events.schedule(at, Event::Wake { member });
         }
         seat.wake_at = at;
     }
@@ -464,7 +464,7 @@
                     self.after_delay(id, Event::Called(id));
                 }
             }
-            Command::End { link, .. } => {
+            Command::Close { connection: link, .. } => {
                 if let Some((id, side)) = self.network.of(member, link) {
                     self.close(id, side);
                 }
@@ -502,7 +502,7 @@
         seat.writing = Some(std::mem::take(&mut seat.waiting));
         let life = seat.life;
         let takes = DISK_LEAST + (DISK_MOST - DISK_LEAST) * self.chance.part();
-        self.events.set(self.now + takes, Event::Written { member, life });
+        self.events.schedule(self.now + takes, Event::Written { member, life });
     }
 
     fn written(&mut self, member: usize, life: u64) {
--- a/crates/scale/src/ledgers/member.rs
+++ b/crates/scale/src/ledgers/member.rs
@@ -284,15 +284,15 @@
 
     fn take_sent(&mut self, done: &mut Done) {
         let links = self.exchange.connections();
-        while let Some(link) = links.next_dirty() {
+        while let Some(link) = links.next_with_output() {
             let bytes = links.outgoing(link).to_vec();
             if !bytes.is_empty() {
-                links.wrote(link, bytes.len());
+                links.mark_written(link, bytes.len());
                 done.sent.push((link, bytes));
             }
         }
         while let Some(ask) = links.next_command() {
-            if let Command::End { link, .. } = ask {
+            if let Command::Close { connection: link, .. } = ask {
                 links.discard(link);
             }
             done.asks.push(ask);
--- a/crates/scale/src/planners/surroundings.rs
+++ b/crates/scale/src/planners/surroundings.rs
@@ -206,7 +206,7 @@
             Role::Client(client) => {
                 self.clients[client].link = None;
                 self.clients[client].greeted = false;
-                self.timers.set(now + RECONNECT, Due::Connect(client));
+                self.timers.schedule(now + RECONNECT, Due::Connect(client));
             }
         }
     }
@@ -280,7 +280,7 @@
             Message::Ping { nonce } => self.write(link, &Message::Pong { nonce: *nonce }),
             Message::Offer { task, send, shape, owner, .. } => {
                 self.workers[worker].offered(id(*task, *send), *shape, owner);
-                self.timers.set(now + LOOK, Due::Decide(worker, id(*task, *send)));
+                self.timers.schedule(now + LOOK, Due::Decide(worker, id(*task, *send)));
             }
             Message::Recall { task, send } => {
                 if self.workers[worker].recall(id(*task, *send)) {
@@ -357,7 +357,7 @@
             Some(true) => {
                 let accepted = Message::Accepted { task: id.task, send: id.send };
                 self.write_to(worker, id.scheduler, &accepted);
-                self.timers.set(now + START, Due::Started(worker, id));
+                self.timers.schedule(now + START, Due::Started(worker, id));
             }
         }
     }
@@ -368,7 +368,7 @@
         }
         self.write_to(worker, id.scheduler, &Message::Runs { task: id.task, send: id.send });
         if !std::mem::replace(&mut self.workers[worker].tells, true) {
-            self.timers.set(now + NOTE_EVERY, Due::Notes(worker));
+            self.timers.schedule(now + NOTE_EVERY, Due::Notes(worker));
         }
     }
 
@@ -390,7 +390,7 @@
             };
             self.write_to(worker, id.scheduler, &note);
         }
-        self.timers.set(now + NOTE_EVERY, Due::Notes(worker));
+        self.timers.schedule(now + NOTE_EVERY, Due::Notes(worker));
     }
 
     // The list service.
@@ -413,25 +413,25 @@
             }
         });
         self.list.observe(now, facts.collect());
-        self.timers.set(now + LIST_PERIOD, Due::ListLooks);
+        self.timers.schedule(now + LIST_PERIOD, Due::ListLooks);
     }
 
     /// What the list service wrote goes out on our links, and is counted.
     fn carry_list(&mut self) {
-        while let Some(inner) = self.list.connections().next_dirty() {
+        while let Some(inner) = self.list.connections().next_with_output() {
             let bytes = self.list.connections().outgoing(inner).to_vec();
-            self.list.connections().wrote(inner, bytes.len());
+            self.list.connections().mark_written(inner, bytes.len());
             let Some(Some(link)) = self.list_links.get(inner.0 as usize).copied() else { continue };
             self.count_list(link, &bytes);
             self.links.send(link, &bytes, None);
         }
         while let Some(ask) = self.list.connections().next_command() {
-            let Command::End { link: inner, .. } = ask else { continue };
+            let Command::Close { connection: inner, .. } = ask else { continue };
             self.list.connections().discard(inner);
             let link = self.list_links.get_mut(inner.0 as usize).and_then(Option::take);
             if let Some(link) = link {
                 self.connections[link.0 as usize] = None;
-                self.links.end(link);
+                self.links.close(link);
             }
         }
     }
@@ -472,14 +472,14 @@
 
     fn wants_next(&mut self, client: usize) {
         if let Some(at) = self.clients[client].next_ask(&self.scenario) {
-            self.timers.set(at, Due::Wants(client));
+            self.timers.schedule(at, Due::Wants(client));
         }
     }
 
     fn ask(&mut self, now: Timestamp, client: usize, id: u64, task: Task) {
         self.clients[client].tasks.insert(id, task);
         if !self.clients[client].greeted {
-            self.timers.set(now + ASKS_AGAIN, Due::AsksAgain(client, id));
+            self.timers.schedule(now + ASKS_AGAIN, Due::AsksAgain(client, id));
             return;
         }
         let patience = Duration::from_secs(CLIENT_TIMEOUT_SECONDS).nanos();
@@ -511,10 +511,12 @@
             Message::Placed { task, .. } => self.client_is_served(now, client, *task),
             Message::Nacked { task, stay_away } => {
                 let wait = ASKS_AGAIN.max(Duration::from_nanos(*stay_away));
-                self.timers.set(now + wait, Due::AsksAgain(client, *task));
+                self.timers.schedule(now + wait, Due::AsksAgain(client, *task));
             }
             Message::Unknown { task } => self.asks_again(now, client, *task),
-            Message::Errored { task } => self.timers.set(now + ASKS_AGAIN, Due::AsksAgain(client, *task)),
+            Message::Errored { task } => {
+                self.timers.schedule(now + ASKS_AGAIN, Due::AsksAgain(client, *task))
+            }
             Message::Ended { task, ending } if ending.comes_again() => self.asks_again(now, client, *task),
             Message::Ended { task, .. } => drop(self.clients[client].tasks.remove(task)),
             _ => {}
@@ -541,7 +543,7 @@
         }
         client_state.counts.served += 1;
         if let Some(until) = task.until {
-            self.timers.set(until.max(now), Due::Withdraw(client, id));
+            self.timers.schedule(until.max(now), Due::Withdraw(client, id));
         }
     }
 
@@ -555,9 +557,9 @@
     }
 
     fn begin(&mut self, now: Timestamp) {
-        self.timers.set(now, Due::ListLooks);
+        self.timers.schedule(now, Due::ListLooks);
         for client in 0..self.clients.len() {
-            self.timers.set(SCHEDULERS_START, Due::Connect(client));
+            self.timers.schedule(SCHEDULERS_START, Due::Connect(client));
             self.wants_next(client);
         }
     }
@@ -614,13 +616,13 @@
         }
         if let Err(Bad(words)) = heard {
             self.write(link, &Message::Bye { words: &words });
-            self.links.end(link);
+            self.links.close(link);
             self.disconnect(now, link);
         }
     }
 
     fn on_closed(&mut self, now: Timestamp, link: ConnectionId, _: CloseReason) {
-        self.links.forget(link);
+        self.links.remove(link);
         self.disconnect(now, link);
     }
 
@@ -628,7 +630,7 @@
         if !std::mem::replace(&mut self.begun, true) {
             self.begin(now);
         }
-        while let Some(due) = self.timers.due(now) {
+        while let Some(due) = self.timers.pop_due(now) {
             self.fall_due(now, due);
         }
         self.list.poll(now);
@@ -639,7 +641,7 @@
         if !self.begun {
             return Some(Timestamp::default());
         }
-        [self.timers.next(), self.list.next_wakeup()].into_iter().flatten().min()
+        [self.timers.next_wakeup(), self.list.next_wakeup()].into_iter().flatten().min()
     }
 
     fn connections(&mut self) -> &mut Connections {
--- a/crates/scale/src/planners/virtual_host.rs
+++ b/crates/scale/src/planners/virtual_host.rs
@@ -82,7 +82,9 @@
 fn next_ask(links: &mut Connections) -> Option<Wish> {
     loop {
         match links.next_command()? {
-            Command::End { link, at_once } => return Some(Wish::End { link, at_once }),
+            Command::Close { connection: link, immediately: at_once } => {
+                return Some(Wish::End { link, at_once });
+            }
             Command::Open(link, address) => {
                 if let Some(door) = door_of(&address) {
                     return Some(Wish::Open(link, door));
@@ -367,14 +369,14 @@
 
     fn carry_from_surroundings(&mut self) {
         loop {
-            if let Some(link) = self.surroundings.connections().next_dirty() {
+            if let Some(link) = self.surroundings.connections().next_with_output() {
                 self.carry_outer(link);
                 continue;
             }
             let Some(ask) = self.surroundings.connections().next_command() else { return };
             match ask {
                 Command::Open(link, address) => self.client_opens(link, &address),
-                Command::End { link, at_once } => {
+                Command::Close { connection: link, immediately: at_once } => {
                     self.carry_outer(link);
                     self.surroundings.connections().discard(link);
                     if let Some(wire) = self.wire_of_outer(link) {
@@ -390,7 +392,7 @@
     fn carry_outer(&mut self, link: ConnectionId) {
         let bytes = self.surroundings.connections().outgoing(link).to_vec();
         if let (false, Some(wire)) = (bytes.is_empty(), self.wire_of_outer(link)) {
-            self.surroundings.connections().wrote(link, bytes.len());
+            self.surroundings.connections().mark_written(link, bytes.len());
             self.send(wire, Toward::Scheduler, Parcel::Bytes(bytes));
         }
     }
@@ -423,7 +425,7 @@
 
     fn carry_from_scheduler(&mut self, number: usize) {
         loop {
-            if let Some(link) = self.schedulers[number].hold(Connections::next_dirty) {
+            if let Some(link) = self.schedulers[number].hold(Connections::next_with_output) {
                 self.carry_inner(number, link);
                 continue;
             }
@@ -447,7 +449,7 @@
         let scheduler = &mut self.schedulers[number];
         let bytes = scheduler.engine.connections().outgoing(link).to_vec();
         if let (false, Some(wire)) = (bytes.is_empty(), scheduler.wire(link)) {
-            scheduler.hold(|links| links.wrote(link, bytes.len()));
+            scheduler.hold(|links| links.mark_written(link, bytes.len()));
             self.send(wire, Toward::Surroundings, Parcel::Bytes(bytes));
         }
     }
--- a/crates/scenario/src/stage.rs
+++ b/crates/scenario/src/stage.rs
@@ -1145,7 +1145,7 @@
             At::Outside if end == CloseReason::Broken => {
                 self.outside.abort(link);
             }
-            At::Outside => self.outside.end(link),
+            At::Outside => self.outside.close(link),
         }
     }
 
@@ -1230,7 +1230,7 @@
         }
         let how = match end {
             CloseReason::Refused => "refused",
-            CloseReason::Untried => "untried",
+            CloseReason::NotAttempted => "untried",
             CloseReason::Closed => "closed",
             CloseReason::Broken => "broken",
         };
@@ -1249,12 +1249,12 @@
         let Some((at, link)) = pipe.ends[side] else { return };
         let blocked = pipe.ways[side].is_full() || (pipe.weather.slow_reader && side == pipe.planner_side);
         match at {
-            At::Outside => self.outside.pause(link, blocked),
+            At::Outside => self.outside.set_reading_paused(link, blocked),
             At::Node(node) if !blocked => {
                 let links = self.nodes[node].party().connections();
                 let bytes = links.outgoing(link).to_vec();
                 if !bytes.is_empty() {
-                    links.wrote(link, bytes.len());
+                    links.mark_written(link, bytes.len());
                     self.enter(now, id, side, &bytes);
                 }
             }
@@ -1373,7 +1373,7 @@
     fn gather(&mut self, now: Timestamp, node: usize) {
         loop {
             let links = self.nodes[node].party().connections();
-            if let Some(link) = links.next_dirty() {
+            if let Some(link) = links.next_with_output() {
                 if let Some((id, side)) = self.by_end.get(&(At::Node(node), link)).copied() {
                     self.pump_side(now, id, side);
                 }
@@ -1388,7 +1388,7 @@
                     let to = To::Outside(address.clone());
                     self.new_pipe(now, (At::Node(node), link), name, address, to, planner - 1, None);
                 }
-                Command::End { link, at_once } => {
+                Command::Close { connection: link, immediately: at_once } => {
                     if let Some((id, side)) = self.by_end.get(&(At::Node(node), link)).copied() {
                         if !at_once {
                             let bytes = self.nodes[node].party().connections().outgoing(link).to_vec();
@@ -1493,7 +1493,7 @@
 
     fn on_closed(&mut self, now: Timestamp, link: ConnectionId, end: CloseReason) {
         let now = now.max(self.now);
-        self.outside.forget(link);
+        self.outside.remove(link);
         if let Some((id, side)) = self.by_end.get(&(At::Outside, link)).copied() {
             self.leave(now, id, side, end);
         }
--- a/crates/simulation/src/lib.rs
+++ b/crates/simulation/src/lib.rs
@@ -386,14 +386,14 @@
         let waits = self.stage.connections().outgoing(link);
         let bytes = waits[..waits.len().min(room)].to_vec();
         if !bytes.is_empty() {
-            self.stage.connections().wrote(link, bytes.len());
+            self.stage.connections().mark_written(link, bytes.len());
             self.tell_planner(seat, Waiting::Bytes(theirs, bytes));
         }
     }
 
     fn carry_out_stage(&mut self) {
         loop {
-            while let Some(link) = self.stage.connections().next_dirty() {
+            while let Some(link) = self.stage.connections().next_with_output() {
                 self.carry_to_planner(link);
             }
             let Some(ask) = self.stage.connections().next_command() else { return };
@@ -417,7 +417,7 @@
                         }
                     }
                 }
-                Command::End { link, at_once } => {
+                Command::Close { connection: link, immediately: at_once } => {
                     if !at_once {
                         self.carry_to_planner(link);
                     }
@@ -435,7 +435,7 @@
     fn carry_out_planner(&mut self, seat: Seat) {
         loop {
             let Some(party) = self.slots[seat.planner].party(seat) else { return };
-            if let Some(link) = party.connections().next_dirty() {
+            if let Some(link) = party.connections().next_with_output() {
                 self.carry_to_stage(seat, link);
                 continue;
             }
@@ -456,7 +456,7 @@
                         }
                     }
                 }
-                Command::End { link, at_once } => {
+                Command::Close { connection: link, immediately: at_once } => {
                     if !at_once {
                         self.carry_to_stage(seat, link);
                     }
@@ -480,13 +480,13 @@
     fn carry_to_stage(&mut self, seat: Seat, link: ConnectionId) {
         let Some(ours) = self.to_stage.get(&(seat, link)).copied() else { return };
         let Some(party) = self.slots[seat.planner].party(seat) else { return };
-        if self.stage.connections().is_paused(ours) {
+        if self.stage.connections().is_reading_paused(ours) {
             self.unread.insert((seat, link));
             return;
         }
         let bytes = party.connections().outgoing(link).to_vec();
         if !bytes.is_empty() {
-            party.connections().wrote(link, bytes.len());
+            party.connections().mark_written(link, bytes.len());
             self.stage.on_data(self.now, ours, &bytes);
         }
     }
