--- a/crates/ledger/src/exchange/cursor.rs
+++ b/crates/ledger/src/exchange/cursor.rs
@@ -147,7 +147,7 @@
         concerns: impl Fn(&LogHead) -> bool,
     ) -> NewHeads {
         let mut heads: Vec<LogHead> = Vec::new();
-        for (stamp, head) in library.tips_after(self.told) {
+        for (stamp, head) in library.heads_changed_since(self.told) {
             if heads.len() >= MAX_ITEMS {
                 return NewHeads { heads, whole: false };
             }
@@ -159,7 +159,7 @@
             }
         }
         // Logs that were dropped have changed the library, too.
-        self.told = self.told.max(library.stamp());
+        self.told = self.told.max(library.revision());
         NewHeads { heads, whole: true }
     }
 
@@ -188,9 +188,9 @@
         heads: Vec<LogHead>,
         whole: bool,
     ) {
-        if library.all() == all {
+        if library.heads_digest() == all {
             // The peer has what we have: nothing of that need be pushed.
-            self.told = library.stamp();
+            self.told = library.revision();
             self.whole = true;
         }
         self.first = true;
@@ -237,8 +237,8 @@
     /// The request for the rows of a log that follow what is here.
     pub(super) fn request_for(&self, library: &LogStore, id: LogId) -> RowRequest {
         let (after, digest) = match self.newer.get(&id) {
-            Some(head) => library.asks_after(head),
-            None => library.known_of(&id),
+            Some(head) => library.fetch_position(head),
+            None => library.known_head(&id),
         };
         let skip = self.asked.as_ref().map_or(0, |asked| asked.partial.len() as u64);
         RowRequest { id, after, digest, skip }
--- a/crates/ledger/src/exchange/mod.rs
+++ b/crates/ledger/src/exchange/mod.rs
@@ -30,7 +30,9 @@
 use crate::shared_pools::SharedPools;
 use mulleinhub_interface::{Duration, Pcg, Timestamp};
 use mulleinhub_quota::{Ledger, Settings};
-use mulleinhub_replicated_log::{Change, Changes, KINDS, KeptLogs, Kind, Name, Order, Reached};
+use mulleinhub_replicated_log::{
+    Directive, LOG_KINDS, LogChange, LogChanges, LogKind, LogPositions, Name, PersistedLogs,
+};
 use mulleinhub_resilience::PAUSE_THRESHOLD;
 use mulleinhub_sans_io::{CloseReason, ConnectionId, Connections, ListenerId, StateMachine};
 use std::collections::{BTreeMap, BTreeSet};
@@ -126,7 +128,7 @@
         members: Vec<Member>,
         life: u64,
         seed: u64,
-        kept: impl Into<KeptLogs>,
+        kept: impl Into<PersistedLogs>,
         shelf: Arc<SharedPools>,
     ) -> Self {
         let heartbeat_interval = heartbeat::interval(members.len());
@@ -190,31 +192,31 @@
     }
 
     /// What is to be kept; `is_durable` tells when it is.
-    pub fn take_changes(&mut self) -> Changes {
+    pub fn take_changes(&mut self) -> LogChanges {
         self.keeper.take_changes()
     }
 
     /// The last of our own rows among changes, of each of our logs.
-    pub fn last_own(&self, changes: &Changes) -> Reached {
-        let own = self.keeper.library().own();
-        let last = |changes: &[Change]| {
+    pub fn last_own(&self, changes: &LogChanges) -> LogPositions {
+        let own = self.keeper.library().own_id();
+        let last = |changes: &[LogChange]| {
             let mine = changes.iter().filter_map(|change| match change {
-                Change::Row { id, number, .. } if id == own => Some(*number),
+                LogChange::Append { id, number, .. } if id == own => Some(*number),
                 _ => None,
             });
             mine.max().unwrap_or(0)
         };
-        Reached { fleet: last(&changes.fleet), work: last(&changes.work) }
+        LogPositions { fleet: last(&changes.fleet), work: last(&changes.work) }
     }
 
     /// Our own rows up to these are on disk.
-    pub fn is_durable(&mut self, reached: Reached) {
+    pub fn is_durable(&mut self, reached: LogPositions) {
         self.keeper.is_durable(reached);
         self.turn_again = true;
     }
 
     /// Orders of the operators, from their file.
-    pub fn order(&mut self, orders: &[Order]) {
+    pub fn order(&mut self, orders: &[Directive]) {
         orders.iter().for_each(|order| self.keeper.order(order));
         self.turn_again = true;
     }
@@ -252,7 +254,7 @@
     fn replicate(&mut self) {
         let greeted = self.peers.iter().filter(|(_, peer)| peer.greeted);
         let links: Vec<ConnectionId> = greeted.map(|(link, _)| *link).collect();
-        let mut pending = KINDS.map(|kind| (kind, self.pending_logs(kind)));
+        let mut pending = LOG_KINDS.map(|kind| (kind, self.pending_logs(kind)));
         for link in links {
             self.push(link);
             self.push_work_heads(link);
@@ -263,16 +265,16 @@
     /// The earliest instant at which something can be pushed. A peer that doesn't read is told more once it
     /// has read.
     fn next_push_at(&self) -> Option<Timestamp> {
-        let next = |kind: Kind| {
-            let stamp = self.keeper.logs(kind).stamp();
+        let next = |kind: LogKind| {
+            let stamp = self.keeper.logs(kind).revision();
             let waits = |(link, peer): &(&ConnectionId, &Peer)| {
-                let is_read = kind == Kind::Fleet || peer.reads_work_logs;
+                let is_read = kind == LogKind::Fleet || peer.reads_work_logs;
                 let is_behind = peer.greeted && is_read && peer.cursor(kind).is_behind(stamp);
                 is_behind && self.links.unwritten(**link) <= MAX_UNREAD
             };
             self.peers.iter().filter(waits).map(|(_, peer)| peer.cursor(kind).next_push_at()).min()
         };
-        KINDS.into_iter().filter_map(next).min()
+        LOG_KINDS.into_iter().filter_map(next).min()
     }
 }
 
--- a/crates/ledger/src/exchange/orders.rs
+++ b/crates/ledger/src/exchange/orders.rs
@@ -2,7 +2,7 @@
 
 use super::{Exchange, MAX_ITEMS};
 use mulleinhub_protocol::{self as protocol, Bad, Message, OrderWord};
-use mulleinhub_replicated_log::{Order, Orders, Standing, Subject, Word};
+use mulleinhub_replicated_log::{Directive, DirectiveAction, Directives, EffectiveDirective, Subject};
 use mulleinhub_sans_io::ConnectionId;
 use std::collections::BTreeMap;
 
@@ -11,20 +11,20 @@
 pub(super) struct OrderCursor {
     /// The peer was told the orders up to this stamp of the library.
     told: u64,
-    known: BTreeMap<Subject, Standing>,
+    known: BTreeMap<Subject, EffectiveDirective>,
 }
 
 impl OrderCursor {
     /// The peer told an order, and so knows it.
-    fn learn(&mut self, subject: Subject, standing: Standing) {
+    fn learn(&mut self, subject: Subject, standing: EffectiveDirective) {
         self.known.insert(subject, standing);
     }
 
     /// Those orders that the peer doesn't know. They count as told.
-    fn take_new(&mut self, stamp: u64, orders: &Orders) -> Vec<(Subject, Standing)> {
+    fn take_new(&mut self, stamp: u64, orders: &Directives) -> Vec<(Subject, EffectiveDirective)> {
         self.told = stamp;
         let new = orders.iter().filter(|(subject, standing)| self.known.get(subject) != Some(standing));
-        let new: Vec<(Subject, Standing)> =
+        let new: Vec<(Subject, EffectiveDirective)> =
             new.map(|(subject, standing)| (subject.clone(), *standing)).collect();
         self.known.extend(new.iter().cloned());
         new
@@ -32,31 +32,38 @@
 }
 
 /// An order as it goes over the wire.
-fn order_message<'a>(subject: &'a Subject, standing: &Standing) -> protocol::OrderTold<'a> {
+fn order_message<'a>(subject: &'a Subject, standing: &EffectiveDirective) -> protocol::OrderTold<'a> {
     let (account, name) = match subject {
         Subject::Account(name) => (true, name),
         Subject::Team(name) => (false, name),
     };
-    let (word, figure) = match standing.word {
-        Word::Cleared {} => (OrderWord::Cleared, None),
-        Word::Held { finish_by } => (OrderWord::Held, finish_by),
-        Word::Cap { amount } => (OrderWord::Cap, Some(amount)),
+    let (word, figure) = match standing.action {
+        DirectiveAction::Reinstate {} => (OrderWord::Cleared, None),
+        DirectiveAction::Suspend { finish_by } => (OrderWord::Held, finish_by),
+        DirectiveAction::Cap { amount } => (OrderWord::Cap, Some(amount)),
     };
-    protocol::OrderTold { account, name, number: standing.number, word, figure, differs: standing.differs }
+    protocol::OrderTold {
+        account,
+        name,
+        number: standing.number,
+        word,
+        figure,
+        differs: standing.conflicting,
+    }
 }
 
 /// The order that came over the wire.
-fn order_of(told: &protocol::OrderTold<'_>) -> Result<Order, Bad> {
+fn order_of(told: &protocol::OrderTold<'_>) -> Result<Directive, Bad> {
     let name = told.name.into();
     let subject = if told.account { Subject::Account(name) } else { Subject::Team(name) };
     let word = match (told.word, told.figure) {
-        (OrderWord::Cleared, _) => Word::Cleared {},
-        (OrderWord::Held, finish_by) => Word::Held { finish_by },
-        (OrderWord::Cap, Some(amount)) => Word::Cap { amount },
+        (OrderWord::Cleared, _) => DirectiveAction::Reinstate {},
+        (OrderWord::Held, finish_by) => DirectiveAction::Suspend { finish_by },
+        (OrderWord::Cap, Some(amount)) => DirectiveAction::Cap { amount },
         (OrderWord::Cap, None) => return Err(Bad("a cap without a figure".into())),
     };
-    let order = Order { subject, number: told.number, word };
-    order.check().map_err(|bad| Bad(bad.0))?;
+    let order = Directive { subject, number: told.number, action: word };
+    order.check().map_err(|error| Bad(error.to_string()))?;
     Ok(order)
 }
 
@@ -72,12 +79,12 @@
 
     fn receive_order(&mut self, link: ConnectionId, told: &protocol::OrderTold<'_>) -> Result<(), Bad> {
         let order = order_of(told)?;
-        let standing = Standing { differs: told.differs, ..order.standing() };
-        let Order { subject, number, word } = order;
+        let standing = EffectiveDirective { conflicting: told.differs, ..order.effective() };
+        let Directive { subject, number, action: word } = order;
         if let Some(peer) = self.peers.get_mut(&link) {
             peer.orders.learn(subject.clone(), standing);
         }
-        if self.keeper.library_mut().hear_order(&subject, standing) {
+        if self.keeper.library_mut().apply_directive(&subject, standing) {
             tracing::info!(?subject, number, ?word, "an order was heard");
         }
         Ok(())
@@ -86,12 +93,12 @@
     /// Pushes the orders that a peer doesn't know.
     pub(super) fn push_orders(&mut self, link: ConnectionId) {
         let library = self.keeper.library();
-        let stamp = library.orders_stamp();
+        let stamp = library.directives_revision();
         let Some(peer) = self.peers.get_mut(&link) else { return };
         if !peer.greeted || peer.orders.told >= stamp {
             return;
         }
-        let new = peer.orders.take_new(stamp, library.orders());
+        let new = peer.orders.take_new(stamp, library.directives());
         for orders in new.chunks(MAX_ITEMS) {
             let orders = orders.iter().map(|(subject, standing)| order_message(subject, standing)).collect();
             self.write(link, &Message::Orders { orders });
--- a/crates/ledger/src/exchange/peer.rs
+++ b/crates/ledger/src/exchange/peer.rs
@@ -5,7 +5,7 @@
 use super::orders::OrderCursor;
 use mulleinhub_interface::{Duration, Timestamp};
 use mulleinhub_protocol::Frames;
-use mulleinhub_replicated_log::{KINDS, Kind, Name};
+use mulleinhub_replicated_log::{LOG_KINDS, LogKind, Name};
 
 /// Longest wait for the greeting on a new connection.
 const GREETING_TIMEOUT: Duration = Duration::from_secs(3);
@@ -65,18 +65,18 @@
     }
 
     /// Replication of a kind of logs.
-    pub(super) fn cursor(&self, kind: Kind) -> &LogCursor {
+    pub(super) fn cursor(&self, kind: LogKind) -> &LogCursor {
         match kind {
-            Kind::Fleet => &self.fleet,
-            Kind::Work => &self.work,
+            LogKind::Fleet => &self.fleet,
+            LogKind::Work => &self.work,
         }
     }
 
     /// Replication of a kind of logs.
-    pub(super) fn cursor_mut(&mut self, kind: Kind) -> &mut LogCursor {
+    pub(super) fn cursor_mut(&mut self, kind: LogKind) -> &mut LogCursor {
         match kind {
-            Kind::Fleet => &mut self.fleet,
-            Kind::Work => &mut self.work,
+            LogKind::Fleet => &mut self.fleet,
+            LogKind::Work => &mut self.work,
         }
     }
 
@@ -115,7 +115,7 @@
 
     /// The peer was asked for rows, and the answer can still be expected.
     fn awaits_rows(&self, now: Timestamp) -> bool {
-        KINDS.into_iter().any(|kind| self.cursor(kind).pending_log(now).is_some())
+        LOG_KINDS.into_iter().any(|kind| self.cursor(kind).pending_log(now).is_some())
     }
 
     /// This process was paused: what was silent meanwhile may have spoken.
--- a/crates/ledger/src/exchange/receive.rs
+++ b/crates/ledger/src/exchange/receive.rs
@@ -7,7 +7,7 @@
 use mulleinhub_interface::Timestamp;
 use mulleinhub_protocol::{self as protocol, Bad, Conversation, Frames, Message, Side, decode};
 use mulleinhub_quota::Wanted;
-use mulleinhub_replicated_log::{LogId, Name, Parts};
+use mulleinhub_replicated_log::{LogId, Name, SplitAmount};
 use mulleinhub_sans_io::ConnectionId;
 
 /// Frames of one peer that are decoded in a turn.
@@ -115,12 +115,12 @@
                 self.receive_heads(link, kind_of(*log), digest_of(all), tips, *whole)?;
             }
             Message::Want { writer, life, after, digest, skip, log } => {
-                let id = LogId { writer: (*writer).into(), life: *life };
+                let id = LogId { writer: (*writer).into(), incarnation: *life };
                 let (after, digest, skip) = (*after, digest_of(digest), *skip);
                 self.serve_rows(link, kind_of(*log), &RowRequest { id, after, digest, skip });
             }
             Message::Rows { writer, life, after, digest, rows, skip, rest, log } => {
-                let id = LogId { writer: (*writer).into(), life: *life };
+                let id = LogId { writer: (*writer).into(), incarnation: *life };
                 let rows = rows.iter().map(|row| row.0).collect();
                 let (after, digest, skip, rest) = (*after, digest_of(digest), *skip, *rest);
                 let received = ReceivedRows { id, after, digest, rows, skip, rest };
@@ -128,12 +128,12 @@
             }
             Message::Orders { orders } => self.receive_orders(link, orders)?,
             Message::ShareAsk { team, month, life, open, last } => {
-                let parts = Parts { open: *open, last: *last };
+                let parts = SplitAmount { open: *open, running_only: *last };
                 let (team, month, life) = ((*team).into(), *month, *life);
                 self.receive_share_ask(link, &Wanted { to: from, life, team, month, parts });
             }
             Message::ShareGiven { team, open, last, .. } => {
-                let parts = Parts { open: *open, last: *last };
+                let parts = SplitAmount { open: *open, running_only: *last };
                 self.receive_share_given(link, &from, &(*team).into(), parts);
             }
             _ => return Err(Bad("not a message between schedulers".into())),
--- a/crates/ledger/src/exchange/replication.rs
+++ b/crates/ledger/src/exchange/replication.rs
@@ -9,7 +9,7 @@
 use super::{Exchange, MAX_ITEMS, MAX_UNREAD};
 use mulleinhub_protocol::{self as protocol, Bad, Message};
 use mulleinhub_quota::Phase;
-use mulleinhub_replicated_log::{Digest, Kind, LogHead, LogId};
+use mulleinhub_replicated_log::{Digest, LogHead, LogId, LogKind};
 use mulleinhub_sans_io::ConnectionId;
 use std::collections::BTreeSet;
 
@@ -35,13 +35,18 @@
 
 /// The head that came over the wire.
 fn head_of(told: &protocol::Tip<'_>) -> LogHead {
-    let id = LogId { writer: told.writer.into(), life: told.life };
+    let id = LogId { writer: told.writer.into(), incarnation: told.life };
     LogHead { id, number: told.number, digest: digest_of(told.digest) }
 }
 
 /// A head as it goes over the wire.
 pub(super) fn head_message(head: &LogHead) -> protocol::Tip<'_> {
-    protocol::Tip { writer: &head.id.writer, life: head.id.life, number: head.number, digest: &head.digest.0 }
+    protocol::Tip {
+        writer: &head.id.writer,
+        life: head.id.incarnation,
+        number: head.number,
+        digest: &head.digest.0,
+    }
 }
 
 /// Cuts rows to what fits into one message, where the first of them is longer than that: its next piece,
@@ -64,7 +69,7 @@
 
     /// Writes our digest of all heads, which begins the replication on a connection.
     pub(super) fn write_digest(&mut self, link: ConnectionId) {
-        let all = self.keeper.library().all();
+        let all = self.keeper.library().heads_digest();
         let (tips, beats) = (Vec::new(), Vec::new());
         self.write(link, &Message::Tips { all: &all.0, tips, beats, whole: false, log: None });
     }
@@ -76,7 +81,7 @@
     pub(super) fn receive_heads(
         &mut self,
         link: ConnectionId,
-        kind: Kind,
+        kind: LogKind,
         all: Digest,
         told: &[protocol::Tip<'_>],
         whole: bool,
@@ -84,7 +89,7 @@
         let me = &self.keeper.settings().me;
         let is_known = |head: &LogHead| self.addresses.contains_key(&head.id.writer) || head.id.writer == *me;
         let heads = told.iter().map(head_of).filter(is_known).collect();
-        if kind == Kind::Work {
+        if kind == LogKind::Work {
             return self.receive_work_heads(link, all, heads, whole);
         }
         let Some(peer) = self.peers.get_mut(&link) else { return Ok(()) };
@@ -128,7 +133,7 @@
 
     /// Writes heads and heartbeats; heartbeats that don't fit into the message with the heads go before it.
     fn write_heads(&mut self, link: ConnectionId, new: &NewHeads, heartbeats: &[MemberHeartbeat]) {
-        let all = self.keeper.library().all();
+        let all = self.keeper.library().heads_digest();
         for heartbeats in heartbeats.chunks(MAX_ITEMS).skip(1) {
             let beats = heartbeats.iter().map(MemberHeartbeat::message).collect();
             let (tips, whole) = (Vec::new(), false);
@@ -154,14 +159,14 @@
     // Rows.
 
     /// The logs that some peer was asked for, while the answers can still be expected.
-    pub(super) fn pending_logs(&self, kind: Kind) -> BTreeSet<LogId> {
+    pub(super) fn pending_logs(&self, kind: LogKind) -> BTreeSet<LogId> {
         let pending = self.peers.values().filter_map(|peer| peer.cursor(kind).pending_log(self.now));
         pending.cloned().collect()
     }
 
     /// Asks a peer for rows that it has and we lack. One log at a time is asked of each peer, and no log of
     /// two: `pending` are those that some peer was asked for.
-    pub(super) fn request_rows(&mut self, link: ConnectionId, kind: Kind, pending: &mut BTreeSet<LogId>) {
+    pub(super) fn request_rows(&mut self, link: ConnectionId, kind: LogKind, pending: &mut BTreeSet<LogId>) {
         let Some(peer) = self.peers.get_mut(&link) else { return };
         let library = self.keeper.logs(kind);
         if let Some(request) = peer.cursor_mut(kind).next_request(self.now, library, pending) {
@@ -170,29 +175,29 @@
         }
     }
 
-    fn write_request(&mut self, link: ConnectionId, kind: Kind, request: &RowRequest) {
-        let RowRequest { id: LogId { writer, life }, after, digest, skip } = request;
+    fn write_request(&mut self, link: ConnectionId, kind: LogKind, request: &RowRequest) {
+        let RowRequest { id: LogId { writer, incarnation: life }, after, digest, skip } = request;
         let (life, after, skip) = (*life, *after, *skip);
         let log = side_log(kind);
         self.write(link, &Message::Want { writer, life, after, digest: &digest.0, skip, log });
     }
 
     /// Answers a peer that asks for rows: with none where we have none for it.
-    pub(super) fn serve_rows(&mut self, link: ConnectionId, kind: Kind, request: &RowRequest) {
+    pub(super) fn serve_rows(&mut self, link: ConnectionId, kind: LogKind, request: &RowRequest) {
         let RowRequest { id, after, digest, skip } = request;
-        let LogId { writer, life } = id;
+        let LogId { writer, incarnation: life } = id;
         let log = side_log(kind);
-        let Some(piece) = self.keeper.logs(kind).rows_after(id, *after, *digest, PIECE) else {
+        let Some(piece) = self.keeper.logs(kind).entries_after(id, *after, *digest, PIECE) else {
             let (life, after, digest, rows) = (*life, *after, &digest.0, Vec::new());
             let (skip, rest) = (0, 0);
             let message = Message::Rows { writer, life, after, digest, rows, skip, rest, log };
             return self.write(link, &message);
         };
         // Small rows may be more than a message holds, though their bytes are few. The asker asks again.
-        let rows = piece.rows.iter().take(protocol::MOST_TIPS);
+        let rows = piece.entries.iter().take(protocol::MOST_TIPS);
         let mut rows: Vec<&[u8]> = rows.map(|row| &**row).collect();
         let part = cut_long_row(&mut rows, *skip as usize, piece.after == *after);
-        let own = self.keeper.logs(kind).own().clone();
+        let own = self.keeper.logs(kind).own_id().clone();
         let last = piece.after + rows.len() as u64 - u64::from(part.rest > 0);
         let bytes = rows.iter().map(|row| row.len()).sum();
         let rows = rows.into_iter().map(protocol::RowBytes).collect();
@@ -200,7 +205,7 @@
         let (skip, rest) = (part.skip as u64, part.rest as u64);
         let message = Message::Rows { writer, life, after, digest, rows, skip, rest, log };
         self.write(link, &message);
-        if kind == Kind::Work && *id == own {
+        if kind == LogKind::Work && *id == own {
             self.note_replica_has(link, last);
         }
         self.note_rows(link, bytes);
@@ -221,7 +226,7 @@
     pub(super) fn receive_rows(
         &mut self,
         link: ConnectionId,
-        kind: Kind,
+        kind: LogKind,
         received: &ReceivedRows<'_>,
     ) -> Result<(), Bad> {
         self.note_rows(link, received.rows.iter().map(|row| row.len()).sum());
@@ -244,16 +249,20 @@
     fn take_rows(
         &mut self,
         link: ConnectionId,
-        kind: Kind,
+        kind: LogKind,
         received: &ReceivedRows<'_>,
         rows: &[&[u8]],
     ) -> Result<(), Bad> {
         let ReceivedRows { id, after, digest, .. } = received;
-        let taken = self.keeper.logs_mut(kind).take(id, *after, *digest, rows).map_err(|bad| Bad(bad.0))?;
+        let taken = self
+            .keeper
+            .logs_mut(kind)
+            .append_entries(id, *after, *digest, rows)
+            .map_err(|error| Bad(error.to_string()))?;
         self.figures.rows_in += taken.new as u64;
         if taken.forked && taken.new > 0 {
             self.figures.forks += 1;
-            tracing::error!(writer = %id.writer, life = id.life, "a column has forked: both branches count");
+            tracing::error!(writer = %id.writer, life = id.incarnation, "a column has forked: both branches count");
         }
         if let Some(peer) = self.peers.get_mut(&link) {
             peer.cursor_mut(kind).rows_taken(self.keeper.logs(kind), id, taken.new);
--- a/crates/ledger/src/exchange/share_transfer.rs
+++ b/crates/ledger/src/exchange/share_transfer.rs
@@ -3,7 +3,7 @@
 use super::Exchange;
 use mulleinhub_protocol::Message;
 use mulleinhub_quota::{Reply, Wanted};
-use mulleinhub_replicated_log::{Name, Parts};
+use mulleinhub_replicated_log::{Name, SplitAmount};
 use mulleinhub_sans_io::ConnectionId;
 
 impl Exchange {
@@ -15,8 +15,14 @@
     }
 
     /// A member answers what we asked it for: with a part of its share, or nothing.
-    pub(super) fn receive_share_given(&mut self, link: ConnectionId, from: &Name, team: &Name, parts: Parts) {
-        self.figures.gifts += u64::from(parts.sum() > 0);
+    pub(super) fn receive_share_given(
+        &mut self,
+        link: ConnectionId,
+        from: &Name,
+        team: &Name,
+        parts: SplitAmount,
+    ) {
+        self.figures.gifts += u64::from(parts.total() > 0);
         self.keeper.answered(self.now, from, team, parts);
         self.mark_used(link);
     }
@@ -38,7 +44,7 @@
             return;
         };
         self.figures.asks += 1;
-        let Wanted { team, month, life, parts: Parts { open, last }, .. } = wanted;
+        let Wanted { team, month, life, parts: SplitAmount { open, running_only: last }, .. } = wanted;
         let message = Message::ShareAsk { team, month: *month, life: *life, open: *open, last: *last };
         self.write(link, &message);
         self.mark_used(link);
@@ -48,7 +54,7 @@
         let Some(link) = self.link_to(&reply.to) else { return };
         // The head of our log goes first, so that what was given can be used at once.
         self.push_now(link);
-        let Reply { team, month, number, parts: Parts { open, last }, .. } = reply;
+        let Reply { team, month, number, parts: SplitAmount { open, running_only: last }, .. } = reply;
         let message = Message::ShareGiven { team, month: *month, open: *open, last: *last, number: *number };
         self.write(link, &message);
     }
--- a/crates/ledger/src/exchange/status.rs
+++ b/crates/ledger/src/exchange/status.rs
@@ -3,7 +3,7 @@
 use super::Exchange;
 use mulleinhub_interface::Duration;
 use mulleinhub_quota::Look;
-use mulleinhub_replicated_log::{Kind, MemberState};
+use mulleinhub_replicated_log::{LogKind, MemberState};
 
 /// Time between two updates of the status lines.
 const STATUS_INTERVAL: Duration = Duration::from_secs(1);
@@ -18,12 +18,15 @@
         let mut lines = vec![self.summary_line()];
         lines.extend(self.work_log_line());
         lines.extend(self.keeper.looks().iter().map(team_line));
-        let logs = self.keeper.library().columns();
+        let logs = self.keeper.library().logs();
         let forked = logs.filter(|(_, log)| log.is_forked());
-        lines.extend(forked.map(|(id, _)| format!("column {} life {} HAS FORKED", id.writer, id.life)));
-        let work_logs = self.keeper.logs(Kind::Work).columns();
+        lines
+            .extend(forked.map(|(id, _)| format!("column {} life {} HAS FORKED", id.writer, id.incarnation)));
+        let work_logs = self.keeper.logs(LogKind::Work).logs();
         let forked = work_logs.filter(|(_, log)| log.is_forked());
-        lines.extend(forked.map(|(id, _)| format!("work log {} life {} HAS FORKED", id.writer, id.life)));
+        lines.extend(
+            forked.map(|(id, _)| format!("work log {} life {} HAS FORKED", id.writer, id.incarnation)),
+        );
         self.shelf.set_status(lines);
     }
 
@@ -41,9 +44,9 @@
     fn summary_line(&self) -> String {
         let (now, keeper, membership) = (self.now, &self.keeper, &self.keeper.roll);
         let count = |presence: MemberState| {
-            membership.members().filter(|name| membership.presence(now, name) == presence).count()
+            membership.members().filter(|name| membership.member_state(now, name) == presence).count()
         };
-        let newest = membership.members().filter_map(|name| membership.silent(now, name)).min();
+        let newest = membership.members().filter_map(|name| membership.silence(now, name)).min();
         let news =
             newest.map_or("none".to_owned(), |span| format!("{:.1} s", span.over(Duration::from_secs(1))));
         format!(
@@ -53,7 +56,7 @@
             count(MemberState::Alive),
             count(MemberState::Suspect),
             count(MemberState::Dead),
-            keeper.library().columns().map(|(_, log)| log.kept()).sum::<usize>(),
+            keeper.library().logs().map(|(_, log)| log.retained()).sum::<usize>(),
         )
     }
 }
@@ -69,9 +72,9 @@
         look.spent,
         look.beyond,
         look.free.open,
-        look.free.last,
+        look.free.running_only,
         look.at_hand.open,
-        look.at_hand.last,
+        look.at_hand.running_only,
         if look.held { ", held" } else { "" },
         if look.differs { ", ORDERS DIFFER" } else { "" },
     )
--- a/crates/ledger/src/exchange/work_logs.rs
+++ b/crates/ledger/src/exchange/work_logs.rs
@@ -10,7 +10,7 @@
 use super::{Exchange, MAX_UNREAD};
 use mulleinhub_interface::Duration;
 use mulleinhub_protocol::{self as protocol, Bad, Message, SideLog};
-use mulleinhub_replicated_log::{Digest, Kind, LogHead, MemberState, Name};
+use mulleinhub_replicated_log::{Digest, LogHead, LogKind, MemberState, Name};
 use mulleinhub_sans_io::ConnectionId;
 
 /// Least time between two looks at who can be a replica.
@@ -23,15 +23,15 @@
 const UNDER_WAY: u64 = 64;
 
 /// The kind of logs that a message is about.
-pub(super) fn kind_of(log: Option<SideLog>) -> Kind {
-    log.map_or(Kind::Fleet, |SideLog::Work| Kind::Work)
+pub(super) fn kind_of(log: Option<SideLog>) -> LogKind {
+    log.map_or(LogKind::Fleet, |SideLog::Work| LogKind::Work)
 }
 
 /// How a message says so.
-pub(super) fn side_log(kind: Kind) -> Option<SideLog> {
+pub(super) fn side_log(kind: LogKind) -> Option<SideLog> {
     match kind {
-        Kind::Fleet => None,
-        Kind::Work => Some(SideLog::Work),
+        LogKind::Fleet => None,
+        LogKind::Work => Some(SideLog::Work),
     }
 }
 
@@ -65,13 +65,13 @@
         let unreachable = retry.is_some_and(|retry| {
             retry.failures >= UNREACHABLE_AFTER && self.now < retry.not_before + UNREACHABLE_FOR
         });
-        !unreachable && self.keeper.roll.presence(self.now, name) != MemberState::Dead
+        !unreachable && self.keeper.roll.member_state(self.now, name) != MemberState::Dead
     }
 
     /// Of the replicas of our work log, how many hold it.
     pub(super) fn holding_replicas(&self) -> usize {
-        let work = self.keeper.logs(Kind::Work);
-        let tip = work.told_tip(work.own()).map_or(0, |(number, _)| number);
+        let work = self.keeper.logs(LogKind::Work);
+        let tip = work.announced_head(work.own_id()).map_or(0, |(number, _)| number);
         let holds = |name: &&Name| {
             let mut peers = self.peers.values().filter(|peer| peer.greeted && peer.is(name));
             peers.any(|peer| peer.has_of_our_work > 0 && peer.has_of_our_work + UNDER_WAY >= tip)
@@ -95,16 +95,17 @@
         let now = self.now;
         let Some(peer) = self.peers.get_mut(&link).filter(|peer| peer.work.may_push(now)) else { return };
         let Some(name) = peer.name.clone() else { return };
-        let library = self.keeper.logs(Kind::Work);
+        let library = self.keeper.logs(LogKind::Work);
         let is_replica = self.replicas.contains(&name);
-        let concerns = |head: &LogHead| head.id.writer == name || (is_replica && head.id == *library.own());
+        let concerns =
+            |head: &LogHead| head.id.writer == name || (is_replica && head.id == *library.own_id());
         let NewHeads { heads, whole } = peer.work.take_new_heads_of(library, concerns);
         if heads.is_empty() {
             return;
         }
         peer.work.pushed(now);
         self.turn_again |= !whole;
-        let all = library.all();
+        let all = library.heads_digest();
         let tips = heads.iter().map(head_message).collect();
         let log = Some(SideLog::Work);
         self.write(link, &Message::Tips { all: &all.0, tips, beats: Vec::new(), whole, log });
@@ -130,8 +131,8 @@
         if let Some(head) = heads.iter().find(|head| head.id.writer != me && !is_theirs(head)) {
             return Err(Bad(format!("the work log of {} is not for us", head.id.writer)));
         }
-        let library = self.keeper.logs(Kind::Work);
-        let own = library.own().clone();
+        let library = self.keeper.logs(LogKind::Work);
+        let own = library.own_id().clone();
         if let Some(head) = heads.iter().find(|head| head.id == own) {
             peer.has_of_our_work = peer.has_of_our_work.max(head.number);
         }
--- a/crates/ledger/src/store.rs
+++ b/crates/ledger/src/store.rs
@@ -1,7 +1,7 @@
 //! The books on disk: rows by writer, life and number, in an embedded store, committed in groups. Fleet logs
 //! and work logs have a table each; versions that know no work logs leave theirs alone.
 
-use mulleinhub_replicated_log::{Change, Changes, Digest, Kept, KeptLogs, LogId, Name};
+use mulleinhub_replicated_log::{Digest, LogChange, LogChanges, LogId, Name, PersistedEntry, PersistedLogs};
 use redb::{
     Database, DatabaseError, ReadTransaction, ReadableDatabase, ReadableTable, TableDefinition,
     WriteTransaction,
@@ -34,14 +34,14 @@
     ///
     /// # Errors
     /// In words that say what to do: it is locked by another process, of a later version, or damaged.
-    pub fn open(dir: &Path) -> Result<(Self, KeptLogs), String> {
+    pub fn open(dir: &Path) -> Result<(Self, PersistedLogs), String> {
         let path = dir.join("books");
         // Met: a file that is cut short makes the library panic where it should tell.
         let opened = std::panic::catch_unwind(|| Self::open_file(&path));
         opened.unwrap_or_else(|_| Err(damaged(&path, &"it can't be made sense of")))
     }
 
-    fn open_file(path: &Path) -> Result<(Self, KeptLogs), String> {
+    fn open_file(path: &Path) -> Result<(Self, PersistedLogs), String> {
         let words =
             |what: &str, error: &dyn std::fmt::Display| format!("{}: {what}: {error}", path.display());
         let mut database = Database::create(path).map_err(|error| match &error {
@@ -66,7 +66,7 @@
         }
     }
 
-    fn read(&self) -> Result<Result<KeptLogs, u64>, redb::Error> {
+    fn read(&self) -> Result<Result<PersistedLogs, u64>, redb::Error> {
         let writing = self.database.begin_write()?;
         {
             let mut about = writing.open_table(ABOUT)?;
@@ -81,18 +81,18 @@
         }
         writing.commit()?;
         let reading = self.database.begin_read()?;
-        Ok(Ok(KeptLogs { fleet: read_rows(&reading, ROWS)?, work: read_rows(&reading, WORK_ROWS)? }))
+        Ok(Ok(PersistedLogs { fleet: read_rows(&reading, ROWS)?, work: read_rows(&reading, WORK_ROWS)? }))
     }
 
     /// Writes these changes and syncs them: they are there for good when this returns.
     ///
     /// # Errors
     /// What the disk refuses, in words; nothing of the changes is kept then.
-    pub fn keep(&self, changes: &Changes) -> Result<(), String> {
+    pub fn keep(&self, changes: &LogChanges) -> Result<(), String> {
         self.write(changes).map_err(|error| format!("{}: {error}", self.path.display()))
     }
 
-    fn write(&self, changes: &Changes) -> Result<(), redb::Error> {
+    fn write(&self, changes: &LogChanges) -> Result<(), redb::Error> {
         let writing = self.database.begin_write()?;
         write_rows(&writing, ROWS, &changes.fleet)?;
         write_rows(&writing, WORK_ROWS, &changes.work)?;
@@ -101,35 +101,35 @@
     }
 }
 
-fn read_rows(reading: &ReadTransaction, rows: Rows) -> Result<Vec<Kept>, redb::Error> {
+fn read_rows(reading: &ReadTransaction, rows: Rows) -> Result<Vec<PersistedEntry>, redb::Error> {
     let table = reading.open_table(rows)?;
     let mut kept = Vec::new();
     for row in table.iter()? {
         let (key, value) = row?;
         let (writer, life, number) = key.value();
         let (before, bytes) = value.value();
-        let id = LogId { writer: Name::from(writer), life };
-        kept.push(Kept { id, number, before: Digest(*before), bytes: bytes.to_vec() });
+        let id = LogId { writer: Name::from(writer), incarnation: life };
+        kept.push(PersistedEntry { id, number, before: Digest(*before), bytes: bytes.to_vec() });
     }
     Ok(kept)
 }
 
-fn write_rows(writing: &WriteTransaction, rows: Rows, changes: &[Change]) -> Result<(), redb::Error> {
+fn write_rows(writing: &WriteTransaction, rows: Rows, changes: &[LogChange]) -> Result<(), redb::Error> {
     if changes.is_empty() {
         return Ok(());
     }
     let mut table = writing.open_table(rows)?;
     for change in changes {
         match change {
-            Change::Row { id, number, before, bytes } => {
-                table.insert((&*id.writer, id.life, *number), (&before.0, &**bytes))?;
+            LogChange::Append { id, number, before, bytes } => {
+                table.insert((&*id.writer, id.incarnation, *number), (&before.0, &**bytes))?;
             }
-            Change::Trim { id, below } => {
-                let below = (&*id.writer, id.life, 0)..(&*id.writer, id.life, *below);
+            LogChange::Trim { id, below } => {
+                let below = (&*id.writer, id.incarnation, 0)..(&*id.writer, id.incarnation, *below);
                 table.retain_in(below, |_, _| false)?;
             }
-            Change::Drop { id } => {
-                let all = (&*id.writer, id.life, 0)..=(&*id.writer, id.life, u64::MAX);
+            LogChange::Drop { id } => {
+                let all = (&*id.writer, id.incarnation, 0)..=(&*id.writer, id.incarnation, u64::MAX);
                 table.retain_in(all, |_, _| false)?;
             }
         }
--- a/crates/ledger/src/threads.rs
+++ b/crates/ledger/src/threads.rs
@@ -9,7 +9,7 @@
 use crate::store::Store;
 use mulleinhub_event_loop::{Clock, EventLoop, Waker};
 use mulleinhub_quota::Settings;
-use mulleinhub_replicated_log::{Changes, Order, Reached};
+use mulleinhub_replicated_log::{Directive, LogChanges, LogPositions};
 use mulleinhub_sans_io::ListenerId;
 use std::net::SocketAddr;
 use std::path::Path;
@@ -38,14 +38,14 @@
 /// The running threads, as the planner's loop sees them.
 pub struct Running {
     pub shelf: Arc<SharedPools>,
-    orders: Arc<Mutex<Vec<Order>>>,
+    orders: Arc<Mutex<Vec<Directive>>>,
     ahead: Arc<AtomicI64>,
     waker: Waker,
 }
 
 impl Running {
     /// Orders from the operators' file, read anew.
-    pub fn order(&self, orders: Vec<Order>) {
+    pub fn order(&self, orders: Vec<Directive>) {
         self.orders.lock().unwrap_or_else(PoisonError::into_inner).extend(orders);
         self.waker.wake();
     }
@@ -91,7 +91,7 @@
     shelf.wakes_by(Box::new(move || wakes.wake()));
     let orders = Arc::new(Mutex::new(Vec::new()));
     let ahead = Arc::new(AtomicI64::new(start.ahead));
-    let durable = Arc::new(Mutex::new(Reached::default()));
+    let durable = Arc::new(Mutex::new(LogPositions::default()));
     let (to_disk, changes) = channel();
     let (is_kept, wakes) = (durable.clone(), waker.clone());
     spawn("books-store", move || keep(&store, &changes, &is_kept, &wakes))?;
@@ -101,7 +101,12 @@
 }
 
 /// The store's thread: all that came in while the last group was written is the next one.
-fn keep(store: &Store, changes: &Receiver<(Changes, Reached)>, durable: &Mutex<Reached>, waker: &Waker) {
+fn keep(
+    store: &Store,
+    changes: &Receiver<(LogChanges, LogPositions)>,
+    durable: &Mutex<LogPositions>,
+    waker: &Waker,
+) {
     while let Ok((mut group, mut last)) = changes.recv() {
         while let Ok((more, reached)) = changes.try_recv() {
             group.extend(more);
@@ -125,12 +130,12 @@
 
 fn run(
     shell: &mut EventLoop<Exchange>,
-    orders: &Mutex<Vec<Order>>,
+    orders: &Mutex<Vec<Directive>>,
     ahead: &AtomicI64,
-    durable: &Mutex<Reached>,
-    to_disk: &Sender<(Changes, Reached)>,
+    durable: &Mutex<LogPositions>,
+    to_disk: &Sender<(LogChanges, LogPositions)>,
 ) {
-    let mut known = Reached::default();
+    let mut known = LogPositions::default();
     loop {
         let new = std::mem::take(&mut *orders.lock().unwrap_or_else(PoisonError::into_inner));
         if !new.is_empty() {
--- a/crates/ledger/tests/books.rs
+++ b/crates/ledger/tests/books.rs
@@ -7,7 +7,7 @@
 use mulleinhub_interface::{Duration, Quota, Resources, TaskKey};
 use mulleinhub_protocol::{self as protocol, Message};
 use mulleinhub_quota::Phase;
-use mulleinhub_replicated_log::{Balance, Digest, Entry, LogId, MemberState, Subject, Word};
+use mulleinhub_replicated_log::{Balance, Digest, DirectiveAction, Entry, LogId, MemberState, Subject};
 use net::*;
 use std::collections::BTreeMap;
 
@@ -20,7 +20,7 @@
 
 fn presence(net: &mut Net, n: usize, of: usize) -> MemberState {
     let now = net.now;
-    net.node(n).exchange.keeper().roll.presence(now, &name(of))
+    net.node(n).exchange.keeper().roll.member_state(now, &name(of))
 }
 
 #[test]
@@ -64,7 +64,9 @@
     net.run(ms(600));
     assert!(net.counted.contains_key("share-ask"), "it runs out");
     assert!(!net.counted.contains_key("share-given"), "the other's disk is held up");
-    let got = |net: &mut Net| net.node(0).exchange.keeper().library().got(&name(0), 0, &"pay".into(), 24_321);
+    let got = |net: &mut Net| {
+        net.node(0).exchange.keeper().library().transferred_in(&name(0), 0, &"pay".into(), 24_321)
+    };
     assert_eq!(got(&mut net).open, 0);
     // On disk, and killed before it is told.
     net.cut.insert((0, 1));
@@ -119,7 +121,7 @@
     assert_eq!(net.node(0).exchange.keeper().phase(), Phase::Writing);
     let look = net.node(0).exchange.keeper().looks()[1].clone();
     let life = net.node(0).exchange.keeper().life();
-    let got = net.node(0).exchange.keeper().library().got(&name(0), life, &"pay".into(), 24_321);
+    let got = net.node(0).exchange.keeper().library().transferred_in(&name(0), life, &"pay".into(), 24_321);
     assert!(look.free.open + look.at_hand.open <= got.open, "{look:?}, gifts {got:?}");
 }
 
@@ -152,7 +154,7 @@
         );
     }
     let library = net.node(1).exchange.keeper().library();
-    assert!(library.purse(&name(0), &"pay".into(), 24_321).drawn.open > 0);
+    assert!(library.balance(&name(0), &"pay".into(), 24_321).reserved.open > 0);
 }
 
 #[test]
@@ -182,7 +184,7 @@
     let now = net.now;
     let room = Resources::new(2.0, 1.0);
     let taken = net.node(3).teller.ask(now, "pay/tool", TaskKey(50), room, 0.5).expect("there is room");
-    net.order(0, acme(), 1, Word::Held { finish_by: None });
+    net.order(0, acme(), 1, DirectiveAction::Suspend { finish_by: None });
     net.run(ms(400));
     for n in 0..4 {
         assert!(net.add(n, 60 + n as u64).is_err(), "scheduler {n}");
@@ -194,7 +196,7 @@
     // It could not be placed, and its owner asks another scheduler.
     net.node(3).teller.never_ran(now, taken.expect("its tenant is of a team"));
     assert_eq!(net.fill(1, 50, 1).len(), 1);
-    net.order(2, acme(), 2, Word::Cleared {});
+    net.order(2, acme(), 2, DirectiveAction::Reinstate {});
     net.run(ms(400));
     assert_eq!(net.fill(3, 90, 1).len(), 1);
 }
@@ -205,9 +207,9 @@
     let acme = || Subject::Account("acme".into());
     net.cut.extend([(0, 1), (0, 2), (1, 2)]);
     net.run(ms(100));
-    net.order(0, acme(), 1, Word::Held { finish_by: None });
-    net.order(1, acme(), 2, Word::Cleared {});
-    net.order(2, acme(), 2, Word::Held { finish_by: Some(9_999_999_999) });
+    net.order(0, acme(), 1, DirectiveAction::Suspend { finish_by: None });
+    net.order(1, acme(), 2, DirectiveAction::Reinstate {});
+    net.order(2, acme(), 2, DirectiveAction::Suspend { finish_by: Some(9_999_999_999) });
     net.run(ms(500));
     assert_eq!(net.fill(1, 1, 1).len(), 1, "it knows of the clearing alone");
     net.cut.clear();
@@ -216,7 +218,7 @@
         assert!(net.add(n, 10 + n as u64).is_err(), "of one number the stricter holds");
         assert!(net.node(n).exchange.keeper().looks()[1].differs);
     }
-    net.order(1, acme(), 3, Word::Cleared {});
+    net.order(1, acme(), 3, DirectiveAction::Reinstate {});
     net.run(ms(500));
     assert!((0..3).all(|n| net.fill(n, 20 + n as u64, 1).len() == 1));
     assert!(!net.node(0).exchange.keeper().looks()[1].differs);
@@ -228,7 +230,7 @@
     assert_eq!(net.fill(0, 0, 90).len(), 90);
     net.run(ms(500));
     // Of 120 now, 90 are there: 30 more, less what runs costs.
-    net.order(1, Subject::Team("pay".into()), 1, Word::Cap { amount: cap_of(120) });
+    net.order(1, Subject::Team("pay".into()), 1, DirectiveAction::Cap { amount: cap_of(120) });
     net.run(ms(1_000));
     let mut added = 0;
     for round in 0..20 {
@@ -241,7 +243,7 @@
 #[test]
 fn a_standstill_across_a_hold_takes_nothing_by_old_news() {
     let mut net = Net::new(2, cap_of(300));
-    net.order(0, Subject::Account("acme".into()), 1, Word::Held { finish_by: None });
+    net.order(0, Subject::Account("acme".into()), 1, DirectiveAction::Suspend { finish_by: None });
     // The other one stands still from before the order until ten seconds later.
     for _ in 0..1_000 {
         net.now = net.now + STEP;
@@ -273,7 +275,7 @@
     net.run(ms(2_000));
     let charged = |net: &mut Net, month| {
         let library = net.node(1).exchange.keeper().library();
-        (0..2).map(|n| library.purse(&name(n), &"pay".into(), month).spent).sum::<u64>()
+        (0..2).map(|n| library.balance(&name(n), &"pay".into(), month).spent).sum::<u64>()
     };
     let (old, new) = (charged(&mut net, 24_321), charged(&mut net, 24_322));
     // Ten run on, at 20 a second each: what the second month was charged is what they cost since it began.
@@ -287,7 +289,7 @@
 // Peers that speak wrongly.
 
 fn tips(net: &mut Net, n: usize) -> Digest {
-    net.node(n).exchange.keeper().library().all()
+    net.node(n).exchange.keeper().library().heads_digest()
 }
 
 #[test]
@@ -296,10 +298,10 @@
     let row = Entry::Balance {
         team: "pay".into(),
         month: 24_321,
-        purse: Balance { spent: 1, ..Balance::default() },
+        balance: Balance { spent: 1, ..Balance::default() },
     };
     let row = row.bytes();
-    let first = Digest::first(&LogId { writer: "s1".into(), life: 99 });
+    let first = Digest::first(&LogId { writer: "s1".into(), incarnation: 99 });
     let want = |life| Message::Want { writer: "s1", life, after: 0, digest, skip: 0, log: None };
     let lies: Vec<(&str, Vec<Message<'_>>)> = vec![
         ("nobody", vec![]),
@@ -361,7 +363,7 @@
     let ping = vec![Message::Ping { nonce: 1 }; 20_000];
     net.stranger_says(0, "s2", &ping);
     let begun = net.now;
-    net.order(1, Subject::Account("acme".into()), 1, Word::Held { finish_by: None });
+    net.order(1, Subject::Account("acme".into()), 1, DirectiveAction::Suspend { finish_by: None });
     net.run(ms(300));
     assert!(net.add(0, 1).is_err(), "the order is heard beside the flood, {:?} later", net.now - begun);
 }
--- a/crates/ledger/tests/net/mod.rs
+++ b/crates/ledger/tests/net/mod.rs
@@ -7,7 +7,8 @@
 use mulleinhub_protocol::{self as protocol, Conversation, Frames, Message};
 use mulleinhub_quota::{Months, Prices, Settings, Team};
 use mulleinhub_replicated_log::{
-    Change, Changes, Digest, Kept, KeptLogs, Kind, LogId, Name, Order, Reached, Site, Subject, Word,
+    Digest, Directive, DirectiveAction, Location, LogChange, LogChanges, LogId, LogKind, LogPositions, Name,
+    PersistedEntry, PersistedLogs, Subject,
 };
 use mulleinhub_sans_io::{CloseReason, Command, ConnectionId, ListenerId, StateMachine};
 use std::cell::Cell;
@@ -19,7 +20,7 @@
 const MIDDLE: u64 = 1_792_022_400_000;
 
 /// What is on a disk: rows by the kind of their log, column and number.
-pub type Disk = BTreeMap<(Kind, LogId, u64), (Digest, Vec<u8>)>;
+pub type Disk = BTreeMap<(LogKind, LogId, u64), (Digest, Vec<u8>)>;
 
 thread_local! {
     /// What the settings of the schedulers ask for that are started in this test.
@@ -54,9 +55,9 @@
         self.zone(n) % self.regions
     }
 
-    fn site(self, n: usize) -> Site {
+    fn site(self, n: usize) -> Location {
         let named = |what: &str, n: usize| Some(format!("{what}-{n}").as_str().into());
-        Site { region: named("region", self.region(n)), zone: named("zone", self.zone(n)) }
+        Location { region: named("region", self.region(n)), zone: named("zone", self.zone(n)) }
     }
 }
 
@@ -66,7 +67,7 @@
     /// Nothing is written to its disk while this holds.
     pub disk_waits: bool,
     pub disk: Disk,
-    waiting: Vec<(Changes, Reached)>,
+    waiting: Vec<(LogChanges, LogPositions)>,
 }
 
 pub struct Net {
@@ -154,9 +155,9 @@
         let shelf: Arc<SharedPools> = SharedPools::new(&settings);
         let teller = AdmissionHandle::new(shelf.clone(), &settings);
         let members = (0..many).map(|m| Member { name: name(m), address: m.to_string() }).collect();
-        let kept = |kind: Kind| -> Vec<Kept> {
+        let kept = |kind: LogKind| -> Vec<PersistedEntry> {
             let rows = disk.iter().filter(|((of, ..), _)| *of == kind);
-            let kept = rows.map(|((_, id, number), (before, bytes))| Kept {
+            let kept = rows.map(|((_, id, number), (before, bytes))| PersistedEntry {
                 id: id.clone(),
                 number: *number,
                 before: *before,
@@ -166,8 +167,8 @@
         };
         let is_older = self.older.contains(&n);
         // A version that knows no work logs leaves their rows where they are, unread.
-        let work = if is_older { Vec::new() } else { kept(Kind::Work) };
-        let kept = KeptLogs { fleet: kept(Kind::Fleet), work };
+        let work = if is_older { Vec::new() } else { kept(LogKind::Work) };
+        let kept = PersistedLogs { fleet: kept(LogKind::Fleet), work };
         let exchange = Exchange::new(settings, members, self.lives, 7 + n as u64, kept, shelf);
         let exchange = if is_older { exchange.without_work_logs() } else { exchange };
         self.nodes[n] = Some(Node { exchange, teller, disk_waits: false, disk, waiting: Vec::new() });
@@ -224,13 +225,13 @@
             for (changes, last) in std::mem::take(&mut node.waiting) {
                 for (kind, change) in changes.into_each() {
                     match change {
-                        Change::Row { id, number, before, bytes } => {
+                        LogChange::Append { id, number, before, bytes } => {
                             node.disk.insert((kind, id, number), (before, bytes.to_vec()));
                         }
-                        Change::Trim { id, below } => node.disk.retain(|(of_kind, of, number), _| {
+                        LogChange::Trim { id, below } => node.disk.retain(|(of_kind, of, number), _| {
                             (of_kind, of) != (&kind, &id) || *number >= below
                         }),
-                        Change::Drop { id } => {
+                        LogChange::Drop { id } => {
                             node.disk.retain(|(of_kind, of, _), _| (of_kind, of) != (&kind, &id));
                         }
                     }
@@ -379,12 +380,12 @@
         added
     }
 
-    pub fn order(&mut self, n: usize, subject: Subject, number: u64, word: Word) {
-        self.node(n).exchange.order(&[Order { subject, number, word }]);
+    pub fn order(&mut self, n: usize, subject: Subject, number: u64, word: DirectiveAction) {
+        self.node(n).exchange.order(&[Directive { subject, number, action: word }]);
     }
 
     /// Of all rows on all disks: how far each scheduler knows each column.
     pub fn all(&self) -> Vec<Digest> {
-        self.nodes.iter().flatten().map(|node| node.exchange.keeper().library().all()).collect()
+        self.nodes.iter().flatten().map(|node| node.exchange.keeper().library().heads_digest()).collect()
     }
 }
--- a/crates/ledger/tests/store.rs
+++ b/crates/ledger/tests/store.rs
@@ -4,7 +4,7 @@
 
 use mulleinhub_ledger::Store;
 use mulleinhub_replicated_log::{
-    Balance, Change, Changes, Digest, Entry, Kept, KeptLogs, LogId, LogStore, State,
+    Balance, Digest, Entry, LogChange, LogChanges, LogId, LogState, LogStore, PersistedEntry, PersistedLogs,
 };
 use std::path::Path;
 
@@ -12,12 +12,12 @@
 type Place = (&'static str, u64, u64);
 type Bytes = (&'static [u8; 16], &'static [u8]);
 
-fn row(number: u64) -> Change {
-    let id = LogId { writer: "one".into(), life: 7 };
-    Change::Row { id, number, before: Digest([number as u8; 16]), bytes: vec![number as u8; 40].into() }
+fn row(number: u64) -> LogChange {
+    let id = LogId { writer: "one".into(), incarnation: 7 };
+    LogChange::Append { id, number, before: Digest([number as u8; 16]), bytes: vec![number as u8; 40].into() }
 }
 
-fn numbers(kept: &[Kept]) -> Vec<u64> {
+fn numbers(kept: &[PersistedEntry]) -> Vec<u64> {
     kept.iter().map(|kept| kept.number).collect()
 }
 
@@ -29,16 +29,20 @@
 fn what_is_kept_comes_back_without_what_was_trimmed_and_dropped() {
     let dir = tempfile::tempdir().expect("a directory");
     let store = begun(dir.path());
-    let other = LogId { writer: "two".into(), life: 1 };
-    let of_other =
-        Change::Row { id: other.clone(), number: 1, before: Digest::default(), bytes: [1, 2][..].into() };
+    let other = LogId { writer: "two".into(), incarnation: 1 };
+    let of_other = LogChange::Append {
+        id: other.clone(),
+        number: 1,
+        before: Digest::default(),
+        bytes: [1, 2][..].into(),
+    };
     store.keep(&vec![row(1), row(2), row(3), of_other.clone()].into()).expect("there is room");
-    let id = LogId { writer: "one".into(), life: 7 };
+    let id = LogId { writer: "one".into(), incarnation: 7 };
     store
-        .keep(&vec![row(4), Change::Trim { id, below: 3 }, Change::Drop { id: other }].into())
+        .keep(&vec![row(4), LogChange::Trim { id, below: 3 }, LogChange::Drop { id: other }].into())
         .expect("there is room");
     drop(store);
-    let (store, KeptLogs { fleet: kept, work }) = Store::open(dir.path()).expect("it is whole");
+    let (store, PersistedLogs { fleet: kept, work }) = Store::open(dir.path()).expect("it is whole");
     assert!(work.is_empty());
     assert_eq!(numbers(&kept), [3, 4]);
     assert_eq!((kept[0].before, &kept[0].bytes), (Digest([3; 16]), &vec![3; 40]));
@@ -51,11 +55,11 @@
 fn rows_of_both_kinds_of_logs_are_kept_apart() {
     let dir = tempfile::tempdir().expect("a directory");
     let store = begun(dir.path());
-    let id = LogId { writer: "one".into(), life: 7 };
-    let changes = Changes { fleet: vec![row(1), row(2)], work: vec![row(1), row(2), row(3)] };
+    let id = LogId { writer: "one".into(), incarnation: 7 };
+    let changes = LogChanges { fleet: vec![row(1), row(2)], work: vec![row(1), row(2), row(3)] };
     store.keep(&changes).expect("there is room");
-    let trims = vec![Change::Trim { id: id.clone(), below: 3 }];
-    store.keep(&Changes { fleet: Vec::new(), work: trims }).expect("there is room");
+    let trims = vec![LogChange::Trim { id: id.clone(), below: 3 }];
+    store.keep(&LogChanges { fleet: Vec::new(), work: trims }).expect("there is room");
     drop(store);
     let database = redb::Database::open(dir.path().join("books")).expect("it is whole");
     let writing = database.begin_write().expect("it is ours");
@@ -65,7 +69,7 @@
     drop(database);
     let (store, kept) = Store::open(dir.path()).expect("it is whole");
     assert_eq!((numbers(&kept.fleet), numbers(&kept.work)), (vec![1, 2, 3], vec![3]));
-    store.keep(&Changes { fleet: Vec::new(), work: vec![Change::Drop { id }] }).expect("there is room");
+    store.keep(&LogChanges { fleet: Vec::new(), work: vec![LogChange::Drop { id }] }).expect("there is room");
     drop(store);
     let (_, kept) = Store::open(dir.path()).expect("it is whole");
     assert_eq!((numbers(&kept.fleet), numbers(&kept.work)), (vec![1, 2, 3], vec![]));
@@ -111,12 +115,12 @@
 fn a_damaged_store_opens_with_true_rows_or_is_told() {
     let dir = tempfile::tempdir().expect("a directory");
     let store = begun(dir.path());
-    let id = LogId { writer: "one".into(), life: 7 };
+    let id = LogId { writer: "one".into(), incarnation: 7 };
     let mut library = LogStore::new(id.clone());
-    library.open(State::default());
+    library.open(LogState::default());
     for spent in 1..=30 {
         let purse = Balance { spent, ..Balance::default() };
-        library.write(&Entry::Balance { team: "pay".into(), month: 1, purse });
+        library.write(&Entry::Balance { team: "pay".into(), month: 1, balance: purse });
         store.keep(&library.take_changes().into()).expect("there is room");
     }
     drop(store);
@@ -129,10 +133,10 @@
         let looked = std::panic::catch_unwind(|| Store::open(dir.path()).map(|(_, kept)| kept.fleet));
         match looked.unwrap_or_else(|_| panic!("{what}: it must not panic")) {
             Ok(kept) => {
-                let mut again = LogStore::new(LogId { life: 8, ..id.clone() });
+                let mut again = LogStore::new(LogId { incarnation: 8, ..id.clone() });
                 again.restore(kept);
-                let (number, digest) = again.known_of(&id);
-                let written = library.column(&id).and_then(|column| column.digest_at(number));
+                let (number, digest) = again.known_head(&id);
+                let written = library.log(&id).and_then(|column| column.digest_at(number));
                 assert_eq!(written, Some(digest), "{what}: row {number} was never written");
                 opened += 1;
             }
--- a/crates/ledger/tests/work_logs.rs
+++ b/crates/ledger/tests/work_logs.rs
@@ -7,7 +7,9 @@
 use mulleinhub_interface::{Duration, Quota, Resources, TaskKey, Ticket, Timestamp};
 use mulleinhub_protocol::{self as protocol, Message, SideLog};
 use mulleinhub_quota::Phase;
-use mulleinhub_replicated_log::{Digest, Entry, Kind, LogId, MemberState, Name, State, Subject, Word};
+use mulleinhub_replicated_log::{
+    Digest, DirectiveAction, Entry, LogId, LogKind, LogState, MemberState, Name, Subject,
+};
 use net::*;
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -31,12 +33,12 @@
 }
 
 fn hold(net: &mut Net, n: usize, number: u64) {
-    net.order(n, Subject::Account("acme".into()), number, Word::Held { finish_by: None });
+    net.order(n, Subject::Account("acme".into()), number, DirectiveAction::Suspend { finish_by: None });
     net.run(ms(400));
 }
 
-fn fleet_state(net: &mut Net, n: usize, of: usize) -> State {
-    net.node(n).exchange.keeper().library().state_of(&name(of)).cloned().unwrap_or_default()
+fn fleet_state(net: &mut Net, n: usize, of: usize) -> LogState {
+    net.node(n).exchange.keeper().library().latest_state(&name(of)).cloned().unwrap_or_default()
 }
 
 /// Who holds a copy of a scheduler's work log.
@@ -55,8 +57,8 @@
 
 /// Keys that run by a scheduler's own work log, as one knows it.
 fn work_keys(net: &mut Net, n: usize, of: usize) -> BTreeSet<u64> {
-    let logs = net.node(n).exchange.keeper().logs(Kind::Work);
-    logs.state_of(&name(of)).map(|state| state.running.keys().copied().collect()).unwrap_or_default()
+    let logs = net.node(n).exchange.keeper().logs(LogKind::Work);
+    logs.latest_state(&name(of)).map(|state| state.running.keys().copied().collect()).unwrap_or_default()
 }
 
 fn announced_by(net: &mut Net, of: usize) -> Vec<usize> {
@@ -66,12 +68,12 @@
 
 /// Kinds of rows in a scheduler's own fleet log, by its disk.
 fn fleet_rows(net: &mut Net, n: usize) -> BTreeMap<&'static str, usize> {
-    let own = net.node(n).exchange.keeper().library().own().clone();
-    let rows = net.node(n).disk.iter().filter(|((kind, id, _), _)| *kind == Kind::Fleet && *id == own);
+    let own = net.node(n).exchange.keeper().library().own_id().clone();
+    let rows = net.node(n).disk.iter().filter(|((kind, id, _), _)| *kind == LogKind::Fleet && *id == own);
     let mut counted = BTreeMap::new();
     for (_, (_, bytes)) in rows {
         let kind = match Entry::read(bytes).expect("it was written") {
-            Entry::Began { .. } | Entry::Over { .. } | Entry::Again { .. } => "work",
+            Entry::Started { .. } | Entry::Ended { .. } | Entry::Replacements { .. } => "work",
             Entry::Balance { .. } => "balance",
             _ => "other",
         };
@@ -174,7 +176,7 @@
     net.run(ms(300));
     for n in 0..6 {
         let state = fleet_state(&mut net, n, 0);
-        assert_eq!(state.loose.keys().collect::<Vec<_>>(), [&0], "at {n}");
+        assert_eq!(state.displaced.keys().collect::<Vec<_>>(), [&0], "at {n}");
         assert!(state.running.is_empty());
     }
     assert!(net.add(3, 1).is_err(), "it ended for good");
@@ -337,8 +339,8 @@
         assert!((1..6).all(|n| net.add(n, 3).is_err()), "{store}: it ended for good");
         // The copies are of its present life.
         for n in replicas_of(&mut net, 0) {
-            let logs = net.node(n).exchange.keeper().logs(Kind::Work);
-            assert_eq!(logs.columns().filter(|(id, _)| id.writer == name(0)).count(), 1, "{store}");
+            let logs = net.node(n).exchange.keeper().logs(LogKind::Work);
+            assert_eq!(logs.logs().filter(|(id, _)| id.writer == name(0)).count(), 1, "{store}");
         }
     }
 }
@@ -434,21 +436,21 @@
     for _ in 0..1_200 {
         second(&mut net, &[0, 1, 4]);
     }
-    net.order(0, Subject::Account("acme".into()), 1, Word::Cleared {});
-    net.order(1, Subject::Team("pay".into()), 1, Word::Cap { amount: cap_of(WORKERS) });
+    net.order(0, Subject::Account("acme".into()), 1, DirectiveAction::Reinstate {});
+    net.order(1, Subject::Team("pay".into()), 1, DirectiveAction::Cap { amount: cap_of(WORKERS) });
     for _ in 0..2_400 {
         second(&mut net, &[1, 2, 3]);
     }
     let far = if MAP.region(1) == 0 { 0 } else { 1 };
     assert!(net.all().iter().collect::<BTreeSet<_>>().len() >= 2, "the halves differ");
-    assert_eq!(net.node(0).exchange.keeper().library().orders().len(), 1);
+    assert_eq!(net.node(0).exchange.keeper().library().directives().len(), 1);
     let before = net.bytes.clone();
     net.cut.clear();
     let healed = net.now;
     let mut busy = 0;
     let equal = |net: &mut Net| {
         let orders: Vec<usize> =
-            (0..MANY).map(|n| net.node(n).exchange.keeper().library().orders().len()).collect();
+            (0..MANY).map(|n| net.node(n).exchange.keeper().library().directives().len()).collect();
         orders.iter().all(|many| *many == 2) && net.all().iter().collect::<BTreeSet<_>>().len() == 1
     };
     while !equal(&mut net) {
@@ -477,7 +479,7 @@
 
 fn presence(net: &mut Net, n: usize, of: usize) -> MemberState {
     let now = net.now;
-    net.node(n).exchange.keeper().roll.presence(now, &name(of))
+    net.node(n).exchange.keeper().roll.member_state(now, &name(of))
 }
 
 // Fleets of two forms.
@@ -577,7 +579,7 @@
             number += 1;
             let other = (n + 1) % MANY;
             net.run(ms(300));
-            net.order(other, acme(), number, Word::Held { finish_by: None });
+            net.order(other, acme(), number, DirectiveAction::Suspend { finish_by: None });
             net.run(ms(300));
             let disk = net.kill(n);
             net.run(ms(400));
@@ -599,7 +601,7 @@
             net.run(ms(300));
             ends(&mut net, other, again, false);
             number += 1;
-            net.order(other, acme(), number, Word::Cleared {});
+            net.order(other, acme(), number, DirectiveAction::Reinstate {});
             net.run(ms(300));
             key += 10;
             let new = net.fill(n, 100_000 + key, 1)[0];
@@ -610,7 +612,7 @@
     }
     // At the end all die but one.
     number += 1;
-    net.order(0, acme(), number, Word::Held { finish_by: None });
+    net.order(0, acme(), number, DirectiveAction::Suspend { finish_by: None });
     net.run(ms(500));
     (1..MANY).for_each(|n| drop(net.kill(n)));
     net.run(ms(4_000));
@@ -624,7 +626,7 @@
 /// The copy of a work log that somebody holds: its column, its rows, and the digest before each.
 fn copy(net: &mut Net, n: usize, of: usize) -> (LogId, Vec<(u64, Digest, Vec<u8>)>) {
     let disk = &net.node(n).disk;
-    let rows = disk.iter().filter(|((kind, id, _), _)| *kind == Kind::Work && id.writer == name(of));
+    let rows = disk.iter().filter(|((kind, id, _), _)| *kind == LogKind::Work && id.writer == name(of));
     let rows: Vec<_> = rows.collect();
     let ((_, id, _), _) = rows.last().expect("it holds a copy");
     let rows = rows.iter().map(|((.., number), (before, bytes))| (*number, *before, bytes.clone()));
@@ -632,7 +634,7 @@
 }
 
 fn tip<'a>(id: &'a LogId, number: u64, digest: &'a [u8]) -> protocol::Tip<'a> {
-    protocol::Tip { writer: &id.writer, life: id.life, number, digest }
+    protocol::Tip { writer: &id.writer, life: id.incarnation, number, digest }
 }
 
 fn tells<'a>(tips: Vec<protocol::Tip<'a>>) -> Message<'a> {
@@ -642,9 +644,9 @@
 #[test]
 fn peers_that_lie_about_work_logs_are_cut_off_alone() {
     let digest = &[9; 16][..];
-    let other = LogId { writer: "s2".into(), life: 3 };
+    let other = LogId { writer: "s2".into(), incarnation: 3 };
     let mut net = fleet(4, 300);
-    let ours = net.node(0).exchange.keeper().library().own().clone();
+    let ours = net.node(0).exchange.keeper().library().own_id().clone();
     let keys = |net: &mut Net| (0..4).map(|n| work_keys(net, n, n)).collect::<Vec<_>>();
     assert_eq!(net.fill(0, 0, 3).len(), 3);
     net.run(ms(300));
@@ -658,10 +660,10 @@
     net.run(ms(6_000));
     net.stranger_says(0, "s3", &[tells(vec![tip(&ours, 999, digest)])]);
     net.run(ms(100));
-    let row = Entry::Over { at: 1, work: vec![(0, false)] }.bytes();
+    let row = Entry::Ended { at: 1, work: vec![(0, false)] }.bytes();
     let rows = |id: &LogId, after, digest| Message::Rows {
         writer: Box::leak(id.writer.to_string().into_boxed_str()),
-        life: id.life,
+        life: id.incarnation,
         after,
         digest,
         rows: vec![protocol::RowBytes(&row)],
@@ -698,11 +700,11 @@
     let holder = replicas_of(&mut net, 0)[0];
     let (id, kept) = copy(&mut net, holder, 0);
     let (number, before, _) = kept.last().expect("it holds some").clone();
-    let row = Entry::Over { at: 1, work: vec![(0, false)] }.bytes();
+    let row = Entry::Ended { at: 1, work: vec![(0, false)] }.bytes();
     let digest = before.after(number, &row);
     let rows = Message::Rows {
         writer: &id.writer,
-        life: id.life,
+        life: id.incarnation,
         after: number - 1,
         digest: &before.0,
         rows: vec![protocol::RowBytes(&row)],
--- a/crates/planner/src/books.rs
+++ b/crates/planner/src/books.rs
@@ -2,7 +2,7 @@
 
 use mulleinhub_ledger::Member;
 use mulleinhub_quota::{Months, Prices, Settings, Team};
-use mulleinhub_replicated_log::{Name, Order, Site, Subject, Word};
+use mulleinhub_replicated_log::{Directive as OperatorDirective, DirectiveAction, Location, Name, Subject};
 use mulleinhub_settings::{Args, Directive, Faults, Name as NameValue, Scope, parse_text};
 use mulleinhub_workload_settings::{BooksTerms, SiteTerms, read_books};
 use std::net::SocketAddr;
@@ -28,9 +28,9 @@
     text.parse::<SocketAddr>().ok().filter(|address| address.ip().is_loopback())
 }
 
-fn site_of(terms: &SiteTerms) -> Site {
+fn site_of(terms: &SiteTerms) -> Location {
     let name = |text: &Option<String>| text.as_deref().map(Name::from);
-    Site { region: name(&terms.region), zone: name(&terms.zone) }
+    Location { region: name(&terms.region), zone: name(&terms.zone) }
 }
 
 /// Reads a planner's `books` block. `me` is the planner's own name.
@@ -104,7 +104,7 @@
 ///
 /// # Errors
 /// All faults, with line and cause, ready to print.
-pub fn parse_orders(file: &str, text: &str) -> Result<Vec<Order>, String> {
+pub fn parse_orders(file: &str, text: &str) -> Result<Vec<OperatorDirective>, String> {
     let mut faults = Faults::default();
     let directives = parse_text(file, text, &mut faults);
     let mut orders = Vec::new();
@@ -117,19 +117,22 @@
         }
         let (name, number) = (args.next::<NameValue>(&mut faults), args.next::<u64>(&mut faults));
         let word = match word {
-            "cap" => args.next(&mut faults).map(|amount| Word::Cap { amount }),
+            "cap" => args.next(&mut faults).map(|amount| DirectiveAction::Cap { amount }),
             "hold" if args.takes("finish-by") => {
-                args.next(&mut faults).map(|by| Word::Held { finish_by: Some(by) })
+                args.next(&mut faults).map(|by| DirectiveAction::Suspend { finish_by: Some(by) })
             }
-            "hold" => Some(Word::Held { finish_by: None }),
-            _ => Some(Word::Cleared {}),
+            "hold" => Some(DirectiveAction::Suspend { finish_by: None }),
+            _ => Some(DirectiveAction::Reinstate {}),
         };
         args.finish(&mut faults);
         let (Some(name), Some(number), Some(word)) = (name, number, word) else { continue };
         let name = Name::from(name.0.as_str());
-        let subject =
-            if matches!(word, Word::Cap { .. }) { Subject::Team(name) } else { Subject::Account(name) };
-        orders.push(Order { subject, number, word });
+        let subject = if matches!(word, DirectiveAction::Cap { .. }) {
+            Subject::Team(name)
+        } else {
+            Subject::Account(name)
+        };
+        orders.push(OperatorDirective { subject, number, action: word });
     }
     if faults.is_empty() { Ok(orders) } else { Err(faults.render()) }
 }
--- a/crates/planner/src/books/tests.rs
+++ b/crates/planner/src/books/tests.rs
@@ -5,7 +5,7 @@
     let text = "cap pay 3 500000\nhold acme 4 finish-by 1790000000 # till spring\nclear acme 5\n";
     let orders = parse_orders("orders", text).expect("they are fine");
     assert_eq!(orders.len(), 3);
-    assert_eq!(orders[1].word, Word::Held { finish_by: Some(1_790_000_000) });
+    assert_eq!(orders[1].action, DirectiveAction::Suspend { finish_by: Some(1_790_000_000) });
     let words =
         parse_orders("orders", "cap pay 3\nhodl acme 4\nclear acme 5 6\n").expect_err("they are faulty");
     for part in ["orders:1:", "cap lacks an argument", "orders:2:", "unknown order hodl", "orders:3:"] {
@@ -28,7 +28,7 @@
     assert_eq!(plain.settings.replicas, None);
     let conf = read_block(&format!("{others}\n    replicas 2")).expect("it is fine");
     assert_eq!(conf.settings.replicas, Some(2));
-    let site = |zone: Option<&str>, region: Option<&str>| Site {
+    let site = |zone: Option<&str>, region: Option<&str>| Location {
         zone: zone.map(Name::from),
         region: region.map(Name::from),
     };
--- a/crates/planner/src/daemon.rs
+++ b/crates/planner/src/daemon.rs
@@ -7,7 +7,7 @@
 use mulleinhub_event_loop::{Clock, EventLoop, Step};
 use mulleinhub_interface::{Timestamp, mix};
 use mulleinhub_ledger::{AdmissionHandle, Running, Start};
-use mulleinhub_replicated_log::Order;
+use mulleinhub_replicated_log::Directive;
 use mulleinhub_sans_io::{CloseReason, ConnectionId, Connections, ListenerId, StateMachine};
 use signal_hook::consts::{SIGHUP, SIGINT, SIGTERM};
 use std::collections::BTreeMap;
@@ -225,7 +225,7 @@
     name.bytes().fold(mix(seed, !life), |seed, byte| mix(seed, byte.into()))
 }
 
-fn read_orders(path: &Path) -> Result<Vec<Order>, String> {
+fn read_orders(path: &Path) -> Result<Vec<Directive>, String> {
     let words = |error| format!("{}: {error}", path.display());
     let text = std::fs::read_to_string(path).map_err(words)?;
     parse_orders(&path.display().to_string(), &text)
--- a/crates/quota/src/announce.rs
+++ b/crates/quota/src/announce.rs
@@ -5,7 +5,7 @@
 //! time do no harm: the later row number holds.
 
 use mulleinhub_interface::{Duration, Timestamp};
-use mulleinhub_replicated_log::{Announced, Name, State};
+use mulleinhub_replicated_log::{AnnouncedWork, LogState, Name};
 use std::collections::BTreeMap;
 
 /// How much longer a holder waits than the one before it.
@@ -55,11 +55,11 @@
 }
 
 /// Of each member whose work was announced, the announcement that knows most.
-pub fn newest<'a>(states: impl Iterator<Item = &'a State>) -> BTreeMap<&'a Name, &'a Announced> {
-    let mut newest: BTreeMap<&Name, &Announced> = BTreeMap::new();
+pub fn newest<'a>(states: impl Iterator<Item = &'a LogState>) -> BTreeMap<&'a Name, &'a AnnouncedWork> {
+    let mut newest: BTreeMap<&Name, &AnnouncedWork> = BTreeMap::new();
     for (of, announced) in states.flat_map(|state| &state.announced) {
         let known = newest.entry(of).or_insert(announced);
-        if (announced.life, announced.number) > (known.life, known.number) {
+        if (announced.incarnation, announced.number) > (known.incarnation, known.number) {
             *known = announced;
         }
     }
--- a/crates/quota/src/keeper.rs
+++ b/crates/quota/src/keeper.rs
@@ -20,8 +20,8 @@
 use crate::shares::{self, Demand, Use};
 use mulleinhub_interface::{Duration, Pcg, Timestamp};
 use mulleinhub_replicated_log::{
-    Balance, Changes, Entry, KeptLogs, Kind, LogId, LogStore, MemberState, Membership, Name, Parts, Reached,
-    ShareTransfer, State, Subject, Word, replicas,
+    Balance, DirectiveAction, Entry, LogChanges, LogId, LogKind, LogPositions, LogState, LogStore,
+    MemberState, Membership, Name, PersistedLogs, ShareTransfer, SplitAmount, Subject, choose_replicas,
 };
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
@@ -67,7 +67,7 @@
     pub life: u64,
     pub team: Name,
     pub month: u32,
-    pub parts: Parts,
+    pub parts: SplitAmount,
 }
 
 /// The answer to an ask, once it is on disk: what was given, in which row of ours.
@@ -76,7 +76,7 @@
     pub to: Name,
     pub team: Name,
     pub month: u32,
-    pub parts: Parts,
+    pub parts: SplitAmount,
     pub number: u64,
 }
 
@@ -90,8 +90,8 @@
     pub spent: u64,
     pub beyond: u64,
     /// Of our own share, not drawn yet.
-    pub free: Parts,
-    pub at_hand: Parts,
+    pub free: SplitAmount,
+    pub at_hand: SplitAmount,
     pub held: bool,
     /// The order that holds was given twice with one number.
     pub differs: bool,
@@ -104,7 +104,7 @@
     /// What of it lives before this one spent.
     before: u64,
     /// Drawn blocks that are not on disk yet, by their row.
-    credits: VecDeque<(u64, Parts)>,
+    credits: VecDeque<(u64, SplitAmount)>,
     demand: Demand,
     most: u64,
     asking: Option<(Name, Timestamp)>,
@@ -159,20 +159,21 @@
 
 impl Ledger {
     /// `life` is greater at each start; `kept` is what earlier lives left on disk.
-    pub fn new(settings: Settings, life: u64, seed: u64, kept: KeptLogs, beat: Duration) -> Self {
-        let own = LogId { writer: settings.me.clone(), life };
+    pub fn new(settings: Settings, life: u64, seed: u64, kept: PersistedLogs, beat: Duration) -> Self {
+        let own = LogId { writer: settings.me.clone(), incarnation: life };
         let mut library = LogStore::new(own.clone());
-        let mut told = library.restore(kept.fleet);
+        let mut damaged = library.restore(kept.fleet);
         let mut work = LogStore::new(own);
-        told.extend(work.restore(kept.work));
-        let ours = library.newest(&settings.me);
+        damaged.extend(work.restore(kept.work));
+        let told = damaged.iter().map(ToString::to_string).collect();
+        let ours = library.newest_incarnation(&settings.me);
         let kept = ours.and_then(|life| {
-            let id = LogId { writer: settings.me.clone(), life };
-            library.column(&id).map(|column| (life, column.tip().0))
+            let id = LogId { writer: settings.me.clone(), incarnation: life };
+            library.log(&id).map(|column| (life, column.head().0))
         });
-        let newest = ours.max(work.newest(&settings.me)).unwrap_or(0);
-        library.live_after(newest);
-        work.live_after(newest);
+        let newest = ours.max(work.newest_incarnation(&settings.me)).unwrap_or(0);
+        library.advance_incarnation_past(newest);
+        work.advance_incarnation_past(newest);
         let mut settings = settings;
         for name in &settings.members {
             settings.sites.entry(name.clone()).or_default();
@@ -241,22 +242,22 @@
     pub fn without_work_logs(mut self) -> Self {
         let me = self.settings.me.clone();
         self.is_older = true;
-        self.work = LogStore::new(LogId { writer: me, life: self.life() });
+        self.work = LogStore::new(LogId { writer: me, incarnation: self.life() });
         self
     }
 
     /// The logs of a kind.
-    pub fn logs(&self, kind: Kind) -> &LogStore {
+    pub fn logs(&self, kind: LogKind) -> &LogStore {
         match kind {
-            Kind::Fleet => &self.library,
-            Kind::Work => &self.work,
+            LogKind::Fleet => &self.library,
+            LogKind::Work => &self.work,
         }
     }
 
-    pub fn logs_mut(&mut self, kind: Kind) -> &mut LogStore {
+    pub fn logs_mut(&mut self, kind: LogKind) -> &mut LogStore {
         match kind {
-            Kind::Fleet => &mut self.library,
-            Kind::Work => &mut self.work,
+            LogKind::Fleet => &mut self.library,
+            LogKind::Work => &mut self.work,
         }
     }
 
@@ -273,15 +274,15 @@
     /// The members of whose work logs we hold a copy.
     pub fn copies(&self) -> impl Iterator<Item = &Name> {
         let me = &self.settings.me;
-        let newest = |id: &LogId| self.work.newest(&id.writer) == Some(id.life);
-        let columns = self.work.columns().map(|(id, _)| id);
+        let newest = |id: &LogId| self.work.newest_incarnation(&id.writer) == Some(id.incarnation);
+        let columns = self.work.logs().map(|(id, _)| id);
         columns.filter(move |id| id.writer != *me && newest(id)).map(|id| &id.writer)
     }
 
     /// Who holds our work log, the first choice first, of those that `is_usable` says yes to.
     pub fn replicas(&self, is_usable: impl Fn(&Name) -> bool) -> Vec<Name> {
         let many = if self.is_split { self.settings.replicas.unwrap_or(0) } else { 0 };
-        replicas(&self.settings.me, &self.settings.sites, many, is_usable)
+        choose_replicas(&self.settings.me, &self.settings.sites, many, is_usable)
     }
 
     pub fn phase(&self) -> Phase {
@@ -289,7 +290,7 @@
     }
 
     pub fn life(&self) -> u64 {
-        self.library.own().life
+        self.library.own_id().incarnation
     }
 
     pub fn part(&mut self) -> f64 {
@@ -302,14 +303,14 @@
 
     // What whoever hosts the books tells.
 
-    pub fn take_changes(&mut self) -> Changes {
-        Changes { fleet: self.library.take_changes(), work: self.work.take_changes() }
+    pub fn take_changes(&mut self) -> LogChanges {
+        LogChanges { fleet: self.library.take_changes(), work: self.work.take_changes() }
     }
 
     /// Our rows up to these are on disk.
-    pub fn is_durable(&mut self, reached: Reached) {
-        self.library.is_durable(reached.fleet);
-        self.work.is_durable(reached.work);
+    pub fn is_durable(&mut self, reached: LogPositions) {
+        self.library.mark_durable(reached.fleet);
+        self.work.mark_durable(reached.work);
     }
 
     /// All machines told what they hold of our earlier lives, or can't be asked: what they don't hold is
@@ -325,7 +326,7 @@
 
     /// A member has told all that it knows, of our column too.
     pub fn met(&mut self, name: &Name) {
-        if self.phase == Phase::CatchingUp && self.roll.holds(name) {
+        if self.phase == Phase::CatchingUp && self.roll.contains(name) {
             self.met.insert(name.clone());
         }
     }
@@ -344,20 +345,20 @@
 
     /// Answers whose rows are on disk.
     pub fn take_replies(&mut self) -> Vec<Reply> {
-        let durable = self.library.durable();
+        let durable = self.library.durable_number();
         let (ready, waits) = std::mem::take(&mut self.replies).into_iter().partition(|r| r.number <= durable);
         self.replies = waits;
         ready
     }
 
     /// An order of the operators, from their file.
-    pub fn order(&mut self, order: &mulleinhub_replicated_log::Order) {
-        let standing = order.standing();
-        let known = self.library.orders().get(&order.subject);
+    pub fn order(&mut self, order: &mulleinhub_replicated_log::Directive) {
+        let standing = order.effective();
+        let known = self.library.directives().get(&order.subject);
         if known.is_none_or(|known| known.join(standing) != known) {
-            self.library.hear_order(&order.subject, standing);
+            self.library.apply_directive(&order.subject, standing);
             if self.phase == Phase::Writing {
-                self.library.write(&Entry::Heard(order.clone()));
+                self.library.write(&Entry::Directive(order.clone()));
             }
         }
     }
@@ -366,9 +367,9 @@
 
     fn cap(&self, team: usize) -> Option<u64> {
         let team = &self.settings.teams[team];
-        match self.library.orders().get(&Subject::Team(team.name.clone())) {
-            Some(standing) => match standing.word {
-                Word::Cap { amount } => Some(amount),
+        match self.library.directives().get(&Subject::Team(team.name.clone())) {
+            Some(standing) => match standing.action {
+                DirectiveAction::Cap { amount } => Some(amount),
                 _ => team.cap,
             },
             None => team.cap,
@@ -376,46 +377,47 @@
     }
 
     fn valid_from(&self, member: &Name) -> u64 {
-        self.library.state_of(member).map_or(0, |state| state.valid_from)
+        self.library.latest_state(member).map_or(0, |state| state.transfers_valid_from)
     }
 
     /// What a member has of a team's share and has not drawn or given, as its column and the others' tell.
     /// What is under nought is told as nought.
-    fn left(&self, member: &Name, team: usize, month: u32, got: Parts) -> Parts {
+    fn left(&self, member: &Name, team: usize, month: u32, got: SplitAmount) -> SplitAmount {
         let of = |has: i128| u64::try_from(has).unwrap_or(0);
         let (open, last) = self.balance(member, team, month, got);
-        Parts { open: of(open), last: of(last) }
+        SplitAmount { open: of(open), running_only: of(last) }
     }
 
     /// The same where it may be under nought: a cap was lowered after more had been drawn.
-    fn balance(&self, member: &Name, team: usize, month: u32, got: Parts) -> (i128, i128) {
+    fn balance(&self, member: &Name, team: usize, month: u32, got: SplitAmount) -> (i128, i128) {
         let Some(cap) = self.cap(team) else { return (0, 0) };
         let name = &self.settings.teams[team].name;
-        let void = self.library.state_of(member).map_or(0, |state| state.void_through);
-        let first = if month <= void { Parts::default() } else { self.settings.first_share(member, cap) };
-        let purse = self.library.purse(member, name, month);
-        let gave = self.library.gave(member, name, month);
-        let of = |part: fn(Parts) -> u64| {
+        let void = self.library.latest_state(member).map_or(0, |state| state.initial_share_void_through);
+        let first =
+            if month <= void { SplitAmount::default() } else { self.settings.first_share(member, cap) };
+        let purse = self.library.balance(member, name, month);
+        let gave = self.library.transferred_out(member, name, month);
+        let of = |part: fn(SplitAmount) -> u64| {
             let [first, got, lost, drawn, gave] =
-                [first, got, purse.lost, purse.drawn, gave].map(|parts| i128::from(part(parts)));
+                [first, got, purse.voided, purse.reserved, gave].map(|parts| i128::from(part(parts)));
             first + got + lost - drawn - gave
         };
-        (of(|parts| parts.open), of(|parts| parts.last))
+        (of(|parts| parts.open), of(|parts| parts.running_only))
     }
 
     /// What each member got of a team's share, in one pass over all gifts.
-    fn all_got(&self, team: usize, month: u32) -> BTreeMap<Name, Parts> {
-        let mut got: BTreeMap<Name, Parts> = BTreeMap::new();
-        let gifts = self.library.gifts_of(&self.settings.teams[team].name, month);
-        for (gift, parts) in gifts.filter(|(gift, _)| gift.life >= self.valid_from(&gift.to)) {
+    fn all_got(&self, team: usize, month: u32) -> BTreeMap<Name, SplitAmount> {
+        let mut got: BTreeMap<Name, SplitAmount> = BTreeMap::new();
+        let gifts = self.library.transfers_of(&self.settings.teams[team].name, month);
+        for (gift, parts) in gifts.filter(|(gift, _)| gift.incarnation >= self.valid_from(&gift.to)) {
             let sum = got.entry(gift.to.clone()).or_default();
-            *sum = sum.plus(*parts);
+            *sum = sum.saturating_add(*parts);
         }
         got
     }
 
     /// What each of the others has.
-    fn others(&self, team: usize, month: u32) -> Vec<(Name, Parts)> {
+    fn others(&self, team: usize, month: u32) -> Vec<(Name, SplitAmount)> {
         let got = self.all_got(team, month);
         let has = |name: &Name| {
             let got = got.get(name).copied().unwrap_or_default();
@@ -444,7 +446,7 @@
         };
         let month = self.month.map(|month| month.number);
         let Some(team) = team.filter(|_| self.phase == Phase::Writing && month == Some(wanted.month)) else {
-            return self.replies.push(reply(Parts::default(), 0));
+            return self.replies.push(reply(SplitAmount::default(), 0));
         };
         let me = self.settings.me.clone();
         let (free, ..) = self.mine(team, wanted.month);
@@ -452,37 +454,50 @@
         let mut seen = Seen::default();
         tills.with(team, &mut |till| seen = till.look(now));
         self.desks[team].demand.saw(now, seen.asked);
-        let gives = shares::gives(free.plus(seen.has), uses, wanted.parts);
-        if gives == Parts::default() {
+        let gives = shares::gives(free.saturating_add(seen.has), uses, wanted.parts);
+        if gives == SplitAmount::default() {
             return self.replies.push(reply(gives, 0));
         }
-        let lacks = gives.less(free);
-        if lacks != Parts::default() {
-            let mut back = Parts::default();
+        let lacks = gives.saturating_sub(free);
+        if lacks != SplitAmount::default() {
+            let mut back = SplitAmount::default();
             tills.with(team, &mut |till| back = till.take_back(lacks));
-            self.desks[team].purse.drawn = self.desks[team].purse.drawn.less(back);
+            self.desks[team].purse.reserved = self.desks[team].purse.reserved.saturating_sub(back);
             self.write_purse(team, wanted.month);
         }
         let (free, ..) = self.mine(team, wanted.month);
-        let parts = Parts { open: gives.open.min(free.open), last: gives.last.min(free.last) };
-        if parts == Parts::default() {
+        let parts = SplitAmount {
+            open: gives.open.min(free.open),
+            running_only: gives.running_only.min(free.running_only),
+        };
+        if parts == SplitAmount::default() {
             return self.replies.push(reply(parts, 0));
         }
-        let gift = ShareTransfer { team: wanted.team.clone(), month: wanted.month, to: from.clone(), life };
-        let before =
-            self.library.state_of(&me).and_then(|state| state.gave.get(&gift)).copied().unwrap_or_default();
-        let number = self.library.write(&Entry::Gave { gift, parts: before.plus(parts) });
+        let gift = ShareTransfer {
+            team: wanted.team.clone(),
+            month: wanted.month,
+            to: from.clone(),
+            incarnation: life,
+        };
+        let before = self
+            .library
+            .latest_state(&me)
+            .and_then(|state| state.transferred_out.get(&gift))
+            .copied()
+            .unwrap_or_default();
+        let number =
+            self.library.write(&Entry::Transferred { transfer: gift, total: before.saturating_add(parts) });
         self.replies.push(reply(parts, number));
     }
 
     /// Another's answer to what we asked for: nothing, or a gift whose row comes with its column.
-    pub fn answered(&mut self, now: Timestamp, from: &Name, team: &Name, parts: Parts) {
+    pub fn answered(&mut self, now: Timestamp, from: &Name, team: &Name, parts: SplitAmount) {
         let Some(team) = self.settings.teams.iter().position(|t| t.name == *team) else { return };
         let rest = now + REST * (1.0 + self.chance.part());
         let desk = &mut self.desks[team];
         if desk.asking.as_ref().is_some_and(|(name, _)| name == from) {
             desk.asking = None;
-            if parts == Parts::default() {
+            if parts == SplitAmount::default() {
                 desk.rests.insert(from.clone(), rest);
             }
         }
@@ -503,7 +518,7 @@
     /// This process stood still for so long: what was silent meanwhile may have spoken, and what is known
     /// is old.
     pub fn stood(&mut self, now: Timestamp, still: Duration) {
-        self.roll.stood(still);
+        self.roll.on_process_pause(still);
         if still > FRESH {
             self.awake_at = Some(now);
         }
@@ -538,7 +553,7 @@
         }
         self.announce(now, utc);
         self.tell_names(now, utc, tills);
-        self.work.drop_taken_over();
+        self.work.drop_superseded();
         self.forget_copies(now);
     }
 
@@ -553,22 +568,24 @@
     /// Begins a life. What earlier ones did not use is ours only if we kept all that they wrote.
     fn begin_to_write(&mut self, month: Month, utc: u64, tills: &mut dyn ReservationPools) {
         let me = self.settings.me.clone();
-        let newest = self.library.newest(&me).max(self.work.newest(&me)).unwrap_or(0);
+        let newest = self.library.newest_incarnation(&me).max(self.work.newest_incarnation(&me)).unwrap_or(0);
         let life = self.life().max(newest + 1);
-        self.library.live_after(life - 1);
-        self.work.live_after(life - 1);
-        let mut state = self.library.taken_over();
-        let known = state.before.map(|before| (before.life, before.number));
+        self.library.advance_incarnation_past(life - 1);
+        self.work.advance_incarnation_past(life - 1);
+        let mut state = self.library.inherited_state();
+        let known = state.predecessor.map(|before| (before.incarnation, before.number));
         let whole = known == self.kept;
         if !whole {
             let ahead = self.settings.months.at(utc + CLOCKS_DIFFER).number;
-            state.valid_from = self.life();
-            state.void_through = ahead.max(state.month);
+            state.transfers_valid_from = self.life();
+            state.initial_share_void_through = ahead.max(state.month);
             for team in &self.settings.teams {
-                for month in [state.void_through.saturating_sub(1), state.void_through] {
-                    let gave = self.library.gave(&me, &team.name, month);
-                    let purse = state.purses.entry((team.name.clone(), month)).or_default();
-                    purse.lost = purse.drawn.plus(gave);
+                for month in
+                    [state.initial_share_void_through.saturating_sub(1), state.initial_share_void_through]
+                {
+                    let gave = self.library.transferred_out(&me, &team.name, month);
+                    let purse = state.balances.entry((team.name.clone(), month)).or_default();
+                    purse.voided = purse.reserved.saturating_add(gave);
                 }
             }
             self.told.push(format!(
@@ -580,12 +597,12 @@
         let number = month.number.max(state.month);
         self.month = Some(Month { number, ..month });
         for (team, desk) in self.settings.teams.iter().zip(&mut self.desks) {
-            desk.purse = state.purse(&team.name, number);
+            desk.purse = state.balance(&team.name, number);
             desk.before = desk.purse.spent;
         }
         // Orders that came ahead of their rows are written by whoever heard them.
-        for (subject, standing) in self.library.orders().iter() {
-            state.orders.insert(subject.clone(), *standing);
+        for (subject, standing) in self.library.directives().iter() {
+            state.directives.insert(subject.clone(), *standing);
         }
         let begins = state.month < number;
         self.open_logs(state);
@@ -595,8 +612,8 @@
         self.phase = Phase::Writing;
         // What was drawn and not spent is there for workers that run on, and for nothing new.
         for (team, desk) in self.desks.iter().enumerate().filter(|_| whole) {
-            let last = desk.purse.drawn.sum().saturating_sub(desk.purse.spent);
-            tills.with(team, &mut |till| till.credit(Parts { open: 0, last }));
+            let last = desk.purse.reserved.total().saturating_sub(desk.purse.spent);
+            tills.with(team, &mut |till| till.credit(SplitAmount { open: 0, running_only: last }));
         }
     }
 
@@ -607,23 +624,27 @@
             tills.with(team, &mut |till| (spent, owed) = till.turn_month(now));
             let desk = &mut self.desks[team];
             desk.purse.spent = desk.before + spent;
-            desk.purse.beyond = owed;
+            desk.purse.overspent = owed;
             desk.purse.at = month.begins;
             desk.credits.clear();
             if desk.purse != Balance::default() {
                 let name = self.settings.teams[team].name.clone();
-                self.library.write(&Entry::Balance { team: name, month: old, purse: self.desks[team].purse });
+                self.library.write(&Entry::Balance {
+                    team: name,
+                    month: old,
+                    balance: self.desks[team].purse,
+                });
             }
         }
         self.library.write(&Entry::Month(month.number));
         let me = self.settings.me.clone();
         for team in 0..self.desks.len() {
-            let purse = self.library.purse(&me, &self.settings.teams[team].name, month.number);
+            let purse = self.library.balance(&me, &self.settings.teams[team].name, month.number);
             let desk = &mut self.desks[team];
             (desk.purse, desk.before) = (purse, purse.spent);
             (desk.asking, desk.seen.spent) = (None, 0);
         }
-        self.library.drop_old();
+        self.library.drop_closed();
     }
 
     /// A worker ran on while nobody counted: what it cost since then is charged by whoever has it now.
@@ -640,12 +661,12 @@
         let name = &self.settings.teams[team].name;
         let states = self.fleet_states();
         let announced = announce::newest(states.iter().map(|(_, state)| *state));
-        let counted = |(writer, state): &(Name, &State)| {
-            let in_copy = || self.work.state_of(writer).and_then(|state| state.running.get(&key));
+        let counted = |(writer, state): &(Name, &LogState)| {
+            let in_copy = || self.work.latest_state(writer).and_then(|state| state.running.get(&key));
             let in_announced = || announced.get(writer).and_then(|announced| announced.work.get(&key));
             let work = state.running.get(&key).or_else(in_copy).or_else(in_announced);
             let work = work.filter(|work| work.team == *name)?;
-            let at = [month.number, month.number - 1].map(|number| state.purse(name, number).at);
+            let at = [month.number, month.number - 1].map(|number| state.balance(name, number).at);
             Some(work.since.max(at[0].max(at[1])))
         };
         let Some(since) = states.iter().filter_map(counted).max() else { return };
@@ -657,16 +678,16 @@
         if before > 0 {
             let me = self.settings.me.clone();
             let (name, number) = (name.clone(), month.number - 1);
-            let mut purse = self.library.purse(&me, &name, number);
+            let mut purse = self.library.balance(&me, &name, number);
             purse.spent += before;
-            purse.beyond += before;
-            self.library.write(&Entry::Balance { team: name, month: number, purse });
+            purse.overspent += before;
+            self.library.write(&Entry::Balance { team: name, month: number, balance: purse });
         }
     }
 
     fn write_purse(&mut self, team: usize, month: u32) -> u64 {
         let (name, purse) = (self.settings.teams[team].name.clone(), self.desks[team].purse);
-        self.library.write(&Entry::Balance { team: name, month, purse })
+        self.library.write(&Entry::Balance { team: name, month, balance: purse })
     }
 
     /// How often the balances of most teams are written in this life, and whether all are due now.
@@ -711,13 +732,15 @@
     ) {
         let Some(month) = self.month else { return };
         let pace = self.pace_of(team, fleet);
-        let durable = self.library.durable();
+        let durable = self.library.durable_number();
         let mut seen = Seen::default();
         let credits = &mut self.desks[team].credits;
-        let ready: Parts =
-            credits.iter().filter(|(n, _)| *n <= durable).fold(Parts::default(), |s, (_, p)| s.plus(*p));
+        let ready: SplitAmount = credits
+            .iter()
+            .filter(|(n, _)| *n <= durable)
+            .fold(SplitAmount::default(), |s, (_, p)| s.saturating_add(*p));
         credits.retain(|(number, _)| *number > durable);
-        let comes = credits.iter().fold(Parts::default(), |sum, (_, parts)| sum.plus(*parts));
+        let comes = credits.iter().fold(SplitAmount::default(), |sum, (_, parts)| sum.saturating_add(*parts));
         tills.with(team, &mut |till| {
             till.credit(ready);
             seen = till.look(now);
@@ -730,12 +753,12 @@
         desk.seen = seen;
         let uses = self.uses(team);
         let (free, too_much, all_too_much) = self.mine(team, month.number);
-        let at_hand = seen.has.plus(comes);
+        let at_hand = seen.has.saturating_add(comes);
         // What is drawn: for new ones and running ones out of the open part, else for running ones out of
         // the last.
         let least = free.open / LEAST_BLOCK;
         let block = uses.block(pace.block);
-        let block = Parts { open: block.open.max(least), ..block };
+        let block = SplitAmount { open: block.open.max(least), ..block };
         // With the balances that are written together, blocks are filled up, so that between two of them
         // little is written.
         let is_quick = pace == Pace::QUICK;
@@ -748,20 +771,20 @@
         let wants_open = if at_hand.open < low { block.open - at_hand.open } else { 0 } + seen.debt;
         let open = wants_open.min(free.open);
         let owed = seen.debt.saturating_sub(open);
-        let ahead = block.last.saturating_sub(at_hand.open + open + at_hand.last);
-        let last = if free.open > open { 0 } else { (owed + ahead).min(free.last) };
-        let draws = Parts { open, last };
-        let mut back = Parts::default();
-        if too_much != Parts::default() {
+        let ahead = block.running_only.saturating_sub(at_hand.open + open + at_hand.running_only);
+        let last = if free.open > open { 0 } else { (owed + ahead).min(free.running_only) };
+        let draws = SplitAmount { open, running_only: last };
+        let mut back = SplitAmount::default();
+        if too_much != SplitAmount::default() {
             // A cap was lowered: what lies here of the old one goes back first.
             tills.with(team, &mut |till| back = till.take_back(too_much));
         } else if puts_back
-            && draws == Parts::default()
+            && draws == SplitAmount::default()
             && uses.new < 1.0
             && seen.has.open > block.open.saturating_mul(2)
         {
             // Nobody asks for it here: it goes back into the share, from where it can be given away.
-            let most = Parts { open: seen.has.open - block.open, last: 0 };
+            let most = SplitAmount { open: seen.has.open - block.open, running_only: 0 };
             tills.with(team, &mut |till| back = till.take_back(most));
         }
         let desk = &mut self.desks[team];
@@ -771,15 +794,18 @@
         } else {
             all_due
         };
-        if draws != Parts::default() || back != Parts::default() || (due && spent != desk.purse.spent) {
-            desk.purse.drawn = desk.purse.drawn.plus(draws).less(back);
-            (desk.purse.spent, desk.purse.beyond, desk.purse.at) = (spent, seen.debt, utc);
+        if draws != SplitAmount::default()
+            || back != SplitAmount::default()
+            || (due && spent != desk.purse.spent)
+        {
+            desk.purse.reserved = desk.purse.reserved.saturating_add(draws).saturating_sub(back);
+            (desk.purse.spent, desk.purse.overspent, desk.purse.at) = (spent, seen.debt, utc);
             let number = self.write_purse(team, month.number);
-            if draws != Parts::default() {
+            if draws != SplitAmount::default() {
                 self.desks[team].credits.push_back((number, draws));
             }
         }
-        let has = free.plus(at_hand);
+        let has = free.saturating_add(at_hand);
         self.ask_others(now, team, month.number, uses.wants(has));
         let awake =
             self.awake_at.is_none_or(|at| now - at > AWAKE || self.heard_at.is_some_and(|heard| heard > at));
@@ -802,7 +828,7 @@
         let name = &self.settings.teams[team].name;
         let work: Vec<(u64, Name)> = waiting.into_iter().map(|key| (key, name.clone())).collect();
         for work in work.chunks(MOST_WORK) {
-            self.library.write(&Entry::Passes { at: utc, work: work.to_vec() });
+            self.library.write(&Entry::Admitted { at: utc, work: work.to_vec() });
         }
     }
 
@@ -810,9 +836,9 @@
     fn terms(&self, team: usize, utc: u64) -> Terms {
         let account = self.settings.teams[team].account.clone();
         let bound = account.is_some();
-        let order = account.and_then(|account| self.library.orders().get(&Subject::Account(account)));
-        let (held, finish_by) = match order.map(|order| order.word) {
-            Some(Word::Held { finish_by }) => (true, finish_by),
+        let order = account.and_then(|account| self.library.directives().get(&Subject::Account(account)));
+        let (held, finish_by) = match order.map(|order| order.action) {
+            Some(DirectiveAction::Suspend { finish_by }) => (true, finish_by),
             _ => (false, None),
         };
         let finished = finish_by.is_some_and(|by| utc / 1_000 >= by);
@@ -821,7 +847,7 @@
         Terms { capped: cap.is_some(), bound, held, finished, near }
     }
 
-    fn ask_others(&mut self, now: Timestamp, team: usize, month: u32, parts: Parts) {
+    fn ask_others(&mut self, now: Timestamp, team: usize, month: u32, parts: SplitAmount) {
         let desk = &mut self.desks[team];
         if let Some((name, until)) = &desk.asking {
             if now < *until {
@@ -832,13 +858,13 @@
             desk.rests.insert(name, rest);
             desk.asking = None;
         }
-        if parts == Parts::default() || desk.looked_at.is_some_and(|at| now - at < LOOK) {
+        if parts == SplitAmount::default() || desk.looked_at.is_some_and(|at| now - at < LOOK) {
             return;
         }
         desk.looked_at = Some(now);
         desk.rests.retain(|_, until| now < *until);
         let open = parts.open > 0;
-        let part = |has: Parts| if open { has.open } else { has.last };
+        let part = |has: SplitAmount| if open { has.open } else { has.running_only };
         let others: Vec<(Name, u64)> =
             self.others(team, month).into_iter().map(|(name, has)| (name, part(has))).collect();
         let most = self.desks[team].most.max(1);
@@ -847,7 +873,7 @@
         let asked: Vec<(&Name, u64)> = others
             .iter()
             .filter(|(name, _)| !self.desks[team].rests.contains_key(name))
-            .filter(|(name, _)| self.roll.presence(now, name) != MemberState::Dead)
+            .filter(|(name, _)| self.roll.member_state(now, name) != MemberState::Dead)
             .map(|(name, has)| (name, *has))
             .collect();
         let Some(to) = shares::whom(&mut self.chance, &asked).cloned() else { return };
@@ -860,9 +886,10 @@
     fn tell_names(&mut self, now: Timestamp, utc: u64, tills: &mut dyn ReservationPools) {
         let me = &self.settings.me;
         let states = self.fleet_states();
-        let silent = |writer: &&Name| *writer != me && self.roll.presence(now, writer) != MemberState::Alive;
+        let silent =
+            |writer: &&Name| *writer != me && self.roll.member_state(now, writer) != MemberState::Alive;
         let silent: Vec<Name> = states.iter().map(|(writer, _)| writer).filter(silent).cloned().collect();
-        let (stamp, work_stamp) = (self.library.stamp(), self.work.stamp());
+        let (stamp, work_stamp) = (self.library.revision(), self.work.revision());
         if self
             .named
             .as_ref()
@@ -872,7 +899,7 @@
         }
         let known = |(writer, state)| Known {
             writer,
-            life: self.library.newest(writer).unwrap_or(0),
+            life: self.library.newest_incarnation(writer).unwrap_or(0),
             state,
             copy: self.copy_of(writer),
             silent: silent.contains(writer),
@@ -898,7 +925,7 @@
         let look = |(team, desk): (usize, &TeamLedger)| {
             let name = &self.settings.teams[team].name;
             let (spent, beyond) = self.spent(team);
-            let orders = self.library.orders();
+            let orders = self.library.directives();
             let order = orders.get(&Subject::Team(name.clone()));
             let account = self.settings.teams[team].account.clone();
             let hold = account.and_then(|account| orders.get(&Subject::Account(account)));
@@ -911,7 +938,7 @@
                 free: self.mine(team, month).0,
                 at_hand: desk.seen.has,
                 held: desk.terms.held,
-                differs: order.into_iter().chain(hold).any(|order| order.differs),
+                differs: order.into_iter().chain(hold).any(|order| order.conflicting),
             }
         };
         self.desks.iter().enumerate().map(look).collect()
--- a/crates/quota/src/keeper/figures/tests.rs
+++ b/crates/quota/src/keeper/figures/tests.rs
@@ -7,7 +7,8 @@
 use crate::settings::{Settings, Team};
 use mulleinhub_interface::Duration;
 use mulleinhub_replicated_log::{
-    Balance, Before, Entry, KeptLogs, Log, LogId, Name, Parts, ShareTransfer, Standing, State, Subject, Word,
+    Balance, DirectiveAction, EffectiveDirective, Entry, Log, LogId, LogState, Name, PersistedLogs,
+    Predecessor, ShareTransfer, SplitAmount, Subject,
 };
 use proptest::prelude::*;
 use std::collections::BTreeMap;
@@ -135,20 +136,20 @@
 
 impl World {
     fn new() -> Self {
-        let mut keeper = Ledger::new(settings(), 1, 7, KeptLogs::default(), Duration::from_secs(1));
-        keeper.library.open(State { month: MONTH, ..State::default() });
+        let mut keeper = Ledger::new(settings(), 1, 7, PersistedLogs::default(), Duration::from_secs(1));
+        keeper.library.open(LogState { month: MONTH, ..LogState::default() });
         keeper.month = Some(month(MONTH));
         let mut world = Self { keeper, logs: Vec::new(), orders: 0 };
         for n in 1..MEMBERS {
-            let id = LogId { writer: member(n), life: 1 };
-            world.open(id, State { month: MONTH, ..State::default() });
+            let id = LogId { writer: member(n), incarnation: 1 };
+            world.open(id, LogState { month: MONTH, ..LogState::default() });
         }
         world
     }
 
-    fn open(&mut self, id: LogId, state: State) {
+    fn open(&mut self, id: LogId, state: LogState) {
         let mut column = Log::new(&id);
-        column.push(&Entry::Sum(Box::new(state)).bytes()).expect("a life begins");
+        column.append(&Entry::Snapshot(Box::new(state)).bytes()).expect("a life begins");
         self.logs.push((id, column));
     }
 
@@ -159,22 +160,23 @@
 
     fn write(&mut self, log: usize, entry: &Entry) {
         let (_, column) = self.log(log);
-        column.push(&entry.bytes()).expect("the log goes on");
+        column.append(&entry.bytes()).expect("the log goes on");
     }
 
     fn hear(&mut self, log: usize, rows: usize) {
         let (id, column) = self.log(log).clone();
-        let (known, _) = self.keeper.library.known_of(&id);
-        let (base, _) = column.base();
-        let (tip, _) = column.tip();
+        let (known, _) = self.keeper.library.known_head(&id);
+        let (base, _) = column.compacted_through();
+        let (tip, _) = column.head();
         // Of a log that forked the other branch is heard from its beginning on.
-        let is_other = column.digest_at(known) != Some(self.keeper.library.known_of(&id).1);
+        let is_other = column.digest_at(known) != Some(self.keeper.library.known_head(&id).1);
         let after = if is_other || known > tip { base } else { known.max(base) };
         let digest = column.digest_at(after).expect("it is kept");
-        let rows: Vec<Vec<u8>> = column.rows_after(after).take(rows).map(|row| row.bytes.to_vec()).collect();
+        let rows: Vec<Vec<u8>> =
+            column.entries_after(after).take(rows).map(|row| row.bytes.to_vec()).collect();
         let rows: Vec<&[u8]> = rows.iter().map(|row| &**row).collect();
         // What doesn't follow is refused, and must have changed nothing.
-        let _ = self.keeper.library.take(&id, after, digest, &rows);
+        let _ = self.keeper.library.append_entries(&id, after, digest, &rows);
     }
 
     fn happens(&mut self, event: &Event) {
@@ -183,15 +185,20 @@
             Event::Balance { log, team, amount } => {
                 let state = self.log(log).1.state();
                 let (team, month) = (team_name(team), state.month);
-                let purse = grown(state.purse(&team, month), amount);
-                self.write(log, &Entry::Balance { team, month, purse });
+                let purse = grown(state.balance(&team, month), amount);
+                self.write(log, &Entry::Balance { team, month, balance: purse });
             }
             Event::ShareTransfer { log, team, to, life, amount } => {
                 let state = self.log(log).1.state();
-                let gift = ShareTransfer { team: team_name(team), month: state.month, to: member(to), life };
-                let known = state.gave.get(&gift).copied().unwrap_or_default();
-                let parts = known.plus(Parts { open: amount, last: amount / 5 });
-                self.write(log, &Entry::Gave { gift, parts });
+                let gift = ShareTransfer {
+                    team: team_name(team),
+                    month: state.month,
+                    to: member(to),
+                    incarnation: life,
+                };
+                let known = state.transferred_out.get(&gift).copied().unwrap_or_default();
+                let parts = known.saturating_add(SplitAmount { open: amount, running_only: amount / 5 });
+                self.write(log, &Entry::Transferred { transfer: gift, total: parts });
             }
             Event::Month { log } => {
                 let month = self.log(log).1.state().month + 1;
@@ -199,21 +206,21 @@
             }
             Event::Sum { log } => {
                 let state = self.log(log).1.state().clone();
-                self.write(log, &Entry::Sum(Box::new(state)));
+                self.write(log, &Entry::Snapshot(Box::new(state)));
             }
             Event::Life { log, rows, void } => {
                 let (id, column) = self.log(log).clone();
-                let (base, tip) = (column.base().0, column.tip().0);
+                let (base, tip) = (column.compacted_through().0, column.head().0);
                 let number = (base + 1 + rows as u64).min(tip);
                 let digest = column.digest_at(number).expect("it is kept");
                 let mut state = column.state_at(number).expect("it is kept");
                 let lives = self.logs.iter().filter(|(other, _)| other.writer == id.writer);
-                let life = lives.map(|(id, _)| id.life).max().unwrap_or(0) + 1;
-                state.before = Some(Before { life: id.life, number, digest });
+                let life = lives.map(|(id, _)| id.incarnation).max().unwrap_or(0) + 1;
+                state.predecessor = Some(Predecessor { incarnation: id.incarnation, number, digest });
                 if void {
-                    (state.valid_from, state.void_through) = (life, state.month);
+                    (state.transfers_valid_from, state.initial_share_void_through) = (life, state.month);
                 }
-                self.open(LogId { writer: id.writer, life }, state);
+                self.open(LogId { writer: id.writer, incarnation: life }, state);
             }
             Event::Fork { log } => {
                 let (id, column) = self.log(log).clone();
@@ -222,27 +229,28 @@
             Event::Hear { log, rows } => self.hear(log, rows),
             Event::Order { team, cap } => {
                 self.orders += 1;
-                let word = Word::Cap { amount: cap };
-                let standing = Standing { number: self.orders, word, differs: false };
-                self.keeper.library.hear_order(&Subject::Team(team_name(team)), standing);
+                let word = DirectiveAction::Cap { amount: cap };
+                let standing = EffectiveDirective { number: self.orders, action: word, conflicting: false };
+                self.keeper.library.apply_directive(&Subject::Team(team_name(team)), standing);
             }
             Event::OwnBalance { team, amount } => {
                 let team = team_name(team);
-                let purse = grown(self.keeper.library.purse(&member(0), &team, now), amount);
-                self.keeper.library.write(&Entry::Balance { team, month: now, purse });
+                let purse = grown(self.keeper.library.balance(&member(0), &team, now), amount);
+                self.keeper.library.write(&Entry::Balance { team, month: now, balance: purse });
             }
             Event::OwnGift { team, to, amount } => {
-                let gift = ShareTransfer { team: team_name(team), month: now, to: member(to), life: 1 };
-                let state = self.keeper.library.state_of(&member(0)).expect("it is open");
-                let known = state.gave.get(&gift).copied().unwrap_or_default();
-                let parts = known.plus(Parts { open: amount, last: 0 });
-                self.keeper.library.write(&Entry::Gave { gift, parts });
+                let gift =
+                    ShareTransfer { team: team_name(team), month: now, to: member(to), incarnation: 1 };
+                let state = self.keeper.library.latest_state(&member(0)).expect("it is open");
+                let known = state.transferred_out.get(&gift).copied().unwrap_or_default();
+                let parts = known.saturating_add(SplitAmount { open: amount, running_only: 0 });
+                self.keeper.library.write(&Entry::Transferred { transfer: gift, total: parts });
             }
             Event::OwnMonth => {
                 self.keeper.month = Some(month(now + 1));
                 self.keeper.library.write(&Entry::Month(now + 1));
             }
-            Event::DropOld => self.keeper.library.drop_old(),
+            Event::DropOld => self.keeper.library.drop_closed(),
             Event::Refresh => self.keeper.refresh_figures(),
         }
     }
@@ -250,21 +258,21 @@
 
 fn grown(purse: Balance, amount: u64) -> Balance {
     Balance {
-        drawn: purse.drawn.plus(Parts { open: amount, last: amount / 7 }),
+        reserved: purse.reserved.saturating_add(SplitAmount { open: amount, running_only: amount / 7 }),
         spent: purse.spent + amount / 2,
-        beyond: purse.beyond + amount / 11,
+        overspent: purse.overspent + amount / 11,
         at: purse.at + 1,
         ..purse
     }
 }
 
 /// Our share as it was reckoned before anything was kept: from all logs, each time.
-fn expected_share(keeper: &Ledger, team: usize, month: u32) -> (Parts, Parts, bool) {
+fn expected_share(keeper: &Ledger, team: usize, month: u32) -> (SplitAmount, SplitAmount, bool) {
     let me = &keeper.settings.me;
     let name = &keeper.settings.teams[team].name;
-    if keeper.library.orders().get(&Subject::Team(name.clone())).is_none() {
-        let got = keeper.library.got(me, keeper.valid_from(me), name, month);
-        return (keeper.left(me, team, month, got), Parts::default(), false);
+    if keeper.library.directives().get(&Subject::Team(name.clone())).is_none() {
+        let got = keeper.library.transferred_in(me, keeper.valid_from(me), name, month);
+        return (keeper.left(me, team, month, got), SplitAmount::default(), false);
     }
     let got = keeper.all_got(team, month);
     let (mut has, mut owed, mut mine) = ([0i128; 2], [0i128; 2], [0i128; 2]);
@@ -279,15 +287,15 @@
     }
     let left = |at: usize| mine[at].max(0) * (has[at] - owed[at]).max(0) / has[at].max(1);
     let amount = |amount: i128| u64::try_from(amount).unwrap_or(0);
-    let left = Parts { open: amount(left(0)), last: amount(left(1)) };
-    (left, Parts { open: amount(-mine[0]), last: amount(-mine[1]) }, owed[0] > has[0])
+    let left = SplitAmount { open: amount(left(0)), running_only: amount(left(1)) };
+    (left, SplitAmount { open: amount(-mine[0]), running_only: amount(-mine[1]) }, owed[0] > has[0])
 }
 
 fn expected_spent(keeper: &Ledger, team: usize, month: u32) -> (u64, u64) {
     let name = &keeper.settings.teams[team].name;
     let writers = keeper.library.writers();
-    let purses = writers.iter().map(|writer| keeper.library.purse(writer, name, month));
-    purses.fold((0, 0), |(spent, beyond), purse| (spent + purse.spent, beyond + purse.beyond))
+    let purses = writers.iter().map(|writer| keeper.library.balance(writer, name, month));
+    purses.fold((0, 0), |(spent, beyond), purse| (spent + purse.spent, beyond + purse.overspent))
 }
 
 proptest! {
--- a/crates/quota/src/pace.rs
+++ b/crates/quota/src/pace.rs
@@ -45,5 +45,5 @@
 
 /// Whether all together have nearly spent the open part of a cap, or more than it, or we owe.
 pub fn is_close(open: u64, spent: u64, own: Balance) -> bool {
-    own.beyond > 0 || spent >= open - open / CLOSE
+    own.overspent > 0 || spent >= open - open / CLOSE
 }
--- a/crates/quota/src/reservation_pool.rs
+++ b/crates/quota/src/reservation_pool.rs
@@ -10,7 +10,7 @@
 
 use crate::money::{accrued, cost};
 use mulleinhub_interface::{Duration, TaskKey, Ticket, Timestamp};
-use mulleinhub_replicated_log::Parts;
+use mulleinhub_replicated_log::SplitAmount;
 use std::collections::HashMap;
 
 /// Names that a till has room for beside those it holds, at the most and at the least.
@@ -88,7 +88,7 @@
     fresh_until: Timestamp,
     away: Away,
     terms: Terms,
-    has: Parts,
+    has: SplitAmount,
     /// For a stretch of each worker that is asked for or runs.
     reserved: u64,
     /// Spent, and not paid for yet.
@@ -115,7 +115,7 @@
 /// What the keeper sees at a look.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Seen {
-    pub has: Parts,
+    pub has: SplitAmount,
     pub reserved: u64,
     pub debt: u64,
     pub rate: u64,
@@ -146,7 +146,7 @@
             fresh_until: Timestamp::default(),
             away,
             terms,
-            has: Parts::default(),
+            has: SplitAmount::default(),
             reserved: 0,
             debt: 0,
             rate: 0,
@@ -238,16 +238,16 @@
 
     /// Out of the last part, then out of the open one, as far as they go.
     fn reserve(&mut self, ticket: Ticket, need: u64) -> Ticket {
-        let last = need.min(self.has.last);
+        let last = need.min(self.has.running_only);
         let open = (need - last).min(self.has.open);
-        self.has = self.has.less(Parts { open, last });
+        self.has = self.has.saturating_sub(SplitAmount { open, running_only: last });
         self.reserved += open + last;
         Ticket { open, last, ..ticket }
     }
 
     fn give_back(&mut self, ticket: Ticket) {
         self.reserved -= ticket.open + ticket.last;
-        self.has = self.has.plus(Parts { open: ticket.open, last: ticket.last });
+        self.has = self.has.saturating_add(SplitAmount { open: ticket.open, running_only: ticket.last });
         self.pay();
     }
 
@@ -314,8 +314,8 @@
 
     fn pay(&mut self) {
         let open = self.debt.min(self.has.open);
-        let last = (self.debt - open).min(self.has.last);
-        self.has = self.has.less(Parts { open, last });
+        let last = (self.debt - open).min(self.has.running_only);
+        self.has = self.has.saturating_sub(SplitAmount { open, running_only: last });
         self.debt -= open + last;
         if !self.terms.capped {
             self.debt = 0;
@@ -373,15 +373,18 @@
     }
 
     /// A drawn block, once it is on disk.
-    pub fn credit(&mut self, parts: Parts) {
-        self.has = self.has.plus(parts);
+    pub fn credit(&mut self, parts: SplitAmount) {
+        self.has = self.has.saturating_add(parts);
         self.pay();
     }
 
     /// Takes back what lies here unused, up to so much.
-    pub fn take_back(&mut self, most: Parts) -> Parts {
-        let taken = Parts { open: self.has.open.min(most.open), last: self.has.last.min(most.last) };
-        self.has = self.has.less(taken);
+    pub fn take_back(&mut self, most: SplitAmount) -> SplitAmount {
+        let taken = SplitAmount {
+            open: self.has.open.min(most.open),
+            running_only: self.has.running_only.min(most.running_only),
+        };
+        self.has = self.has.saturating_sub(taken);
         taken
     }
 
@@ -409,7 +412,7 @@
     pub fn turn_month(&mut self, now: Timestamp) -> (u64, u64) {
         self.accrue(now);
         let old = (std::mem::take(&mut self.spent), std::mem::replace(&mut self.debt, self.reserved));
-        self.has = Parts::default();
+        self.has = SplitAmount::default();
         old
     }
 }
@@ -428,7 +431,7 @@
 
     fn till(open: u64, last: u64) -> ReservationPool {
         let mut till = ReservationPool::new(Duration::from_secs(10), AWAY, CAPPED);
-        till.credit(Parts { open, last });
+        till.credit(SplitAmount { open, running_only: last });
         till.refresh(at(1_000_000), AWAY, CAPPED);
         till
     }
@@ -475,9 +478,9 @@
         till.runs(at(0), ticket);
         assert!(till.ask(at(0), 0, TaskKey(2), 1, 0.0).is_err(), "the last part is not for new ones");
         let seen = till.look(at(5_000));
-        assert_eq!((seen.has, seen.debt, seen.spent), (Parts::default(), 20, 50));
-        till.credit(Parts { open: 0, last: 25 });
-        assert_eq!(till.look(at(5_000)).has.last, 5);
+        assert_eq!((seen.has, seen.debt, seen.spent), (SplitAmount::default(), 20, 50));
+        till.credit(SplitAmount { open: 0, running_only: 25 });
+        assert_eq!(till.look(at(5_000)).has.running_only, 5);
         till.over(at(5_000), ticket, false);
         assert_eq!(till.look(at(5_000)).reserved, 0);
     }
@@ -488,7 +491,7 @@
         let ticket = till.ask(at(0), 0, TaskKey(1), 10, 0.0).expect("there is room");
         till.runs(at(0), ticket);
         till.over(at(1_000), ticket, true);
-        till.take_back(Parts { open: 1_000, last: 0 });
+        till.take_back(SplitAmount { open: 1_000, running_only: 0 });
         assert!(till.ask(at(1_500), 0, TaskKey(2), 10, 0.0).is_err());
         let again = till.ask(at(1_500), 0, TaskKey(1), 10, 0.0).expect("it ran before");
         assert_eq!((again.open, again.last), (0, 100));
@@ -545,7 +548,7 @@
         till.refresh(at(1_000_000), AWAY, Terms { held: true, ..CAPPED });
         till.set_names(HashMap::from([(2, Place { in_hand: false, ran: false })]));
         assert!(till.ask(at(0), 0, TaskKey(2), 10, 0.0).is_err());
-        till.credit(Parts { open: 100, last: 0 });
+        till.credit(SplitAmount { open: 100, running_only: 0 });
         assert!(till.ask(at(0), 0, TaskKey(2), 10, 0.0).is_ok());
     }
 
@@ -572,8 +575,8 @@
         till.runs(at(0), ticket);
         assert_eq!(till.turn_month(at(2_000)), (20, 0));
         let seen = till.look(at(3_000));
-        assert_eq!((seen.spent, seen.debt, seen.has, seen.reserved), (10, 110, Parts::default(), 100));
-        till.credit(Parts { open: 200, last: 0 });
+        assert_eq!((seen.spent, seen.debt, seen.has, seen.reserved), (10, 110, SplitAmount::default(), 100));
+        till.credit(SplitAmount { open: 200, running_only: 0 });
         till.over(at(3_000), ticket, false);
         assert_eq!(till.look(at(3_000)).has.open, 190);
     }
--- a/crates/quota/src/settings.rs
+++ b/crates/quota/src/settings.rs
@@ -3,7 +3,7 @@
 use crate::money::{self, Prices};
 use crate::month::Months;
 use mulleinhub_interface::Duration;
-use mulleinhub_replicated_log::{Name, Parts, Site};
+use mulleinhub_replicated_log::{Location, Name, SplitAmount};
 use std::collections::BTreeMap;
 
 /// A team: whose tenants count against one cap.
@@ -34,20 +34,20 @@
     /// in the fleet log.
     pub replicas: Option<usize>,
     /// Where each member runs, so that copies lie apart.
-    pub sites: BTreeMap<Name, Site>,
+    pub sites: BTreeMap<Name, Location>,
 }
 
 impl Settings {
     /// The share of a cap that a member begins each month with.
-    pub fn first_share(&self, member: &Name, cap: u64) -> Parts {
+    pub fn first_share(&self, member: &Name, cap: u64) -> SplitAmount {
         // The list is sorted as a rule.
         let place = self.members.binary_search(member).ok();
         let place = place.or_else(|| self.members.iter().position(|name| name == member));
-        let Some(at) = place else { return Parts::default() };
+        let Some(at) = place else { return SplitAmount::default() };
         let (many, at) = (self.members.len() as u64, at as u64);
         let open = money::part(cap, self.near);
         // What doesn't divide goes to the first ones, a micro-unit each.
         let of = |whole: u64| whole / many + u64::from(at < whole % many);
-        Parts { open: of(open), last: of(cap - open) }
+        SplitAmount { open: of(open), running_only: of(cap - open) }
     }
 }
--- a/crates/quota/src/shares.rs
+++ b/crates/quota/src/shares.rs
@@ -9,7 +9,7 @@
 //! richest.
 
 use mulleinhub_interface::{Duration, Pcg, Timestamp};
-use mulleinhub_replicated_log::{Name, Parts};
+use mulleinhub_replicated_log::{Name, SplitAmount};
 
 /// What is kept of one's own share is the use of so long; what is asked for is that of twice as long.
 /// Longer than an ask takes to be answered even where it has to come again, and short beside a month.
@@ -53,24 +53,27 @@
 }
 
 impl Use {
-    fn of(self, seconds: f64) -> Parts {
+    fn of(self, seconds: f64) -> SplitAmount {
         let running = self.running as f64 * seconds;
-        Parts { open: (self.new * seconds + running) as u64, last: running as u64 }
+        SplitAmount { open: (self.new * seconds + running) as u64, running_only: running as u64 }
     }
 
     /// What of its share a scheduler keeps for itself.
-    pub fn keeps(self) -> Parts {
+    pub fn keeps(self) -> SplitAmount {
         self.of(HORIZON)
     }
 
     /// What is drawn at a time, for so many seconds of use, and no less than two workers need.
-    pub fn block(self, seconds: f64) -> Parts {
+    pub fn block(self, seconds: f64) -> SplitAmount {
         let block = self.of(seconds);
-        Parts { open: block.open.max(if self.new > 0.0 { self.most.saturating_mul(2) } else { 0 }), ..block }
+        SplitAmount {
+            open: block.open.max(if self.new > 0.0 { self.most.saturating_mul(2) } else { 0 }),
+            ..block
+        }
     }
 
     /// What it asks others for, with so much at hand. The last part is wanted once the open one runs out.
-    pub fn wants(self, has: Parts) -> Parts {
+    pub fn wants(self, has: SplitAmount) -> SplitAmount {
         let (low, high) = (self.of(HORIZON * LOW), self.of(HORIZON * 2.0));
         let needs_one = self.new > 0.0 && has.open < self.most;
         let open = if has.open < low.open || needs_one {
@@ -78,21 +81,21 @@
         } else {
             0
         };
-        let short = has.open < low.last && has.last < low.last;
-        Parts { open, last: if short { high.last - has.last } else { 0 } }
+        let short = has.open < low.running_only && has.running_only < low.running_only;
+        SplitAmount { open, running_only: if short { high.running_only - has.running_only } else { 0 } }
     }
 }
 
 /// What is given to one that asks, by one that has so much and uses so much itself.
-pub fn gives(has: Parts, uses: Use, asked: Parts) -> Parts {
-    let spare = has.less(uses.keeps());
+pub fn gives(has: SplitAmount, uses: Use, asked: SplitAmount) -> SplitAmount {
+    let spare = has.saturating_sub(uses.keeps());
     let idle = uses.new < 1.0 && uses.running == 0;
     let of = |asked: u64, spare: u64| match asked {
         0 => 0,
         asked if idle => asked.max(spare / 2).min(spare),
         asked => asked.min(spare),
     };
-    Parts { open: of(asked.open, spare.open), last: of(asked.last, spare.last) }
+    SplitAmount { open: of(asked.open, spare.open), running_only: of(asked.running_only, spare.running_only) }
 }
 
 /// Which of the others to ask, by what each is believed to have.
@@ -120,8 +123,8 @@
 mod tests {
     use super::*;
 
-    fn parts(open: u64, last: u64) -> Parts {
-        Parts { open, last }
+    fn parts(open: u64, last: u64) -> SplitAmount {
+        SplitAmount { open, running_only: last }
     }
 
     #[test]
--- a/crates/quota/src/work_log.rs
+++ b/crates/quota/src/work_log.rs
@@ -4,14 +4,14 @@
 //! scheduler's work log. What took the place of work that ran, and what may come again, concerns everybody:
 //! it stands in the fleet log, in rows as they were before there were two logs.
 
-use mulleinhub_replicated_log::{Entry, Name, Work};
+use mulleinhub_replicated_log::{Entry, Name, RunningWork};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// Workers in one row.
 const MOST_WORK: usize = 1_000;
 
 /// Work by its key.
-pub type Running = BTreeMap<u64, Work>;
+pub type Running = BTreeMap<u64, RunningWork>;
 
 /// What became of workers since the last look.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
@@ -26,9 +26,9 @@
 impl WorkNews {
     /// The rows that say so. One that ended within a look had begun before.
     pub fn entries(&self, at: u64) -> Vec<Entry> {
-        let began = self.began.chunks(MOST_WORK).map(|work| Entry::Began { at, work: work.to_vec() });
-        let again = self.again.chunks(MOST_WORK).map(|keys| Entry::Again { at, keys: keys.to_vec() });
-        let over = self.over.chunks(MOST_WORK).map(|work| Entry::Over { at, work: work.to_vec() });
+        let began = self.began.chunks(MOST_WORK).map(|work| Entry::Started { at, work: work.to_vec() });
+        let again = self.again.chunks(MOST_WORK).map(|keys| Entry::Replacements { at, keys: keys.to_vec() });
+        let over = self.over.chunks(MOST_WORK).map(|work| Entry::Ended { at, work: work.to_vec() });
         began.chain(again).chain(over).collect()
     }
 }
@@ -94,14 +94,14 @@
 }
 
 /// Rows after which this work runs by a log in which it didn't, since the instants at which it began.
-pub fn began_rows<'a>(work: impl Iterator<Item = (&'a u64, &'a Work)>) -> Vec<Entry> {
+pub fn began_rows<'a>(work: impl Iterator<Item = (&'a u64, &'a RunningWork)>) -> Vec<Entry> {
     let mut by_instant: BTreeMap<u64, Vec<(u64, Name, u64)>> = BTreeMap::new();
     for (key, work) in work {
         by_instant.entry(work.since).or_default().push((*key, work.team.clone(), work.rate));
     }
     let rows = |(at, work): (u64, Vec<(u64, Name, u64)>)| {
         let chunks: Vec<Entry> =
-            work.chunks(MOST_WORK).map(|work| Entry::Began { at, work: work.to_vec() }).collect();
+            work.chunks(MOST_WORK).map(|work| Entry::Started { at, work: work.to_vec() }).collect();
         chunks
     };
     by_instant.into_iter().flat_map(rows).collect()
--- a/crates/replicated-log/src/lib.rs
+++ b/crates/replicated-log/src/lib.rs
@@ -1,44 +1,49 @@
-//! What schedulers keep of each other, without I/O, clocks and threads.
+//! What schedulers replicate among each other, without I/O, clocks and threads.
 //!
-//! For: columns of numbered rows, each with one writer and chained by digests, which others copy; the
-//! operators' orders, which merge alike in whatever order they are heard; and who of the members is there,
-//! slow or gone.
-//! May not touch: sockets, files, threads; what a share is worth or who may have it, which `accounts`
-//! decides.
+//! - Logs of numbered entries, each with a single writer and chained by digests, which the other schedulers
+//!   copy ([`LogStore`]).
+//! - The operators' directives, which merge to the same result in whatever order they arrive
+//!   ([`Directives`]).
+//! - Which members are alive, suspected or dead ([`Membership`]), and which of them hold a copy of a log
+//!   ([`choose_replicas`]).
+//!
+//! All state is in memory and owned by the caller, who uses it from one thread; what has to survive a restart
+//! is handed out as [`LogChange`]. Sockets, files and threads don't belong here, nor does the decision what a
+//! share is worth and who may have it, which is that of the `quota` crate.
+
+#![warn(missing_docs)]
 
+mod apply;
+mod balance;
+mod digest;
+mod directives;
+mod dirty_teams;
+mod entry;
+mod error;
 mod log;
+mod log_id;
 mod log_kind;
 mod log_store;
 mod membership;
 mod name;
-mod orders;
+mod persistence;
 mod replica_set;
-mod row;
 mod state;
-mod touched;
+mod work;
 
-pub use log::Log;
-pub use log_kind::{Changes, KINDS, KeptLogs, Kind, Reached};
-pub use log_store::{Change, Kept, LogHead, LogStore, Piece, Taken};
+pub use balance::{Balance, ShareTransfer, SplitAmount};
+pub use digest::Digest;
+pub use directives::{Directive, DirectiveAction, Directives, EffectiveDirective, Subject};
+pub use dirty_teams::DirtyTeams;
+pub use entry::Entry;
+pub use error::{DamagedLog, LogError};
+pub use log::{ChainedEntry, Log};
+pub use log_id::LogId;
+pub use log_kind::{LOG_KINDS, LogKind, LogPositions};
+pub use log_store::{Appended, EntryBatch, LogHead, LogStore};
 pub use membership::{MemberState, Membership};
 pub use name::Name;
-pub use orders::{Order, Orders, Standing, Subject, Word};
-pub use replica_set::{Site, replicas};
-pub use row::{Digest, Entry, LogId};
-pub use state::{
-    Announced, Balance, Before, COMES_AGAIN, Displaced, Parts, READS_WORK_LOGS, ShareTransfer, State,
-    TAKEN_BACK, WRITES_WORK_LOG, Work,
-};
-pub use touched::{Touch, TouchedTeams};
-
-/// What a peer or a file told that can't be, in words.
-#[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Bad(pub String);
-
-impl std::fmt::Display for Bad {
-    fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        f.write_str(&self.0)
-    }
-}
-
-impl std::error::Error for Bad {}
+pub use persistence::{LogChange, LogChanges, PersistedEntry, PersistedLogs};
+pub use replica_set::{Location, choose_replicas};
+pub use state::{LogState, Predecessor, READS_WORK_LOGS, WRITES_WORK_LOG};
+pub use work::{ANNOUNCEMENT_WITHDRAWN, AnnouncedWork, DisplacedWork, RESTART_WINDOW_MS, RunningWork};
--- a/crates/replicated-log/src/name.rs
+++ b/crates/replicated-log/src/name.rs
@@ -1,13 +1,14 @@
-//! Names of schedulers, teams and accounts: one copy for all that know it.
+//! Names of schedulers, teams and accounts.
 
 use minicbor::decode::{self, Decoder};
 use minicbor::encode::{self, Encoder, Write};
 use std::borrow::Borrow;
 use std::sync::Arc;
 
-/// The most bytes of a name, here and in settings.
-pub const MOST: usize = 64;
+/// The maximum length of a name in bytes, here and in settings.
+pub const MAX_NAME_BYTES: usize = 64;
 
+/// A name, cheap to clone: all clones share one text.
 #[derive(Clone, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Name(Arc<str>);
 
@@ -51,8 +52,8 @@
 impl<'b, C> minicbor::Decode<'b, C> for Name {
     fn decode(d: &mut Decoder<'b>, _: &mut C) -> Result<Self, decode::Error> {
         let text = d.str()?;
-        if text.is_empty() || text.len() > MOST {
-            return Err(decode::Error::message("a name of no or too many bytes"));
+        if text.is_empty() || text.len() > MAX_NAME_BYTES {
+            return Err(decode::Error::message("a name is empty or too long"));
         }
         Ok(text.into())
     }
--- a/crates/replicated-log/src/replica_set.rs
+++ b/crates/replicated-log/src/replica_set.rs
@@ -6,23 +6,24 @@
 //! taken where there is one, else the highest in another zone. A member that comes or goes changes only the
 //! sets that it enters or leaves.
 
+use crate::digest::Digest;
 use crate::name::Name;
-use crate::row::Digest;
 use std::collections::BTreeMap;
 
-/// Where a member runs, as far as the settings say. Members that say nothing share one place.
+/// Where a member runs, as far as the settings say. Members without a location count as in one place.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Site {
+pub struct Location {
+    /// The region.
     pub region: Option<Name>,
+    /// The zone; its name is unique within the region only.
     pub zone: Option<Name>,
 }
 
-impl Site {
+impl Location {
     fn same_region(&self, other: &Self) -> bool {
         self.region == other.region
     }
 
-    /// Zones are named within their region.
     fn same_zone(&self, other: &Self) -> bool {
         self.same_region(other) && self.zone == other.zone
     }
@@ -35,33 +36,33 @@
     u64::from_be_bytes(std::array::from_fn(|n| digest.0[n]))
 }
 
-/// The members that hold a writer's work log, the first choice first: so many of those that `is_usable`
-/// says yes to, or fewer where there are no more. The writer itself is none of them.
-pub fn replicas(
+/// The members that hold a copy of a writer's work log, the first choice first: `count` of the members that
+/// are usable, or fewer where there are no more. The writer itself is never among them.
+pub fn choose_replicas(
     writer: &Name,
-    sites: &BTreeMap<Name, Site>,
-    many: usize,
+    locations: &BTreeMap<Name, Location>,
+    count: usize,
     is_usable: impl Fn(&Name) -> bool,
 ) -> Vec<Name> {
-    let candidates = sites.iter().filter(|(name, _)| *name != writer && is_usable(name));
-    let mut left: Vec<(u64, &Name, &Site)> =
-        candidates.map(|(name, site)| (weight(writer, name), name, site)).collect();
-    // The highest first; a tie of weights goes to the earlier name.
+    let candidates = locations.iter().filter(|(name, _)| *name != writer && is_usable(name));
+    let mut left: Vec<(u64, &Name, &Location)> =
+        candidates.map(|(name, location)| (weight(writer, name), name, location)).collect();
+    // The highest weight first; a tie goes to the earlier name.
     left.sort_by(|a, b| b.0.cmp(&a.0).then_with(|| a.1.cmp(b.1)));
-    let unknown = Site::default();
-    let mut taken: Vec<&Site> = vec![sites.get(writer).unwrap_or(&unknown)];
+    let unknown = Location::default();
+    let mut used: Vec<&Location> = vec![locations.get(writer).unwrap_or(&unknown)];
     let mut chosen: Vec<Name> = Vec::new();
-    while chosen.len() < many && !left.is_empty() {
-        let in_another = |same: fn(&Site, &Site) -> bool| {
-            left.iter().position(|(.., site)| taken.iter().all(|t| !same(t, site)))
+    while chosen.len() < count && !left.is_empty() {
+        let in_another = |same: fn(&Location, &Location) -> bool| {
+            left.iter().position(|(.., location)| used.iter().all(|used| !same(used, location)))
         };
         let first = if chosen.is_empty() { Some(0) } else { None };
         let at = first
-            .or_else(|| in_another(Site::same_region))
-            .or_else(|| in_another(Site::same_zone))
+            .or_else(|| in_another(Location::same_region))
+            .or_else(|| in_another(Location::same_zone))
             .unwrap_or(0);
-        let (_, name, site) = left.remove(at);
-        taken.push(site);
+        let (_, name, location) = left.remove(at);
+        used.push(location);
         chosen.push(name.clone());
     }
     chosen
--- a/crates/scale/src/ledgers/member.rs
+++ b/crates/scale/src/ledgers/member.rs
@@ -7,7 +7,8 @@
 use mulleinhub_ledger::{AdmissionHandle, Exchange, Figures, Member, SharedPools};
 use mulleinhub_quota::{Months, Phase, Prices, Settings, Team};
 use mulleinhub_replicated_log::{
-    Change, Changes, Digest, Kept, KeptLogs, Kind, LogId, Name, Order, Reached, Site, Subject, Word,
+    Digest, Directive, DirectiveAction, Location, LogChange, LogChanges, LogId, LogKind, LogPositions, Name,
+    PersistedEntry, PersistedLogs, Subject,
 };
 use mulleinhub_sans_io::{CloseReason, Command, ConnectionId, ListenerId, StateMachine};
 use std::collections::BTreeMap;
@@ -49,9 +50,9 @@
 }
 
 impl Place {
-    fn site(self) -> Site {
+    fn site(self) -> Location {
         let named = |kind: &str, number: u32| Some(format!("{kind}-{number}").as_str().into());
-        Site { region: named("region", self.region), zone: named("zone", self.zone) }
+        Location { region: named("region", self.region), zone: named("zone", self.zone) }
     }
 }
 
@@ -102,9 +103,9 @@
 /// What a member wants to be kept on disk.
 #[derive(Debug, Default)]
 pub struct Writes {
-    changes: Changes,
+    changes: LogChanges,
     /// The last of its own rows among them.
-    last_own: Reached,
+    last_own: LogPositions,
 }
 
 impl Writes {
@@ -122,7 +123,7 @@
 /// What a member has on disk.
 #[derive(Debug)]
 pub struct Disk {
-    rows: BTreeMap<(Kind, LogId, u64), (Digest, Vec<u8>)>,
+    rows: BTreeMap<(LogKind, LogId, u64), (Digest, Vec<u8>)>,
     /// Whether anybody ever reads it.
     is_read: bool,
 }
@@ -140,30 +141,30 @@
         }
         for (kind, change) in writes.changes.into_each() {
             match change {
-                Change::Row { id, number, before, bytes } => {
+                LogChange::Append { id, number, before, bytes } => {
                     self.rows.insert((kind, id, number), (before, bytes.to_vec()));
                 }
-                Change::Trim { id, below } => self.drop_rows(kind, &id, below),
-                Change::Drop { id } => self.drop_rows(kind, &id, u64::MAX),
+                LogChange::Trim { id, below } => self.drop_rows(kind, &id, below),
+                LogChange::Drop { id } => self.drop_rows(kind, &id, u64::MAX),
             }
         }
     }
 
-    fn drop_rows(&mut self, kind: Kind, id: &LogId, below: u64) {
+    fn drop_rows(&mut self, kind: LogKind, id: &LogId, below: u64) {
         let rows = self.rows.range((kind, id.clone(), 0)..(kind, id.clone(), below));
-        let keys: Vec<(Kind, LogId, u64)> = rows.map(|(key, _)| key.clone()).collect();
+        let keys: Vec<(LogKind, LogId, u64)> = rows.map(|(key, _)| key.clone()).collect();
         for key in &keys {
             self.rows.remove(key);
         }
     }
 
-    fn kept(&self) -> KeptLogs {
-        KeptLogs { fleet: self.kept_of(Kind::Fleet), work: self.kept_of(Kind::Work) }
+    fn kept(&self) -> PersistedLogs {
+        PersistedLogs { fleet: self.kept_of(LogKind::Fleet), work: self.kept_of(LogKind::Work) }
     }
 
-    fn kept_of(&self, kind: Kind) -> Vec<Kept> {
+    fn kept_of(&self, kind: LogKind) -> Vec<PersistedEntry> {
         let rows = self.rows.iter().filter(|((of, ..), _)| *of == kind);
-        let kept = rows.map(|((_, id, number), (before, bytes))| Kept {
+        let kept = rows.map(|((_, id, number), (before, bytes))| PersistedEntry {
             id: id.clone(),
             number: *number,
             before: *before,
@@ -191,7 +192,7 @@
 /// How far a member's own rows are on disk.
 #[derive(Clone, Copy, Debug)]
 pub struct Durable {
-    own: Reached,
+    own: LogPositions,
 }
 
 impl Writes {
@@ -228,7 +229,7 @@
     exchange: Exchange,
     teller: AdmissionHandle,
     shelf: Arc<SharedPools>,
-    durable: Reached,
+    durable: LogPositions,
 }
 
 impl Ledger {
@@ -242,7 +243,7 @@
         let members = (0..fleet.schedulers).map(of).collect();
         let seed = mulleinhub_interface::mix(fleet.seed, mulleinhub_interface::mix(member as u64, life));
         let exchange = Exchange::new(settings, members, life, seed, disk.kept(), shelf.clone());
-        Self { exchange, teller, shelf, durable: Reached::default() }
+        Self { exchange, teller, shelf, durable: LogPositions::default() }
     }
 
     /// Tells all that has come in, lets the member act, and takes what it wants done.
@@ -348,7 +349,7 @@
     pub fn change(&mut self, change: ConfigChange) {
         let ConfigChange { team, number, cap } = change;
         let subject = Subject::Team(team_name(team));
-        self.exchange.order(&[Order { subject, number, word: Word::Cap { amount: cap } }]);
+        self.exchange.order(&[Directive { subject, number, action: DirectiveAction::Cap { amount: cap } }]);
     }
 
     // What is looked at.
@@ -356,7 +357,7 @@
     /// Whether a change, or a later one of the same team, is known.
     #[must_use]
     pub fn knows(&self, change: ConfigChange) -> bool {
-        let orders = self.exchange.keeper().library().orders();
+        let orders = self.exchange.keeper().library().directives();
         let known = orders.get(&Subject::Team(team_name(change.team)));
         known.is_some_and(|known| known.number >= change.number)
     }
@@ -370,24 +371,24 @@
     /// One figure for all that it knows, equal where two know the same.
     #[must_use]
     pub fn knowledge(&self) -> [u8; 16] {
-        self.exchange.keeper().library().all().0
+        self.exchange.keeper().library().heads_digest().0
     }
 
     /// The life and the number of the last of its own rows that others may know.
     #[must_use]
     pub fn own_end(&self) -> (u64, u64) {
         let library = self.exchange.keeper().library();
-        let number = library.told_tip(library.own()).map_or(0, |(number, _)| number);
-        (library.own().life, number)
+        let number = library.announced_head(library.own_id()).map_or(0, |(number, _)| number);
+        (library.own_id().incarnation, number)
     }
 
     /// Whether it knows another's rows as far as that, or rows of a later life.
     #[must_use]
     pub fn knows_end(&self, member: usize, (life, number): (u64, u64)) -> bool {
         let library = self.exchange.keeper().library();
-        let id = LogId { writer: member_name(member), life };
-        let known = library.column(&id).map_or(0, |column| column.tip().0);
-        known >= number || library.newest(&id.writer).is_some_and(|newest| newest > life)
+        let id = LogId { writer: member_name(member), incarnation: life };
+        let known = library.log(&id).map_or(0, |column| column.head().0);
+        known >= number || library.newest_incarnation(&id.writer).is_some_and(|newest| newest > life)
     }
 
     /// What it counted itself.
--- a/crates/simulation/src/books.rs
+++ b/crates/simulation/src/books.rs
@@ -4,7 +4,9 @@
 use mulleinhub_interface::{Duration, Timestamp};
 use mulleinhub_ledger::{AdmissionHandle, Exchange, SharedPools};
 use mulleinhub_planner::BooksConf;
-use mulleinhub_replicated_log::{Change, Changes, Digest, Kept, KeptLogs, Kind, LogId, Reached};
+use mulleinhub_replicated_log::{
+    Digest, LogChange, LogChanges, LogId, LogKind, LogPositions, PersistedEntry, PersistedLogs,
+};
 use mulleinhub_sans_io::StateMachine;
 use std::collections::{BTreeMap, VecDeque};
 use std::sync::Arc;
@@ -19,18 +21,18 @@
     work: Rows,
 }
 
-fn apply(rows: &mut Rows, change: Change) {
+fn apply(rows: &mut Rows, change: LogChange) {
     match change {
-        Change::Row { id, number, before, bytes } => {
+        LogChange::Append { id, number, before, bytes } => {
             rows.insert((id, number), (before, bytes.to_vec()));
         }
-        Change::Trim { id, below } => rows.retain(|(of, number), _| *of != id || *number >= below),
-        Change::Drop { id } => rows.retain(|(of, _), _| *of != id),
+        LogChange::Trim { id, below } => rows.retain(|(of, number), _| *of != id || *number >= below),
+        LogChange::Drop { id } => rows.retain(|(of, _), _| *of != id),
     }
 }
 
-fn kept(rows: &Rows) -> Vec<Kept> {
-    let kept = |((id, number), (before, bytes)): (&(LogId, u64), &(Digest, Vec<u8>))| Kept {
+fn kept(rows: &Rows) -> Vec<PersistedEntry> {
+    let kept = |((id, number), (before, bytes)): (&(LogId, u64), &(Digest, Vec<u8>))| PersistedEntry {
         id: id.clone(),
         number: *number,
         before: *before,
@@ -40,22 +42,22 @@
 }
 
 impl Disk {
-    fn apply(&mut self, changes: Changes) {
+    fn apply(&mut self, changes: LogChanges) {
         for (kind, change) in changes.into_each() {
             match kind {
-                Kind::Fleet => apply(&mut self.fleet, change),
-                Kind::Work => apply(&mut self.work, change),
+                LogKind::Fleet => apply(&mut self.fleet, change),
+                LogKind::Work => apply(&mut self.work, change),
             }
         }
     }
 
-    fn kept(&self) -> KeptLogs {
-        KeptLogs { fleet: kept(&self.fleet), work: kept(&self.work) }
+    fn kept(&self) -> PersistedLogs {
+        PersistedLogs { fleet: kept(&self.fleet), work: kept(&self.work) }
     }
 }
 
 /// Changes on their way to the disk: when they are there, and the last of our own rows among them.
-type Sync = (Timestamp, Changes, Reached);
+type Sync = (Timestamp, LogChanges, LogPositions);
 
 pub struct Books {
     pub exchange: Exchange,
@@ -113,7 +115,7 @@
         let utc = (self.begins + now.nanos() / 1_000_000).saturating_add_signed(ahead);
         self.exchange.set_clock(utc);
         self.exchange.poll(now);
-        let changes = if full { Changes::default() } else { self.exchange.take_changes() };
+        let changes = if full { LogChanges::default() } else { self.exchange.take_changes() };
         if !changes.is_empty() {
             let last = self.exchange.last_own(&changes);
             // One sync follows the other.
