--- a/crates/platform/src/attempts/mod.rs
+++ b/crates/platform/src/attempts/mod.rs
@@ -162,7 +162,7 @@
         if machine.queued_attempts.is_empty() {
             return;
         }
-        let shut_until = machine.slow_start.shut_until(now, window);
+        let gate_opens_at = machine.slow_start.shut_until(now, window);
         let mut still_queued = Vec::new();
         for attempt_id in std::mem::take(&mut machine.queued_attempts) {
             let attempt = self.tasks.attempt(attempt_id.task);
@@ -175,13 +175,13 @@
                 machine.slow_start.is_stale(now, window, attempt.decided_at) || attempt.write_deadline < now;
             if is_stale || machine.entry.mode != MachineState::Active {
                 self.policy_queue.outcomes.push_back((attempt_id, Outcome::NotSent));
-            } else if shut_until.is_some() || attempt.deadline <= now {
+            } else if gate_opens_at.is_some() || attempt.deadline <= now {
                 still_queued.push(attempt_id);
             } else if !self.write_start_request(attempt_id.task) {
                 self.queue_for_connection(attempt_id, id);
             }
         }
-        if let Some(until) = shut_until.filter(|_| !still_queued.is_empty()) {
+        if let Some(until) = gate_opens_at.filter(|_| !still_queued.is_empty()) {
             self.timers.set(until, TimerEvent::ReleaseQueued(id));
         }
         self.machines.by_id.get_mut(&id).expect("is there").queued_attempts.extend(still_queued);
--- a/crates/platform/src/machines/connection.rs
+++ b/crates/platform/src/machines/connection.rs
@@ -33,7 +33,7 @@
     /// When it was established, and when its machine had last shown before that that it is alive.
     pub established_at: (Timestamp, Timestamp),
     /// The machine sent something on it that shows that it is alive.
-    pub showed_life: bool,
+    pub proved_alive: bool,
     /// When something was last sent or received on it.
     pub used_at: Timestamp,
     /// Start requests that wait for their answers here.
@@ -55,7 +55,7 @@
             queued: false,
             established: false,
             established_at: (now, now),
-            showed_life: false,
+            proved_alive: false,
             used_at: now,
             awaiting: Vec::new(),
             given_up: VecDeque::new(),
--- a/crates/platform/src/machines/disconnect.rs
+++ b/crates/platform/src/machines/disconnect.rs
@@ -18,7 +18,7 @@
     let (now, timeouts) = (state.now, state.machines.timeouts);
     if let Some(machine) = state.machines.by_id.get_mut(&id) {
         machine.slow_start.ended(now);
-        machine.retract_sign_of_life(&connection, now, timeouts.idle);
+        machine.retract_liveness(&connection, now, timeouts.idle);
         if reason == CloseReason::Untried {
             // A lack of descriptors of this process proves nothing about the machine.
             machine.reconnect_at = now + timeouts.check_interval;
--- a/crates/platform/src/machines/health.rs
+++ b/crates/platform/src/machines/health.rs
@@ -114,8 +114,8 @@
         .iter()
         .filter(|(connection_id, _)| state.machines.connections.contains_key(connection_id))
         .min_by_key(|(_, used_at)| *used_at);
-    let needs_room = !state.machines.pool.has_room() && check.established > 1;
-    if let Some((connection_id, _)) = oldest_idle.filter(|_| needs_room) {
+    let needs_descriptor = !state.machines.pool.has_room() && check.established > 1;
+    if let Some((connection_id, _)) = oldest_idle.filter(|_| needs_descriptor) {
         state.close_machine_connection(*connection_id);
     }
     state.open_machine_connection(id);
--- a/crates/platform/src/machines/messages.rs
+++ b/crates/platform/src/machines/messages.rs
@@ -36,7 +36,7 @@
     frames: &mut Frames,
 ) -> Result<(), ProtocolError> {
     while let Some(frame) = frames.next_frame()? {
-        note_sign_of_life(&mut shared.borrow_mut(), connection_id, &frame);
+        record_liveness(&mut shared.borrow_mut(), connection_id, &frame);
         handle_message(shared, events, connection_id, &frame)?;
     }
     Ok(())
@@ -48,7 +48,7 @@
 /// that had stopped passed health checks, and rejected start requests, on the connections they had left open,
 /// and clients heard of ends there too late; machines that drained failed them, and hundreds of tasks of a
 /// day were released while they ran.
-fn note_sign_of_life(state: &mut SchedulerState, connection_id: ConnectionId, frame: &Frame<'_>) {
+fn record_liveness(state: &mut SchedulerState, connection_id: ConnectionId, frame: &Frame<'_>) {
     let is_sign = match frame.kind {
         kind::ANSWER | kind::NOTE => true,
         kind::RELEASE => {
@@ -59,7 +59,7 @@
     };
     if is_sign {
         let at = state.earliest_sent_at();
-        state.machines.saw_alive_on(connection_id, at);
+        state.machines.mark_alive_on(connection_id, at);
     }
 }
 
--- a/crates/platform/src/machines/mod.rs
+++ b/crates/platform/src/machines/mod.rs
@@ -79,7 +79,7 @@
     /// Takes back the sign of life that an established connection was, where the other side closed it without
     /// a word and sooner than an idle one: nobody was there. Seen: a machine that had stopped let one more
     /// connection be established, and clients heard of the ends there half a second late.
-    pub fn retract_sign_of_life(
+    pub fn retract_liveness(
         &mut self,
         connection: &MachineConnection,
         now: Timestamp,
@@ -87,7 +87,7 @@
     ) {
         let (established_at, seen_before) = connection.established_at;
         if connection.established
-            && !connection.showed_life
+            && !connection.proved_alive
             && now - established_at < idle_timeout
             && self.last_seen_at == established_at
         {
@@ -97,7 +97,7 @@
     }
 
     /// It showed that it was alive at this instant, or later.
-    pub fn saw_alive(&mut self, at: Timestamp) {
+    pub fn mark_alive(&mut self, at: Timestamp) {
         self.last_seen_at = self.last_seen_at.max(at);
         (self.failures, self.refusals) = (0, 0);
     }
@@ -176,11 +176,11 @@
     }
 
     /// The machine sent something on this connection that shows that it was alive at this instant, or later.
-    pub fn saw_alive_on(&mut self, connection_id: ConnectionId, at: Timestamp) {
+    pub fn mark_alive_on(&mut self, connection_id: ConnectionId, at: Timestamp) {
         let connection = self.connections.get_mut(&connection_id).expect("a connection to a machine");
-        connection.showed_life = true;
+        connection.proved_alive = true;
         if let Some(machine) = self.by_id.get_mut(&connection.machine) {
-            machine.saw_alive(at);
+            machine.mark_alive(at);
         }
     }
 
@@ -195,7 +195,7 @@
         (connection.used_at, connection.established) = (now, true);
         if let Some(machine) = self.by_id.get_mut(&connection.machine) {
             connection.established_at = (established_at, machine.last_seen_at);
-            machine.saw_alive(established_at);
+            machine.mark_alive(established_at);
         }
     }
 
--- a/crates/platform/src/machines/replies.rs
+++ b/crates/platform/src/machines/replies.rs
@@ -35,9 +35,8 @@
     if attempt.is_running() {
         return;
     }
-    mark_running(state, connection_id, id, attempt);
+    let client = mark_running(state, connection_id, id, attempt);
     settle_earlier_writes(state, attempt.machine, AttemptId { task: id, number: attempt.number });
-    let client = state.tasks.by_id.get(&id).and_then(|task| task.client);
     if let Some(client) = client {
         proves_itself(state, client);
         state.send(client, |out| protocol::write_answer(out, id.0, description));
@@ -58,17 +57,25 @@
     }
 }
 
-fn mark_running(state: &mut SchedulerState, connection_id: ConnectionId, id: TaskId, attempt: Attempt) {
+/// The machine runs the task from now on; returns the client that awaits the answer.
+fn mark_running(
+    state: &mut SchedulerState,
+    connection_id: ConnectionId,
+    id: TaskId,
+    attempt: Attempt,
+) -> Option<ConnectionId> {
     let running = AttemptState::Running { connection: Some(connection_id), since: state.now };
     let task = state.tasks.by_id.get_mut(&id).expect("it has an attempt");
     task.attempt = Some(Attempt { state: running, ..attempt });
     task.payload = None;
+    let client = task.client;
     tracing::debug!(task = hex(id), machine = attempt.machine.0, "task accepted");
     state.mark_answered(id);
     state.counts.placed += 1;
     if let Some(connection) = state.machines.connections.get_mut(&connection_id) {
         connection.remove_awaiting(id);
     }
+    client
 }
 
 /// A machine answered this attempt: what was written before it has arrived too.
--- a/crates/platform/src/machines/timeouts.rs
+++ b/crates/platform/src/machines/timeouts.rs
@@ -3,7 +3,7 @@
 use mulleinhub_interface::Duration;
 
 /// A client must hear within this of the end of a task that nobody could report.
-const CLIENTS_HEAR_WITHIN: Duration = Duration::from_secs(8);
+const MAX_NOTIFICATION_DELAY: Duration = Duration::from_secs(8);
 /// The part of that time after which a silent machine is lost. Seen: where machines were given up after half
 /// of it, a part of the cluster that was partitioned for six seconds came back to find its tasks released,
 /// and two in five tasks of that day were lost for nothing.
@@ -37,7 +37,7 @@
     /// For machines that close idle connections after `idle_timeout`, and connections that are established
     /// within `connect_timeout`.
     pub fn new(idle_timeout: Duration, connect_timeout: Duration) -> Self {
-        let lost_after = CLIENTS_HEAR_WITHIN * LOST_PART;
+        let lost_after = MAX_NOTIFICATION_DELAY * LOST_PART;
         Self {
             check_interval: lost_after * CHECK_PART,
             probe_after: lost_after * PROBE_PART,
--- a/crates/platform/src/state.rs
+++ b/crates/platform/src/state.rs
@@ -150,8 +150,8 @@
             return Some(self.now);
         }
         let limits = &self.clients.limits;
-        let accepts_again = limits.waits_until().filter(|until| *until > self.now);
-        [self.timers.next(), limits.wake(), accepts_again, Some(self.now + HEARTBEAT)]
+        let accept_resumes_at = limits.waits_until().filter(|until| *until > self.now);
+        [self.timers.next(), limits.wake(), accept_resumes_at, Some(self.now + HEARTBEAT)]
             .into_iter()
             .flatten()
             .min()
--- a/crates/platform/src/tests/clients.rs
+++ b/crates/platform/src/tests/clients.rs
@@ -119,8 +119,8 @@
     assert!(harness.closed.contains(&silent) && harness.closed.contains(&half));
     let good = harness.connect_client();
     place_task(&mut harness, good, 2, "front");
-    let crowd: Vec<ConnectionId> = (0..400).map(|_| harness.connect_client()).collect();
-    let open = crowd.iter().filter(|connection_id| !harness.closed.contains(connection_id)).count();
+    let idle_clients: Vec<ConnectionId> = (0..400).map(|_| harness.connect_client()).collect();
+    let open = idle_clients.iter().filter(|connection_id| !harness.closed.contains(connection_id)).count();
     assert!(open <= 256 / 8, "{open}");
     assert!(!harness.closed.contains(&good));
     let late = harness.connect_client();
@@ -133,9 +133,9 @@
     let client = harness.connect_client();
     let connection = place_task(&mut harness, client, 1, "front");
     for n in 0..400 {
-        let stays = harness.connect_client();
-        harness.deliver(stays, &start_request(100 + n, "front", ""));
-        harness.deliver(stays, &release(100 + n, why::ENDED));
+        let idle_client = harness.connect_client();
+        harness.deliver(idle_client, &start_request(100 + n, "front", ""));
+        harness.deliver(idle_client, &release(100 + n, why::ENDED));
         harness.advance(ms(2));
     }
     assert!(!harness.closed.contains(&client), "others are closed before it");
@@ -144,7 +144,7 @@
 }
 
 #[test]
-fn held_tasks_and_unreported_ends_are_bounded() {
+fn tasks_and_unreported_ends_are_bounded() {
     let mut harness =
         Harness::with_config(2, |config_json| config_json.replace(r#""memory_mb":32"#, r#""memory_mb":1"#));
     let client = harness.connect_client();
--- a/crates/platform/src/tests/connection_limits.rs
+++ b/crates/platform/src/tests/connection_limits.rs
@@ -34,21 +34,21 @@
 }
 
 #[test]
-fn silent_machine_is_found_beyond_descriptor_limit() {
+fn silent_machine_is_found_with_too_few_descriptors() {
     // Seen: herd+mass and roll+mass, where one connection to each of 400 was all that was allowed: a machine
     // that had vanished behind its open connection was never looked at again.
     for machines in [20, 400, 1_024] {
         let (mut harness, client) = cluster(machines);
         pass_within_bounds(&mut harness, Duration::from_secs(4));
-        let gone: BTreeSet<u64> = [3, machines / 2, machines].into();
-        for n in &gone {
+        let vanished: BTreeSet<u64> = [3, machines / 2, machines].into();
+        for n in &vanished {
             harness.reachability.insert(address(*n), Reachability::Silent);
             harness.blocked.extend(harness.connections_to(&address(*n)));
         }
         pass_within_bounds(&mut harness, Duration::from_secs(8));
         let reported: BTreeSet<u64> =
             harness.received_on(client).iter().map(|message| message.task).collect();
-        assert_eq!(reported, gone, "of {machines} machines");
+        assert_eq!(reported, vanished, "of {machines} machines");
     }
 }
 
@@ -106,7 +106,7 @@
 }
 
 #[test]
-fn client_beyond_limit_is_refused_with_retry_after() {
+fn client_over_limit_is_refused_with_retry_after() {
     let mut harness = Harness::new(2);
     let promised = DESCRIPTORS as u64 / 3;
     for task in 1..=promised {
--- a/crates/platform/src/tests/invariants.rs
+++ b/crates/platform/src/tests/invariants.rs
@@ -166,7 +166,7 @@
         if waiting.is_empty() {
             return;
         }
-        let gone = if random.below(3) == 0 {
+        let departed = if random.below(3) == 0 {
             let reason = if random.below(2) == 0 { CloseReason::Closed } else { CloseReason::Broken };
             self.harness.scheduler.on_closed(self.harness.now, client, reason);
             clients[at] = self.harness.accept_client();
@@ -176,8 +176,8 @@
             self.harness.scheduler.on_data(self.harness.now, client, &release(id, why::ENDED));
             vec![id]
         };
-        self.coverage.client_left += gone.len();
-        for id in gone {
+        self.coverage.client_left += departed.len();
+        for id in departed {
             self.tasks.get_mut(&id).expect("is known").client_left = true;
         }
     }
--- a/crates/platform/src/tests/machine_loss.rs
+++ b/crates/platform/src/tests/machine_loss.rs
@@ -59,14 +59,14 @@
     let mut harness = Harness::new(2);
     let client = harness.connect_client();
     let connection = place_task(&mut harness, client, 1, "front");
-    let gone = harness.address_of(connection).to_owned();
-    harness.reachability.insert(gone, Reachability::Silent);
+    let vanished = harness.address_of(connection).to_owned();
+    harness.reachability.insert(vanished, Reachability::Silent);
     harness.advance(ms(7_900));
     assert_eq!(harness.received_on(client).len(), 1);
 }
 
 #[test]
-fn partition_of_six_seconds_keeps_tasks() {
+fn partition_of_six_seconds_loses_no_tasks() {
     // Seen: split+mass, where machines were given up after four and a half.
     for seconds_before in [1, 4, 9, 17] {
         let mut harness = Harness::new(2);
--- a/crates/platform/src/tests/races.rs
+++ b/crates/platform/src/tests/races.rs
@@ -210,7 +210,7 @@
 }
 
 #[test]
-fn ends_of_unknown_tasks_are_kept_within_limit() {
+fn ends_of_unknown_tasks_are_bounded() {
     let mut harness =
         Harness::with_config(1, |config_json| config_json.replace(r#""memory_mb":32"#, r#""memory_mb":1"#));
     let client = harness.connect_client();
@@ -262,7 +262,7 @@
 }
 
 #[test]
-fn connect_timeout_keeps_refusal_count() {
+fn connect_timeout_does_not_reset_refusals() {
     let mut harness = Harness::new(1);
     let client = harness.connect_client();
     let connection = place_task(&mut harness, client, 1, "front");
@@ -284,7 +284,7 @@
 }
 
 #[test]
-fn silent_connection_is_no_sign_of_life() {
+fn silent_connection_does_not_prove_liveness() {
     let mut harness = Harness::new(1);
     let client = harness.connect_client();
     let connection = place_task(&mut harness, client, 1, "front");
