--- a/crates/cli/src/day.rs
+++ b/crates/cli/src/day.rs
@@ -122,7 +122,7 @@
     let fine = if is_day {
         parse_day(&directives, &mut faults).map(|day| format!("a day, {:?}", day.name))
     } else {
-        mulleinhub_planner::parse_conf(&directives, &mut faults)
+        mulleinhub_planner::parse_settings(&directives, &mut faults)
             .map(|conf| format!("settings of the planner {}", conf.engine.name))
     };
     match fine {
--- a/crates/cli/src/main.rs
+++ b/crates/cli/src/main.rs
@@ -78,7 +78,9 @@
             clap_complete::generate(shell, &mut Cli::command(), "mulleinhub", &mut std::io::stdout());
             Ok(ExitCode::SUCCESS)
         }
-        Command::Planner { settings } => mulleinhub_planner::run(&settings).map(|()| ExitCode::SUCCESS),
+        Command::Planner { settings } => {
+            mulleinhub_planner::run(&settings).map(|()| ExitCode::SUCCESS).map_err(|error| error.to_string())
+        }
     };
     done.unwrap_or_else(|words| {
         eprint!("{}", if words.ends_with('\n') { words } else { format!("error: {words}\n") });
--- /dev/null
+++ b/crates/event-loop/src/event_loop/accept.rs
@@ -0,0 +1,89 @@
+//! Listeners and accepting connections, also when the process runs out of descriptors.
+
+use super::EventLoop;
+use super::connection::Connection;
+use mio::net::{TcpListener, TcpStream};
+use mulleinhub_sans_io::{ListenerId, StateMachine};
+use std::io::ErrorKind;
+use std::time::{Duration, Instant};
+
+/// Pause after accepting failed, most likely for lack of descriptors: an immediate retry would spin.
+pub(super) const ACCEPT_PAUSE: Duration = Duration::from_millis(100);
+/// Minimum time between two log lines about failed accepts of one listener.
+const ACCEPT_ERROR_LOG_INTERVAL: Duration = Duration::from_secs(60);
+
+/// One listening socket.
+pub(super) struct Listener {
+    tcp: TcpListener,
+    pub(super) id: ListenerId,
+    /// Connections may be queued.
+    pub(super) ready: bool,
+    pub(super) paused_until: Option<Instant>,
+    error_logged_at: Option<Instant>,
+}
+
+impl Listener {
+    pub(super) fn new(tcp: TcpListener, id: ListenerId) -> Self {
+        Self { tcp, id, ready: false, paused_until: None, error_logged_at: None }
+    }
+
+    fn resume_if_due(&mut self) {
+        if self.paused_until.is_some_and(|until| Instant::now() >= until) {
+            (self.paused_until, self.ready) = (None, true);
+        }
+    }
+
+    fn pause_after(&mut self, error: &std::io::Error) {
+        let now = Instant::now();
+        if self.error_logged_at.is_none_or(|at| now - at >= ACCEPT_ERROR_LOG_INTERVAL) {
+            self.error_logged_at = Some(now);
+            tracing::error!(%error, "connections can't be accepted");
+        }
+        (self.ready, self.paused_until) = (false, Some(now + ACCEPT_PAUSE));
+    }
+}
+
+impl<S: StateMachine> EventLoop<S> {
+    /// Accepts connections on all listeners, as many as the state machine's budget allows.
+    pub(super) fn accept_all(&mut self) {
+        for at in 0..self.listeners.len() {
+            self.listeners[at].resume_if_due();
+            while self.listeners[at].ready && self.state_machine.accept_budget(self.listeners[at].id) > 0 {
+                self.accept_one(at);
+            }
+        }
+    }
+
+    fn accept_one(&mut self, at: usize) {
+        self.system_calls += 1;
+        let listener = &mut self.listeners[at];
+        match listener.tcp.accept() {
+            Ok((tcp, _)) => {
+                let id = listener.id;
+                self.add_accepted(tcp, id);
+            }
+            Err(error) if error.kind() == ErrorKind::WouldBlock => listener.ready = false,
+            Err(error) if error.kind() == ErrorKind::Interrupted => {}
+            Err(error) => {
+                listener.pause_after(&error);
+                let now = self.now();
+                self.state_machine.on_descriptors_exhausted(now);
+                // Connections that the state machine evicted get their reason and release their descriptors.
+                self.execute_commands();
+            }
+        }
+    }
+
+    fn add_accepted(&mut self, tcp: TcpStream, listener: ListenerId) {
+        if !self.state_machine.is_listening(listener) {
+            return;
+        }
+        let now = self.now();
+        let id = self.state_machine.connections().register();
+        if self.add_connection(id, Connection::accepted(tcp)) {
+            self.state_machine.on_connection_accepted(now, id, listener);
+        } else {
+            self.state_machine.connections().discard(id);
+        }
+    }
+}
--- /dev/null
+++ b/crates/event-loop/src/event_loop/commands.rs
@@ -0,0 +1,61 @@
+//! Executes the state machine's commands: opens and closes connections, and writes new outgoing bytes.
+
+use super::EventLoop;
+use super::connection::Connection;
+use super::linger::LINGER_TIMEOUT;
+use crate::socket;
+use mulleinhub_sans_io::{CloseReason, Command, ConnectionId, StateMachine};
+use std::io::ErrorKind;
+use std::time::Instant;
+
+/// Separates the address to connect to from the local address to use, in `REMOTE from LOCAL`.
+const LOCAL_ADDRESS_SEPARATOR: &str = " from ";
+
+impl<S: StateMachine> EventLoop<S> {
+    /// Writes new outgoing bytes and executes commands, until there are none.
+    pub(super) fn execute_commands(&mut self) {
+        loop {
+            while let Some(id) = self.state_machine.connections().next_dirty() {
+                self.write_one(id);
+            }
+            let Some(command) = self.state_machine.connections().next_command() else { return };
+            match command {
+                Command::Open(id, target) => self.connect(id, &target),
+                Command::End { link: id, at_once: true } => {
+                    self.remove_connection(id);
+                }
+                Command::End { link: id, at_once: false } => self.close_once_written(id),
+            }
+        }
+    }
+
+    fn close_once_written(&mut self, id: ConnectionId) {
+        if let Some(connection) = self.connections.get_mut(&id) {
+            connection.closing = true;
+            self.lingering.push_back((Instant::now() + LINGER_TIMEOUT, id));
+            self.write_one(id);
+        }
+    }
+
+    /// Connects to a registered name or an address, optionally followed by ` from ` and a local address.
+    fn connect(&mut self, id: ConnectionId, target: &str) {
+        let (remote, local) = match target.split_once(LOCAL_ADDRESS_SEPARATOR) {
+            Some((remote, local)) => (remote, Some(local)),
+            None => (target, None),
+        };
+        let address = self.addresses.get(remote).copied().or_else(|| remote.parse().ok());
+        let reason = match socket::connect(address, local) {
+            Ok(tcp) => {
+                if self.add_connection(id, Connection::connecting(tcp)) {
+                    return;
+                }
+                CloseReason::Untried
+            }
+            Err(error) if error.kind() == ErrorKind::ConnectionRefused => CloseReason::Refused,
+            // Guards against reporting our own lack of descriptors as a refusal by the peer.
+            Err(_) => CloseReason::Untried,
+        };
+        let now = self.now();
+        self.state_machine.on_closed(now, id, reason);
+    }
+}
--- /dev/null
+++ b/crates/event-loop/src/event_loop/polling.rs
@@ -0,0 +1,111 @@
+//! Polls the system for events and sorts them: listeners, readable and writable connections, signals.
+
+use super::EventLoop;
+use mio::Token;
+use mio::event::Event;
+use mulleinhub_sans_io::{CloseReason, ConnectionId, StateMachine};
+use std::io::ErrorKind;
+use std::time::Duration;
+
+/// Token of the signal handler.
+pub(super) const SIGNALS: Token = Token(usize::MAX - 1);
+/// Token of the waker.
+pub(super) const WAKER: Token = Token(usize::MAX - 2);
+/// Lower tokens are listeners', all others are connections'.
+pub(super) const FIRST_CONNECTION_TOKEN: usize = 1 << 20;
+/// Events returned by one poll. After a poll with that many there are more, and they are handled before the
+/// state machine is polled, too: no peer is considered silent while its bytes are here.
+pub(super) const MAX_EVENTS_PER_POLL: usize = 4096;
+
+/// What the system reported for one token.
+struct Readiness {
+    token: Token,
+    readable: bool,
+    /// The peer closed its sending side, or the connection failed.
+    read_closed: bool,
+    writable: bool,
+}
+
+impl From<&Event> for Readiness {
+    fn from(event: &Event) -> Self {
+        Self {
+            token: event.token(),
+            readable: event.is_readable(),
+            read_closed: event.is_read_closed() || event.is_error(),
+            writable: event.is_writable(),
+        }
+    }
+}
+
+impl<S: StateMachine> EventLoop<S> {
+    /// Waits for events, and records them. `None` waits without limit.
+    pub(super) fn poll_once(&mut self, wait: Option<Duration>) -> std::io::Result<()> {
+        self.system_calls += 1;
+        match self.poll.poll(&mut self.events, wait) {
+            Err(error) if error.kind() == ErrorKind::Interrupted => return Ok(()),
+            done => done?,
+        }
+        self.last_poll_full = self.events.iter().count() >= MAX_EVENTS_PER_POLL;
+        let events: Vec<Readiness> = self.events.iter().map(Readiness::from).collect();
+        for event in events {
+            self.record(&event);
+        }
+        Ok(())
+    }
+
+    fn record(&mut self, event: &Readiness) {
+        match event.token {
+            SIGNALS => {
+                if let Some(signals) = &mut self.signals {
+                    self.pending_signals.extend(signals.pending());
+                }
+            }
+            // The poll has returned, which is all that a wake-up is for.
+            WAKER => {}
+            Token(at) if at < FIRST_CONNECTION_TOKEN => {
+                if let Some(listener) = self.listeners.get_mut(at) {
+                    listener.ready = true;
+                }
+            }
+            Token(at) => self.record_connection(ConnectionId((at - FIRST_CONNECTION_TOKEN) as u64), event),
+        }
+    }
+
+    fn record_connection(&mut self, id: ConnectionId, event: &Readiness) {
+        if event.writable {
+            self.on_writable(id);
+        }
+        if (event.readable || event.read_closed)
+            && let Some(connection) = self.connections.get_mut(&id)
+        {
+            connection.read_closed |= event.read_closed;
+            if self.readable.insert(id) {
+                self.newly_readable.push(id);
+            }
+        }
+    }
+
+    /// A connection accepts bytes (again); the first time shows whether it was established.
+    fn on_writable(&mut self, id: ConnectionId) {
+        let Some(connection) = self.connections.get_mut(&id) else { return };
+        if !connection.established {
+            let error = connection.tcp.take_error().ok().flatten();
+            match connection.tcp.peer_addr() {
+                Ok(_) if error.is_none() => {
+                    connection.established = true;
+                    self.readable.insert(id);
+                    let now = self.now();
+                    self.state_machine.on_connected(now, id);
+                }
+                Err(not_yet) if not_yet.kind() == ErrorKind::NotConnected && error.is_none() => return,
+                _ => {
+                    // Only a refusal proves that nobody listens there.
+                    let refused = error.is_some_and(|error| error.kind() == ErrorKind::ConnectionRefused);
+                    let reason = if refused { CloseReason::Refused } else { CloseReason::Broken };
+                    return self.close_connection(id, reason);
+                }
+            }
+        }
+        self.writable.push(id);
+    }
+}
--- /dev/null
+++ b/crates/event-loop/src/event_loop/write.rs
@@ -0,0 +1,72 @@
+//! Writes outgoing bytes, and closes connections whose last bytes are written.
+
+use super::EventLoop;
+use mulleinhub_sans_io::{CloseReason, ConnectionId, StateMachine};
+use std::io::{ErrorKind, Write};
+use std::net::Shutdown;
+
+impl<S: StateMachine> EventLoop<S> {
+    /// Writes to all connections that became writable.
+    pub(super) fn write_to_writable(&mut self) {
+        for id in std::mem::take(&mut self.writable) {
+            self.write_one(id);
+        }
+    }
+
+    /// Writes a connection's outgoing bytes, as far as the system accepts them.
+    pub(super) fn write_one(&mut self, id: ConnectionId) {
+        let Some(connection) = self.connections.get_mut(&id) else { return };
+        if !connection.established || connection.lingers {
+            return;
+        }
+        loop {
+            let bytes = self.state_machine.connections().outgoing(id);
+            if bytes.is_empty() {
+                break;
+            }
+            self.system_calls += 1;
+            match connection.tcp.write(bytes) {
+                Ok(length) => self.state_machine.connections().wrote(id, length),
+                Err(error) if error.kind() == ErrorKind::WouldBlock => return,
+                Err(error) if error.kind() == ErrorKind::Interrupted => {}
+                Err(_) if connection.closing || self.state_machine.connections().is_paused(id) => {
+                    return self.close_connection(id, CloseReason::Broken);
+                }
+                Err(_) => {
+                    // Bytes that the peer sent before the failure are still unread here. Seen: the last
+                    // message of a peer that reset its connection was lost because we wrote to it first.
+                    connection.read_closed = true;
+                    self.readable.insert(id);
+                    return;
+                }
+            }
+        }
+        if connection.closing {
+            self.close_after_last_write(id);
+        }
+    }
+
+    /// Closes a connection that this side ends; an accepted one lingers until its peer has closed it, too.
+    fn close_after_last_write(&mut self, id: ConnectionId) {
+        self.state_machine.connections().discard(id);
+        let Some(connection) = self.connections.get_mut(&id) else { return };
+        if !connection.accepted || connection.tcp.shutdown(Shutdown::Write).is_err() {
+            self.remove_connection(id);
+            return;
+        }
+        connection.lingers = true;
+        self.linger(id);
+    }
+
+    /// Begins to close all accepted connections.
+    pub(super) fn close_accepted_connections(&mut self) {
+        let accepted = self.connections.iter().filter(|(_, connection)| connection.accepted);
+        let ids: Vec<ConnectionId> = accepted.map(|(id, _)| *id).collect();
+        for id in ids {
+            if let Some(connection) = self.connections.get_mut(&id) {
+                connection.closing = true;
+                self.write_one(id);
+            }
+        }
+    }
+}
--- a/crates/ledger/src/threads.rs
+++ b/crates/ledger/src/threads.rs
@@ -134,22 +134,22 @@
     loop {
         let new = std::mem::take(&mut *orders.lock().unwrap_or_else(PoisonError::into_inner));
         if !new.is_empty() {
-            shell.party.order(&new);
+            shell.state_machine.order(&new);
         }
         let kept = *durable.lock().unwrap_or_else(PoisonError::into_inner);
         if kept != known {
             known = kept;
-            shell.party.is_durable(kept);
+            shell.state_machine.is_durable(kept);
         }
         let utc = SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |since| since.as_millis() as u64);
-        shell.party.set_clock(utc.saturating_add_signed(ahead.load(Ordering::Acquire)));
-        if let Err(error) = shell.step(STEP) {
+        shell.state_machine.set_clock(utc.saturating_add_signed(ahead.load(Ordering::Acquire)));
+        if let Err(error) = shell.run_once(STEP) {
             tracing::error!(%error, "the books' poll failed");
             return;
         }
-        let changes = shell.party.take_changes();
+        let changes = shell.state_machine.take_changes();
         if !changes.is_empty() {
-            let last = shell.party.last_own(&changes);
+            let last = shell.state_machine.last_own(&changes);
             if to_disk.send((changes, last)).is_err() {
                 return;
             }
--- a/crates/load-test/src/crowd_host.rs
+++ b/crates/load-test/src/crowd_host.rs
@@ -22,7 +22,7 @@
 /// Where the system has no poll for it, or its output is gone.
 pub fn host(number: usize, planners: &[SocketAddr], rate: f64) -> Result<(), String> {
     // Addresses in turn, so that no one of them runs out of ports.
-    let most = mulleinhub_event_loop::descriptors().unwrap_or(1 << 20);
+    let most = mulleinhub_event_loop::descriptor_limit().unwrap_or(1 << 20);
     let froms = most.div_ceil(FROM_ONE).clamp(1, 200);
     let to = (0..froms)
         .flat_map(|f| planners.iter().map(move |to| format!("{to} from 127.0.{}.{}", 10 + number, 1 + f)))
@@ -48,12 +48,12 @@
     let mut last = Instant::now();
     let mut out = std::io::stdout();
     loop {
-        shell.step(StdDuration::from_millis(10)).map_err(|e| format!("poll: {e}"))?;
+        shell.run_once(StdDuration::from_millis(10)).map_err(|e| format!("poll: {e}"))?;
         let now = shell.now();
         match tells.try_recv() {
             Ok(line) => match line.split_once(' ').unwrap_or((&line, "")) {
-                ("grow", many) => shell.party.grow(now, many.parse().unwrap_or(0)),
-                ("speak", _) => shell.party.speaks(1.0),
+                ("grow", many) => shell.state_machine.grow(now, many.parse().unwrap_or(0)),
+                ("speak", _) => shell.state_machine.speaks(1.0),
                 _ => return Ok(()),
             },
             Err(mpsc::TryRecvError::Disconnected) => return Ok(()),
@@ -61,7 +61,7 @@
         }
         if last.elapsed() >= TELL {
             last = Instant::now();
-            writeln!(out, "up {}", shell.party.up())
+            writeln!(out, "up {}", shell.state_machine.up())
                 .and_then(|()| out.flush())
                 .map_err(|e| format!("output: {e}"))?;
         }
--- a/crates/load-test/src/idle.rs
+++ b/crates/load-test/src/idle.rs
@@ -94,9 +94,9 @@
     fn step(&mut self) -> Result<(), String> {
         // The system's poll wakes to whole milliseconds; an ask's instant is met more closely without it.
         let now = self.busy.now();
-        let soon = self.busy.party.next_wakeup().is_some_and(|at| at - now < CLOSE);
+        let soon = self.busy.state_machine.next_wakeup().is_some_and(|at| at - now < CLOSE);
         let wait = if soon { StdDuration::ZERO } else { StdDuration::from_millis(1) };
-        self.busy.step(wait).map_err(|e| format!("poll: {e}"))?;
+        self.busy.run_once(wait).map_err(|e| format!("poll: {e}"))?;
         self.crowds.iter_mut().for_each(CrowdProcess::look);
         self.planners.iter_mut().try_for_each(Planner::lives)?;
         if Instant::now() > self.until {
@@ -121,17 +121,17 @@
 
     /// The busy ask for so long, and wait for answers a while.
     fn busy_for(&mut self, span: StdDuration) -> Result<(Seen, u64), String> {
-        self.busy.party.reset();
+        self.busy.state_machine.reset();
         let now = self.busy.now();
-        self.busy.party.asks(now, true);
+        self.busy.state_machine.asks(now, true);
         self.go_on(span)?;
         let now = self.busy.now();
-        self.busy.party.asks(now, false);
+        self.busy.state_machine.asks(now, false);
         let end = Instant::now() + StdDuration::from_secs(2);
-        while self.busy.party.open() > 0 && Instant::now() < end {
+        while self.busy.state_machine.open() > 0 && Instant::now() < end {
             self.step()?;
         }
-        let seen = self.busy.party.seen.clone();
+        let seen = self.busy.state_machine.seen.clone();
         let answered = seen.placed.len() + seen.nacked + seen.errored;
         let unanswered = seen.asked.saturating_sub(answered);
         Ok((seen, unanswered))
@@ -219,7 +219,7 @@
     }
     let mut field = Field::new(campaign)?;
     let began = Instant::now();
-    while !field.busy.party.all_up() {
+    while !field.busy.state_machine.all_up() {
         field.step()?;
         if began.elapsed() > StdDuration::from_secs(10) {
             return Err("planners didn't greet the busy within 10 s".to_owned());
@@ -292,19 +292,19 @@
     mut row: Row,
     tell: &mut impl FnMut(&str),
 ) -> Result<Row, String> {
-    field.busy.party.reset();
+    field.busy.state_machine.reset();
     let now = field.busy.now();
-    field.busy.party.asks(now, true);
+    field.busy.state_machine.asks(now, true);
     let part = (campaign.busy_for / 3).max(StdDuration::from_secs(1));
     for _ in 0..3 {
         field.crowds.iter_mut().try_for_each(|crowd| crowd.says("speak"))?;
         field.go_on(part)?;
     }
     let now = field.busy.now();
-    field.busy.party.asks(now, false);
+    field.busy.state_machine.asks(now, false);
     field.go_on(SETTLES)?;
-    let seen = field.busy.party.seen.clone();
-    let unanswered = field.busy.party.open() as u64;
+    let seen = field.busy.state_machine.seen.clone();
+    let unanswered = field.busy.state_machine.open() as u64;
     row.up = field.up();
     fill(&mut row, &seen, unanswered);
     tell(&format!(
@@ -330,9 +330,9 @@
     tell: &mut impl FnMut(&str),
 ) -> Result<Row, String> {
     let before = field.up();
-    field.busy.party.reset();
+    field.busy.state_machine.reset();
     let now = field.busy.now();
-    field.busy.party.asks(now, true);
+    field.busy.state_machine.asks(now, true);
     field.go_on(SETTLES)?;
     let struck = campaign.storm_planners.min(field.planners.len());
     field.planners[..struck].iter_mut().for_each(|planner| planner.process.kill());
@@ -343,7 +343,7 @@
     let mut busy_back = None;
     while began.elapsed() < StdDuration::from_secs(60) {
         field.step()?;
-        if busy_back.is_none() && field.busy.party.all_up() {
+        if busy_back.is_none() && field.busy.state_machine.all_up() {
             busy_back = Some(began.elapsed());
         }
         if busy_back.is_some() && began.elapsed() > StdDuration::from_millis(500) && field.up() >= before {
@@ -352,11 +352,11 @@
     }
     let all_back = began.elapsed();
     let now = field.busy.now();
-    field.busy.party.asks(now, false);
+    field.busy.state_machine.asks(now, false);
     field.go_on(SETTLES)?;
-    let seen = field.busy.party.seen.clone();
+    let seen = field.busy.state_machine.seen.clone();
     row.up = field.up();
-    fill(&mut row, &seen, field.busy.party.open() as u64);
+    fill(&mut row, &seen, field.busy.state_machine.open() as u64);
     row.busy_back_ms = busy_back.map_or(0, |span| span.as_millis() as u64);
     row.all_back_ms = if row.up >= before { all_back.as_millis() as u64 } else { 0 };
     tell(&format!(
--- a/crates/load-test/src/planners.rs
+++ b/crates/load-test/src/planners.rs
@@ -29,7 +29,7 @@
         let probe = TcpListener::bind((host, 0)).map_err(|e| format!("a free port: {e}"))?;
         let address = probe.local_addr().map_err(|e| format!("a free port: {e}"))?;
         drop(probe);
-        let text = planner_text(day, n, Some(address), list, None, None).show() + clients;
+        let text = planner_text(day, n, Some(address), list, None, None).render() + clients;
         let settings = folder.join(format!("planner-{}.conf", n + 1));
         std::fs::write(&settings, text).map_err(|e| format!("{}: {e}", settings.display()))?;
         let log = folder.join(format!("planner-{}.log", n + 1));
--- a/crates/load-test/src/stage_host.rs
+++ b/crates/load-test/src/stage_host.rs
@@ -3,7 +3,7 @@
 use crate::process::{PlannerProcess, Usage};
 use mulleinhub_event_loop::EventLoop;
 use mulleinhub_interface::Timestamp;
-use mulleinhub_planner::BooksText;
+use mulleinhub_planner::LedgerText;
 use mulleinhub_scenario::{Behind, Day, Fate, PlannerDeed, Progress, Score, Stage};
 use mulleinhub_simulation::planner_text;
 use rustix::process::Signal;
@@ -29,13 +29,13 @@
 
 impl Told {
     fn text(&self, day: &Day) -> String {
-        let books = day.books.as_ref().map(|books| BooksText {
+        let books = day.books.as_ref().map(|books| LedgerText {
             terms: &books.terms,
             members: self.members.clone(),
-            orders: Some(&self.orders),
-            ahead: self.ahead,
+            directives_file: Some(&self.orders),
+            clock_ahead_ms: self.ahead,
         });
-        planner_text(day, self.n, Some(self.listen), self.list.clone(), Some(&self.state), books).show()
+        planner_text(day, self.n, Some(self.listen), self.list.clone(), Some(&self.state), books).render()
     }
 
     /// What is in the store's place: now, when it was killed last, and the time before.
@@ -148,10 +148,10 @@
     let any = SocketAddr::from((Ipv4Addr::LOCALHOST, 0));
     let mut lists = vec![String::new(); day.planners];
     let mut members: Vec<Vec<(String, String)>> = vec![Vec::new(); day.planners];
-    for (door, planner, behind) in shell.party.doors() {
+    for (door, planner, behind) in shell.state_machine.doors() {
         let at = shell.listen(any, door).map_err(|e| format!("listening for planner {planner}: {e}"))?;
         match behind {
-            Behind::Machine(_) => shell.party.set_address(door, at.to_string()),
+            Behind::Machine(_) => shell.state_machine.set_address(door, at.to_string()),
             Behind::List => lists[planner] = at.to_string(),
             Behind::Books(other) => members[planner].push((format!("planner-{}", other + 1), at.to_string())),
         }
@@ -163,10 +163,10 @@
     for (n, (list, mut members)) in lists.into_iter().zip(members).enumerate() {
         let listen = free_port()?;
         let name = format!("planner-{}", n + 1);
-        shell.name(name.clone(), listen);
+        shell.set_address(name.clone(), listen);
         if day.books.is_some() {
             let books = free_port()?;
-            shell.name(format!("books-{}", n + 1), books);
+            shell.set_address(format!("books-{}", n + 1), books);
             members.push((name.clone(), books.to_string()));
         }
         let file = |end: &str| folder.join(format!("{name}.{end}"));
@@ -180,9 +180,9 @@
     }
     let mut looked = 0;
     loop {
-        shell.step(Duration::from_millis(20)).map_err(|e| format!("poll: {e}"))?;
+        shell.run_once(Duration::from_millis(20)).map_err(|e| format!("poll: {e}"))?;
         let now = shell.now();
-        while let Some(deed) = shell.party.next_deed() {
+        while let Some(deed) = shell.state_machine.next_deed() {
             match deed {
                 PlannerDeed::Start(n) => {
                     planners[n].process.set_program(programs(n, now));
@@ -196,7 +196,7 @@
                 PlannerDeed::Continue(n) => planners[n].process.signal(Signal::CONT),
                 PlannerDeed::Store(n, fate) => planners[n].told.change_store(fate)?,
                 PlannerDeed::Order(n, place) => {
-                    let line = shell.party.order(place).to_owned();
+                    let line = shell.state_machine.order(place).to_owned();
                     planners[n].give_order(&line)?;
                 }
                 PlannerDeed::Clock(n, ahead) => {
@@ -207,7 +207,7 @@
                 PlannerDeed::DiskFull(..) => {}
             }
             let now = shell.now();
-            shell.party.did(now, deed);
+            shell.state_machine.did(now, deed);
         }
         for (n, planner) in planners.iter_mut().enumerate() {
             if let Some(status) = planner.process.ended() {
@@ -217,15 +217,15 @@
         }
         if now.nanos() / 200_000_000 > looked {
             looked = now.nanos() / 200_000_000;
-            watch(now, &shell.party.progress());
+            watch(now, &shell.state_machine.progress());
         }
-        if shell.party.is_over(now) {
+        if shell.state_machine.is_over(now) {
             break;
         }
     }
     // The planners end after the record: what they would still say belongs to no day.
     let end = shell.now();
-    let (score, mut out) = shell.party.finish(end).map_err(|e| words(capture, e))?;
+    let (score, mut out) = shell.state_machine.finish(end).map_err(|e| words(capture, e))?;
     out.flush().map_err(|e| words(capture, e))?;
     let mut usage = Usage::default();
     // They say in their logs what they did, unless they are stopped.
--- a/crates/load-test/src/town.rs
+++ b/crates/load-test/src/town.rs
@@ -44,10 +44,10 @@
             EventLoop::new(Stage::new(day.clone(), std::io::sink())).map_err(|e| format!("poll: {e}"))?;
         let any = SocketAddr::from((Ipv4Addr::LOCALHOST, 0));
         let mut lists = vec![String::new(); day.planners];
-        for (door, planner, behind) in shell.party.doors() {
+        for (door, planner, behind) in shell.state_machine.doors() {
             let at = shell.listen(any, door).map_err(|e| format!("a machine's listener: {e}"))?;
             match behind {
-                Behind::Machine(_) => shell.party.set_address(door, at.to_string()),
+                Behind::Machine(_) => shell.state_machine.set_address(door, at.to_string()),
                 Behind::List => lists[planner] = at.to_string(),
                 Behind::Books(_) => {}
             }
@@ -56,14 +56,14 @@
         let told = over.clone();
         let thread = std::thread::spawn(move || {
             while !told.load(Ordering::Relaxed) {
-                if shell.step(StdDuration::from_millis(20)).is_err() {
+                if shell.run_once(StdDuration::from_millis(20)).is_err() {
                     return;
                 }
-                while let Some(deed) = shell.party.next_deed() {
+                while let Some(deed) = shell.state_machine.next_deed() {
                     // Planners are started by the campaign; the town only believes it.
                     let now = shell.now();
                     if matches!(deed, PlannerDeed::Start(_)) {
-                        shell.party.did(now, deed);
+                        shell.state_machine.did(now, deed);
                     }
                 }
             }
--- a/crates/planner/src/lib.rs
+++ b/crates/planner/src/lib.rs
@@ -1,15 +1,26 @@
-//! The daemon that plans: its settings file, and the engine behind real sockets.
+//! The scheduler daemon: reads its settings and runs the scheduler's engine on real sockets.
 //!
-//! For: reading `mulleinhub-planner`'s settings and running the engine with them.
-//! May not touch: what the engine does with what it hears.
+//! Two modes: [`run`] with a settings file of this project, and [`run_on_platform`] on the platform, which
+//! configures the process by environment variables and a JSON file.
+//!
+//! Out of scope: how the engine or the platform adapter handles messages.
+
+#![warn(missing_docs)]
 
-mod books;
-mod conf;
 mod daemon;
+mod error;
+mod http;
+mod logging;
 mod metrics;
 mod platform;
+mod scheduler;
+mod settings;
+mod state_dir;
 
-pub use books::{BooksConf, parse_orders};
-pub use conf::{BooksText, Conf, ConfText, LogFormat, conf_of_text, parse_conf, read_conf};
 pub use daemon::run;
+pub use error::PlannerError;
 pub use platform::run as run_on_platform;
+pub use settings::{
+    LedgerSettings, LedgerText, LogFormat, PlannerSettings, SettingsText, parse_operator_directives,
+    parse_settings, parse_settings_text, read_settings,
+};
--- a/crates/planner/src/main.rs
+++ b/crates/planner/src/main.rs
@@ -1,23 +1,33 @@
-//! `mulleinhub-planner SETTINGS`: the daemon that plans; `mulleinhub-planner platform`: the same scheduler on
-//! the platform, which tells its settings by the environment.
+//! `mulleinhub-planner SETTINGS` runs the scheduler daemon; `mulleinhub-planner platform` runs the same scheduler
+//! on the platform, which configures it by environment variables.
+//!
+//! Exit status: 0 after an orderly shutdown, 2 for wrong usage, invalid settings or a failed start.
 
+use mulleinhub_planner::PlannerError;
 use std::process::ExitCode;
 
+const EXIT_FAILURE: u8 = 2;
+
 fn main() -> ExitCode {
     let Some(settings) = std::env::args_os().nth(1) else {
         eprintln!("usage: mulleinhub-planner SETTINGS | platform");
-        return ExitCode::from(2);
+        return ExitCode::from(EXIT_FAILURE);
     };
-    let ran = if settings == "platform" {
+    let result = if settings == "platform" {
         mulleinhub_planner::run_on_platform()
     } else {
         mulleinhub_planner::run(std::path::Path::new(&settings))
     };
-    match ran {
+    match result {
         Ok(()) => ExitCode::SUCCESS,
-        Err(words) => {
-            eprint!("{}", if words.ends_with('\n') { words } else { format!("error: {words}\n") });
-            ExitCode::from(2)
+        // The report has its own prefix on each line.
+        Err(PlannerError::InvalidSettings { report }) => {
+            eprint!("{report}");
+            ExitCode::from(EXIT_FAILURE)
+        }
+        Err(error) => {
+            eprintln!("error: {error}");
+            ExitCode::from(EXIT_FAILURE)
         }
     }
 }
--- a/crates/planner/src/platform.rs
+++ b/crates/planner/src/platform.rs
@@ -1,8 +1,10 @@
-//! The scheduler on the platform: its configuration file, signals, logs, and the party behind real sockets.
+//! The scheduler on the platform: configured by environment variables and a JSON file, reloaded on SIGHUP,
+//! drained and stopped on SIGTERM. Runs in the main thread and owns the event loop.
 
-use crate::LogFormat;
-use crate::daemon::start_log;
-use mulleinhub_event_loop::{EventLoop, Step, span};
+use crate::error::{Operation, PlannerError};
+use crate::logging::start_logging;
+use crate::settings::LogFormat;
+use mulleinhub_event_loop::{EventLoop, IterationOutcome, descriptor_limit, duration_from_std};
 use mulleinhub_interface::Timestamp;
 use mulleinhub_platform::{Conf, Platform};
 use mulleinhub_sans_io::ListenerId;
@@ -12,81 +14,137 @@
 use std::path::{Path, PathBuf};
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-const OWNERS: ListenerId = ListenerId(0);
-/// At the end, owners have so long to take their last answers.
-const LAST_WORDS: Duration = Duration::from_millis(150);
-/// The shell wakes by itself for whatever is due; this bounds the wait for an end that nothing tells of.
-const AT_MOST: Duration = Duration::from_millis(100);
-/// A start waits so long for its address, and looks so often.
-const ADDRESS_WITHIN: Duration = Duration::from_secs(5);
-const ADDRESS_AGAIN: Duration = Duration::from_millis(20);
+/// Environment variable with the path of the configuration file.
+const CONFIG_VARIABLE: &str = "LB_CONFIG";
+/// Environment variable with the address to listen at; without it, the configuration's address counts.
+const LISTEN_VARIABLE: &str = "LB_LISTEN";
+/// The listener for clients.
+const CLIENT_LISTENER: ListenerId = ListenerId(0);
+/// How long clients have to read their last answers at the shutdown.
+const SHUTDOWN_TIMEOUT: Duration = Duration::from_millis(150);
+/// Longest wait of one iteration. The event loop wakes for whatever is due; this bounds the wait for a shutdown
+/// that no event announces.
+const MAX_WAIT: Duration = Duration::from_millis(100);
+/// How long a start waits for its address, and how often it retries.
+const BIND_TIMEOUT: Duration = Duration::from_secs(5);
+const BIND_RETRY_INTERVAL: Duration = Duration::from_millis(20);
 
-fn read(path: &Path) -> Result<Conf, String> {
-    let words = |what: String| format!("{}: {what}", path.display());
-    let text = std::fs::read_to_string(path).map_err(|e| words(e.to_string()))?;
-    Conf::read(&text).map_err(words)
+/// Runs the scheduler until SIGTERM or SIGINT has stopped it.
+///
+/// # Errors
+/// If the environment or the configuration is invalid, or the system refuses what the scheduler needs.
+pub fn run() -> Result<(), PlannerError> {
+    let path = std::env::var_os(CONFIG_VARIABLE).map(PathBuf::from);
+    let path = path.ok_or(PlannerError::MissingVariable { name: CONFIG_VARIABLE })?;
+    let mut configuration = read_configuration(&path)?;
+    // The system's limit counts where it is below the configured one.
+    configuration.descriptors =
+        descriptor_limit().map_or(configuration.descriptors, |limit| limit.min(configuration.descriptors));
+    let listen = listen_address(&configuration)?;
+    start_logging(LogFormat::Text);
+    tracing::info!(name = configuration.name, %listen, "starting");
+    PlatformDaemon::start(path, configuration, listen)?.serve()
 }
 
-/// Listens there; waits for an address that the life before this one may still hold, as it ends.
-fn listen_once_free(shell: &mut EventLoop<Platform>, at: SocketAddr) -> std::io::Result<()> {
-    let until = Instant::now() + ADDRESS_WITHIN;
-    loop {
-        match shell.listen(at, OWNERS) {
-            Err(error) if error.kind() == ErrorKind::AddrInUse && Instant::now() < until => {
-                std::thread::sleep(ADDRESS_AGAIN);
+fn read_configuration(path: &Path) -> Result<Conf, PlannerError> {
+    let text = std::fs::read_to_string(path).map_err(PlannerError::file(path))?;
+    Conf::read(&text).map_err(|reason| PlannerError::InvalidConfiguration {
+        path: path.to_owned(),
+        reason: reason.to_string(),
+    })
+}
+
+fn listen_address(configuration: &Conf) -> Result<SocketAddr, PlannerError> {
+    let value = std::env::var(LISTEN_VARIABLE).unwrap_or_else(|_| configuration.listen.clone());
+    value.parse().map_err(|_| PlannerError::InvalidAddress { variable: LISTEN_VARIABLE, value })
+}
+
+/// Time since the Unix epoch, from which the scheduler's clock counts.
+fn unix_time() -> Timestamp {
+    let since_epoch = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or(Duration::ZERO);
+    Timestamp::default() + duration_from_std(since_epoch)
+}
+
+/// A scheduler that runs on the platform.
+struct PlatformDaemon {
+    event_loop: EventLoop<Platform>,
+    configuration_path: PathBuf,
+}
+
+impl PlatformDaemon {
+    fn start(
+        configuration_path: PathBuf,
+        configuration: Conf,
+        listen: SocketAddr,
+    ) -> Result<Self, PlannerError> {
+        let origin = unix_time();
+        let mut event_loop = EventLoop::new(Platform::new(configuration))
+            .map_err(PlannerError::system(Operation::Poll))?
+            .with_origin(origin);
+        event_loop
+            .handle_signals(&[SIGHUP, SIGTERM, SIGINT])
+            .map_err(PlannerError::system(Operation::HandleSignals))?;
+        listen_when_free(&mut event_loop, listen).map_err(PlannerError::system(Operation::Listen(listen)))?;
+        Ok(Self { event_loop, configuration_path })
+    }
+
+    fn serve(mut self) -> Result<(), PlannerError> {
+        // It stops only if a second iteration, without waiting, finds nothing new either.
+        let mut was_done = false;
+        loop {
+            let wait = if was_done { Duration::ZERO } else { MAX_WAIT };
+            let outcome = self.event_loop.run_once(wait).map_err(PlannerError::system(Operation::Poll))?;
+            let now = self.event_loop.now();
+            match outcome {
+                IterationOutcome::Signal(SIGHUP) => self.reload(now),
+                IterationOutcome::Signal(_) => self.start_draining(now),
+                IterationOutcome::Completed => {}
+            }
+            let done = outcome == IterationOutcome::Completed && self.is_done(now);
+            if done && was_done {
+                self.stop();
+                return Ok(());
             }
-            done => return done.map(drop),
+            was_done = done;
         }
     }
+
+    /// Reads the configuration again; an invalid one leaves the current one in force.
+    fn reload(&mut self, now: Timestamp) {
+        match read_configuration(&self.configuration_path) {
+            Ok(configuration) => {
+                tracing::info!(bulletin = configuration.bulletin, "configuration reloaded");
+                self.event_loop.state_machine.reload(now, configuration);
+            }
+            Err(error) => tracing::error!(%error, "configuration is invalid; keeping the current one"),
+        }
+    }
+
+    fn start_draining(&mut self, now: Timestamp) {
+        tracing::info!("draining: health checks fail from now on");
+        self.event_loop.state_machine.wind_down(now);
+    }
+
+    /// Whether draining is complete and no input is left over.
+    fn is_done(&mut self, now: Timestamp) -> bool {
+        self.event_loop.state_machine.is_done(now) && self.event_loop.is_idle()
+    }
+
+    fn stop(&mut self) {
+        self.event_loop.shutdown(SHUTDOWN_TIMEOUT);
+        tracing::info!(counts = ?self.event_loop.state_machine.counts(), "stopped");
+    }
 }
 
-/// Serves until it is told to end.
-///
-/// # Errors
-/// What of the environment or the configuration can't be read, or what the system refuses, in words.
-pub fn run() -> Result<(), String> {
-    let path = std::env::var_os("LB_CONFIG").map(PathBuf::from).ok_or("LB_CONFIG is not set")?;
-    let mut conf = read(&path)?;
-    // What the system allows binds, where it is less than was told.
-    conf.descriptors =
-        mulleinhub_event_loop::descriptors().map_or(conf.descriptors, |most| most.min(conf.descriptors));
-    let listen = std::env::var("LB_LISTEN").unwrap_or_else(|_| conf.listen.clone());
-    let listen = listen.parse().map_err(|_| format!("LB_LISTEN: {listen:?} is no address and port"))?;
-    start_log(LogFormat::Text);
-    tracing::info!(name = conf.name, %listen, "starting");
-    let since = SystemTime::now().duration_since(UNIX_EPOCH).map_or(Duration::ZERO, |since| since);
-    let origin = Timestamp::default() + span(since);
-    let words = |what: &'static str| move |error: std::io::Error| format!("{what}: {error}");
-    let shell = EventLoop::new(Platform::new(conf)).map_err(words("no poll"))?;
-    let mut shell = shell.from_origin(origin);
-    shell.handle_signals(&[SIGHUP, SIGTERM, SIGINT]).map_err(words("no signals"))?;
-    listen_once_free(&mut shell, listen).map_err(words("listen"))?;
-    // It is done only if a second look, without waiting, finds nothing new either.
-    let mut was_done = false;
+/// Listens there; waits for an address that the previous process may still hold while it stops.
+fn listen_when_free(event_loop: &mut EventLoop<Platform>, address: SocketAddr) -> std::io::Result<()> {
+    let deadline = Instant::now() + BIND_TIMEOUT;
     loop {
-        let wait = if was_done { Duration::ZERO } else { AT_MOST };
-        let step = shell.step(wait).map_err(words("the poll failed"))?;
-        let now = shell.now();
-        match step {
-            Step::Signal(SIGHUP) => match read(&path) {
-                Ok(conf) => {
-                    tracing::info!(bulletin = conf.bulletin, "the configuration was read again");
-                    shell.party.reload(now, conf);
-                }
-                Err(fault) => tracing::error!(fault, "the configuration is faulty; the old one stays"),
-            },
-            Step::Signal(_) => {
-                tracing::info!("ending: tests fail from now on");
-                shell.party.wind_down(now);
+        match event_loop.listen(address, CLIENT_LISTENER) {
+            Err(error) if error.kind() == ErrorKind::AddrInUse && Instant::now() < deadline => {
+                std::thread::sleep(BIND_RETRY_INTERVAL);
             }
-            Step::Went => {}
-        }
-        let done = step == Step::Went && shell.party.is_done(now) && shell.is_quiet();
-        if done && was_done {
-            shell.finish(LAST_WORDS);
-            tracing::info!(counts = ?shell.party.counts(), "ended");
-            return Ok(());
+            result => return result.map(drop),
         }
-        was_done = done;
     }
 }
--- /dev/null
+++ b/crates/planner/src/settings.rs
@@ -0,0 +1,318 @@
+//! The planner's settings file: reading it, with all faults reported by place.
+
+mod directives;
+mod ledger;
+mod text;
+
+pub use directives::parse_operator_directives;
+pub use ledger::LedgerSettings;
+pub use text::{LedgerText, SettingsText};
+
+use crate::error::PlannerError;
+use mulleinhub_engine::Settings;
+use mulleinhub_interface::{AcceptanceRules, Discovery, Duration, LocalityCosts, SlowStart, UseCase, ZoneId};
+use mulleinhub_limits::Settings as ClientLimits;
+use mulleinhub_settings::{Bytes, Directive, Faults, Name, Place, Scope, parse, parse_text};
+use mulleinhub_workload_settings::{Kind, Rules, read_case, read_kind, read_rules};
+use std::net::SocketAddr;
+use std::path::{Path, PathBuf};
+
+const NANOS_PER_MILLI: u64 = 1_000_000;
+/// File name in the faults of settings that are in no file.
+const UNNAMED_FILE: &str = "planner.conf";
+
+/// Format of the log.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum LogFormat {
+    /// Plain text, a line an event.
+    Text,
+    /// A JSON object a line.
+    Json,
+}
+
+/// All settings of a planner.
+#[derive(Clone, Debug)]
+pub struct PlannerSettings {
+    /// Settings of the engine.
+    pub engine: Settings,
+    /// Address for clients; `None` in virtual time.
+    pub listen: Option<SocketAddr>,
+    /// Other processes listen at the same port, and the system distributes the connections.
+    pub shared_port: bool,
+    /// Address of the HTTP endpoint.
+    pub metrics: Option<SocketAddr>,
+    /// Directory of the cached endpoint list and the ledger; `None` keeps neither.
+    pub state_dir: Option<PathBuf>,
+    /// Format of the log.
+    pub log_format: LogFormat,
+    /// The ledger that is shared with other planners; `None` keeps none.
+    pub ledger: Option<LedgerSettings>,
+}
+
+/// Reads a settings file.
+///
+/// # Errors
+/// If the file can't be read, or has faults.
+pub fn read_settings(path: &Path) -> Result<PlannerSettings, PlannerError> {
+    let mut faults = Faults::default();
+    let directives = parse(path, &mut faults).map_err(PlannerError::file(path))?;
+    settings_or_faults(&directives, faults)
+}
+
+/// Reads settings from a text that is in no file.
+///
+/// # Errors
+/// If the text has faults.
+pub fn parse_settings_text(text: &str) -> Result<PlannerSettings, PlannerError> {
+    let mut faults = Faults::default();
+    let directives = parse_text(UNNAMED_FILE, text, &mut faults);
+    settings_or_faults(&directives, faults)
+}
+
+fn settings_or_faults(directives: &[Directive], mut faults: Faults) -> Result<PlannerSettings, PlannerError> {
+    parse_settings(directives, &mut faults)
+        .ok_or_else(|| PlannerError::InvalidSettings { report: faults.render() })
+}
+
+/// Reads a planner's settings from parsed directives. Returns `None` if there are faults, which are added to
+/// `faults`.
+pub fn parse_settings(directives: &[Directive], faults: &mut Faults) -> Option<PlannerSettings> {
+    let file_start = Place { file: 0, bytes: 0..0 };
+    let mut scope = Scope::new(directives, file_start.clone());
+    let identity = Identity::read(&mut scope, faults);
+    let listen = loopback_address(&mut scope, "listen", faults);
+    let shared_port = scope.or("listen-shared", false, faults);
+    let metrics = loopback_address(&mut scope, "metrics", faults);
+    let list_address = scope.must::<String>("list", faults);
+    let state_dir = scope.maybe::<String>("state-dir", faults).map(PathBuf::from);
+    let log_format = read_log_format(&mut scope, &file_start, faults);
+    let poll_for_list = scope.or("list-must-be-asked", false, faults);
+    let rules = read_rules(scope.once("rules", faults), faults);
+    let workload = Workload::read(&mut scope, &file_start, faults);
+    let acceptance = read_acceptance_rules(&mut scope, &rules, faults);
+    let costs = read_locality_costs(&mut scope, identity.zone, faults);
+    let connections = ConnectionSettings::read(&mut scope, faults);
+    let clients = read_client_limits(&mut scope, faults);
+    let name = identity.name.as_ref().map_or("", |name| name.0.as_str());
+    let ledger = scope.once("books", faults).and_then(|directive| ledger::read(directive, name, faults));
+    if ledger.as_ref().is_some_and(|ledger| ledger.listen.is_some()) && state_dir.is_none() {
+        faults.add(&file_start, "books are kept in the state directory: state-dir is missing");
+    }
+    scope.finish(faults);
+    connections.check(&file_start, faults);
+    identity.check(&file_start, faults);
+    let slow_start = identity.slow_start(&rules);
+    let engine = Settings {
+        name: identity.name?.0,
+        seed: identity.seed,
+        use_cases: workload.use_cases,
+        kinds: workload.kinds.iter().map(|kind| kind.size).collect(),
+        taking: acceptance,
+        cold: slow_start,
+        listing: Discovery { asked: poll_for_list, ask_within: rules.ask_within },
+        home: costs,
+        list_address: list_address?,
+        reconnect: connections.reconnect,
+        lost_after: connections.lost_after,
+        silence: connections.silence,
+        remember: connections.remember,
+        start_wait: connections.start_wait,
+        clients,
+        most_in_hand: connections.max_in_flight,
+        most_unwritten: connections.max_unsent_bytes,
+    };
+    let settings = PlannerSettings { engine, listen, shared_port, metrics, state_dir, log_format, ledger };
+    faults.is_empty().then_some(settings)
+}
+
+/// Who this planner is among the schedulers.
+struct Identity {
+    name: Option<Name>,
+    /// Its number, from 0.
+    number: u32,
+    schedulers: u32,
+    seed: u64,
+    zone: u32,
+}
+
+impl Identity {
+    fn read(scope: &mut Scope<'_>, faults: &mut Faults) -> Self {
+        Self {
+            name: scope.must::<Name>("name", faults),
+            number: scope.or("number", 0, faults),
+            schedulers: scope.or("schedulers", 1, faults),
+            seed: scope.or("seed", 1, faults),
+            zone: scope.or("hall", 0, faults),
+        }
+    }
+
+    fn check(&self, place: &Place, faults: &mut Faults) {
+        let Self { number, schedulers, .. } = self;
+        if number >= schedulers {
+            faults.add(place, format!("number {number} of {schedulers} schedulers: numbers count from 0"));
+        }
+    }
+
+    fn slow_start(&self, rules: &Rules) -> SlowStart {
+        SlowStart {
+            warm_after: rules.warm_after,
+            fall: rules.fall,
+            young_limit: f64::from(rules.young_limit),
+            schedulers: self.schedulers,
+            number: self.number,
+        }
+    }
+}
+
+/// Kinds of machines, and use cases that run on them.
+struct Workload {
+    kinds: Vec<Kind>,
+    use_cases: Vec<UseCase>,
+}
+
+impl Workload {
+    fn read(scope: &mut Scope<'_>, file_start: &Place, faults: &mut Faults) -> Self {
+        let kinds: Vec<Kind> =
+            scope.each("kind").into_iter().filter_map(|kind| read_kind(kind, faults)).collect();
+        let mut use_cases = Vec::new();
+        let mut any = false;
+        for directive in scope.each("use-case") {
+            let mut block = Scope::of(directive);
+            let use_case = read_case(directive, &mut block, faults);
+            block.finish(faults);
+            let Some(use_case) = use_case else { continue };
+            any = true;
+            match use_case.for_module(&kinds) {
+                Some(use_case) => use_cases.push(use_case),
+                None => faults.add(&directive.place, "its kind of machine is not among the kinds"),
+            }
+        }
+        if !any {
+            faults.add(file_start, "a use case is missing: use-case NAME { ... }");
+        }
+        Self { kinds, use_cases }
+    }
+}
+
+/// The `links` block: limits on connections to machines, the list service and clients.
+struct ConnectionSettings {
+    reconnect: Duration,
+    lost_after: Duration,
+    silence: Duration,
+    remember: Duration,
+    start_wait: Duration,
+    max_in_flight: usize,
+    max_unsent_bytes: usize,
+}
+
+impl ConnectionSettings {
+    fn read(scope: &mut Scope<'_>, faults: &mut Faults) -> Self {
+        let millis = |millis: u64| Duration::from_nanos(millis * NANOS_PER_MILLI);
+        let mut block = optional_block(scope, "links", faults);
+        let settings = Self {
+            reconnect: block.or("reconnect", millis(200), faults),
+            lost_after: block.or("lost-after", millis(2_000), faults),
+            silence: block.or("silence", millis(2_000), faults),
+            remember: block.or("remember", Duration::from_secs(60), faults),
+            start_wait: block.or("start-wait", millis(1_000), faults),
+            max_in_flight: block.or("most-in-hand", 20_000, faults),
+            max_unsent_bytes: block.or("most-unwritten", Bytes(4 << 20), faults).0 as usize,
+        };
+        block.finish(faults);
+        settings
+    }
+
+    fn check(&self, place: &Place, faults: &mut Faults) {
+        let durations =
+            [("reconnect", self.reconnect), ("silence", self.silence), ("remember", self.remember)];
+        for (name, duration) in durations {
+            if duration == Duration::ZERO {
+                faults.add(place, format!("links: {name} must be more than no time"));
+            }
+        }
+    }
+}
+
+fn read_acceptance_rules(scope: &mut Scope<'_>, rules: &Rules, faults: &mut Faults) -> AcceptanceRules {
+    let mut block = optional_block(scope, "taking", faults);
+    let acceptance = AcceptanceRules {
+        cores: block.or("accepts-cores", 1.0, faults),
+        memory: block.or("accepts-memory", 1.0, faults),
+        yes_when_running: block.or("yes-when-running", false, faults),
+        max_sends: rules.most_sends,
+        tells_pressure: block.or("tells-pressure", true, faults),
+        recalls: block.or("recalls", true, faults),
+    };
+    block.finish(faults);
+    acceptance
+}
+
+fn read_locality_costs(scope: &mut Scope<'_>, zone: u32, faults: &mut Faults) -> LocalityCosts {
+    let mut block = optional_block(scope, "prices", faults);
+    let costs = LocalityCosts {
+        zone: ZoneId(zone),
+        cross_zone_price: block.or("cross-hall", 0.0, faults),
+        machine_price: block.or("machine", 0.0, faults),
+    };
+    block.finish(faults);
+    costs
+}
+
+fn read_client_limits(scope: &mut Scope<'_>, faults: &mut Faults) -> ClientLimits {
+    let mut block = optional_block(scope, "clients", faults);
+    let default = ClientLimits::default();
+    let limits = ClientLimits {
+        most: block.or("most", default.most, faults).max(1),
+        most_of_a_tenant: block.or("most-of-a-tenant", default.most_of_a_tenant, faults).max(1),
+        most_of_a_name: block.or("most-of-a-name", default.most_of_a_name, faults).max(1),
+        most_strangers: block.or("most-strangers", default.most_strangers, faults).max(1),
+        opens_a_turn: block.or("opens-a-turn", default.opens_a_turn, faults).max(1),
+        greet_within: block.or("greet-within", default.greet_within, faults),
+        frame_within: block.or("frame-within", default.frame_within, faults),
+        idle_after: block.or("idle-after", default.idle_after, faults),
+        sign_within: block.or("sign-within", default.sign_within, faults),
+        steady_for: block.or("steady-for", default.steady_for, faults),
+        may_speak: default.may_speak,
+        woken_a_turn: block.or("woken-a-turn", default.woken_a_turn, faults).max(1),
+    };
+    block.finish(faults);
+    limits
+}
+
+fn read_log_format(scope: &mut Scope<'_>, place: &Place, faults: &mut Faults) -> LogFormat {
+    match scope.maybe::<String>("log", faults).as_deref() {
+        None | Some("text") => LogFormat::Text,
+        Some("json") => LogFormat::Json,
+        Some(other) => {
+            faults.add(place, format!("log {other}: text or json is wanted"));
+            LogFormat::Text
+        }
+    }
+}
+
+/// A loopback address and port; no other addresses are served.
+fn loopback_address(scope: &mut Scope<'_>, name: &'static str, faults: &mut Faults) -> Option<SocketAddr> {
+    let directive = scope.once(name, faults)?;
+    let argument = directive.args.first();
+    let place = argument.map_or(&directive.place, |argument| &argument.place).clone();
+    match argument.and_then(|argument| argument.text.parse::<SocketAddr>().ok()) {
+        Some(address) if address.ip().is_loopback() => Some(address),
+        Some(_) => {
+            faults.add(&place, format!("{name}: only loopback addresses are served"));
+            None
+        }
+        None => {
+            faults.add(&place, format!("{name}: an address and port is wanted, as 127.0.0.1:7000"));
+            None
+        }
+    }
+}
+
+/// A block that may be left out; it is empty then, and all its directives have their defaults.
+fn optional_block<'a>(scope: &mut Scope<'a>, name: &'static str, faults: &mut Faults) -> Scope<'a> {
+    let empty = Scope::new(&[], Place { file: 0, bytes: 0..0 });
+    scope.once(name, faults).map_or(empty, Scope::of)
+}
+
+#[cfg(test)]
+mod tests;
--- a/crates/planner/tests/crossings.rs
+++ b/crates/planner/tests/crossings.rs
@@ -248,7 +248,7 @@
     again.write_all(&[two, three].concat()).expect("is sent");
     // The first machine drains: all goes to the second.
     let mut client = program.owner();
-    program.wait_for("Leaving");
+    program.wait_for("Draining");
     let mut ways = Vec::new();
     for task in 1..=5 {
         client.write_all(&set_up(task)).expect("is sent");
@@ -486,7 +486,7 @@
         program.signal(signal);
     }
     program.thaw();
-    program.wait_for("tests fail from now on");
+    program.wait_for("health checks fail from now on");
     program.signal(Signal::TERM);
     half.write_all(&set_up(1)[40..]).expect("is sent");
     for (task, owner) in (100..).zip(&mut backlog) {
@@ -518,7 +518,7 @@
     owner.write_all(&unusable).expect("is sent");
     turns(&program, 100);
     program.signal(Signal::TERM);
-    program.wait_for("tests fail from now on");
+    program.wait_for("health checks fail from now on");
     for task in 1..=2_000 {
         assert_eq!(next(&mut owner), (kind::RELEASE, task, Some(why::ERROR)));
     }
--- a/crates/planner/tests/daemon.rs
+++ b/crates/planner/tests/daemon.rs
@@ -219,7 +219,7 @@
     client.asks(1);
     assert_eq!(client.hears(), "Taken { task: 1 }");
     daemon.signal(Signal::TERM);
-    assert!(daemon.logs("nothing new is taken"));
+    assert!(daemon.logs("no new tasks are accepted"));
     client.asks(2);
     assert_eq!(client.hears(), "Nacked { task: 2, stay_away: 0 }");
     assert_eq!(client.hears(), "Nacked { task: 1, stay_away: 0 }", "no machine is known");
@@ -232,14 +232,14 @@
     let mut client = Client::meets(daemon.listen);
     std::fs::write(&daemon.settings, "name p1\nlisen 127.0.0.1:1\n").expect("is written");
     daemon.signal(Signal::HUP);
-    assert!(daemon.logs("the old ones stay") && daemon.logs("did you mean listen?"));
+    assert!(daemon.logs("keeping the current ones") && daemon.logs("did you mean listen?"));
     client.asks(1);
     assert_eq!(client.hears(), "Taken { task: 1 }");
     let text = settings(daemon.listen, daemon.metrics, "hall 1\n");
     std::fs::write(&daemon.settings, text).expect("is written");
     daemon.signal(Signal::HUP);
     assert!(
-        daemon.logs("settings read again") && daemon.logs("prices"),
+        daemon.logs("settings reloaded") && daemon.logs("prices"),
         "a hall changes with the next start only"
     );
 }
@@ -311,7 +311,7 @@
     let shared = "listen-shared yes\n";
     let one = Daemon::start_with(listen, shared, 1_000);
     let two = Daemon::start_with(listen, shared, 1_000);
-    assert!(one.logs("up name") && two.logs("up name"));
+    assert!(one.logs("planner started name") && two.logs("planner started name"));
     let clients: Vec<Client> = (0..60).map(|_| Client::meets(listen)).collect();
     let open = |daemon: &Daemon| {
         let mut http = TcpStream::connect(daemon.metrics).expect("listens");
@@ -355,7 +355,7 @@
     let state = format!("state-dir {}\n", folder.path().join("state").display());
     let text = settings_with(listen, metrics, list_service(list_of(10_000)), &state);
     let daemon = Daemon::start_as(listen, metrics, &text, 1_000);
-    assert!(daemon.logs("up name"));
+    assert!(daemon.logs("planner started name"));
     get_until(metrics, "/metrics", "mulleinhub_machines 10000");
     let kept = folder.path().join("state/list");
     let until = Instant::now() + PATIENCE;
@@ -368,6 +368,6 @@
     // The list service is away, and the list is there.
     let text = settings_with(listen, metrics, free(), &state);
     let daemon = Daemon::start_as(listen, metrics, &text, 1_000);
-    assert!(daemon.logs("up name"));
+    assert!(daemon.logs("planner started name"));
     get_until(metrics, "/metrics", "mulleinhub_machines 10000");
 }
--- a/crates/planner/tests/platform.rs
+++ b/crates/planner/tests/platform.rs
@@ -30,7 +30,7 @@
     // A faulty file leaves the old one in force; a good one moves the bulletin.
     std::fs::write(&program.conf, "{\"name\":").expect("is written");
     program.signal(Signal::HUP);
-    program.wait_for("the old one stays");
+    program.wait_for("keeping the current one");
     let moved = listener(4);
     std::fs::write(&program.conf, conf(address(&program.machine), address(&moved))).expect("is written");
     program.signal(Signal::HUP);
@@ -46,7 +46,7 @@
     // The end: tests fail, set-ups are taken a while longer, and it exits with all answered.
     let told = Instant::now();
     program.signal(Signal::TERM);
-    program.wait_for("tests fail from now on");
+    program.wait_for("health checks fail from now on");
     owner.write_all(&written(|out| write_with_cause(out, kind::TEST, 2, 0))).expect("is sent");
     assert_eq!(next(&mut owner), (kind::TESTED, 2, Some(0)));
     owner.write_all(&set_up(8)).expect("is sent");
@@ -83,7 +83,7 @@
         program.signal(signal);
     }
     moved.accept().expect("it goes over to the new address");
-    program.wait_for("tests fail from now on");
+    program.wait_for("health checks fail from now on");
     assert_eq!(program.exit(), Some(0), "{}", program.log());
 }
 
--- a/crates/planner/tests/symptoms.rs
+++ b/crates/planner/tests/symptoms.rs
@@ -52,7 +52,7 @@
     let moved = Discovery::new(32);
     moved.tells(2, &[listed("s-1", first.at, "terminating", 0), listed("s-2", second.at, "in_service", 0)]);
     moves_to(&program, first.at, moved.at);
-    program.wait_for("Leaving");
+    program.wait_for("Draining");
     is_heard(&mut owner);
     let drained = first.set_ups().len();
     // What stands there stands until its machine tells the end, and then the process there is gone.
--- a/crates/scale/src/planners/real_host.rs
+++ b/crates/scale/src/planners/real_host.rs
@@ -61,14 +61,14 @@
     let folder = tempfile::tempdir().map_err(|e| format!("a folder for settings: {e}"))?;
     let mut host = RealHost::new(scenario, folder.path(), program)?;
     host.step_until(scenario.from)?;
-    check_ready(scenario, &host.shell.party, "measuring begins")?;
+    check_ready(scenario, &host.shell.state_machine, "measuring begins")?;
     let before = host.look();
     host.step_until(scenario.until)?;
     let after = host.look();
-    let running = host.shell.party.running();
+    let running = host.shell.state_machine.running();
     host.step_until(scenario.over())?;
-    check_ready(scenario, &host.shell.party, "the run ends")?;
-    let surroundings = &host.shell.party;
+    check_ready(scenario, &host.shell.state_machine, "the run ends")?;
+    let surroundings = &host.shell.state_machine;
     let spent = before.processor.iter().zip(&after.processor);
     Ok(Measured {
         seconds: (after.at - before.at).nanos() as f64 / 1e9,
@@ -92,7 +92,7 @@
         return Err(format!("schedulers: {schedulers} processes, {MOST_PROCESSES} at most"));
     }
     let wanted = workers + workers * schedulers + 2 * schedulers + SPARE_DESCRIPTORS;
-    match mulleinhub_event_loop::descriptors() {
+    match mulleinhub_event_loop::descriptor_limit() {
         Some(most) if wanted > most => Err(format!(
             "{workers} listeners and {schedulers} x {workers} connections want {wanted} descriptors, \
              {most} are allowed"
@@ -116,13 +116,13 @@
         let listening = |e: std::io::Error| format!("a listener: {e}");
         for worker in 0..scenario.workers() {
             let address = shell.listen(any, ListenerId(worker as u32)).map_err(listening)?;
-            shell.party.set_address(worker, &address.to_string());
+            shell.state_machine.set_address(worker, &address.to_string());
         }
         let list = shell.listen(any, LIST_DOOR).map_err(listening)?.to_string();
         let mut processes = Vec::new();
         for number in 0..scenario.schedulers() {
             let listen = free_port(number)?;
-            shell.name(scheduler_name(number), listen);
+            shell.set_address(scheduler_name(number), listen);
             let file = |end: &str| folder.join(format!("{}.{end}", scheduler_name(number)));
             let places = ProcessPlaces { listen, state_dir: &file("state") };
             let text = settings::text(scenario, number, &list, Some(&places));
@@ -138,7 +138,7 @@
     fn step_until(&mut self, until: Timestamp) -> Result<(), String> {
         while self.shell.now() < until {
             let left = Duration::from_nanos((until - self.shell.now()).nanos());
-            self.shell.step(STEP.min(left)).map_err(|e| format!("poll: {e}"))?;
+            self.shell.run_once(STEP.min(left)).map_err(|e| format!("poll: {e}"))?;
             self.do_deeds()?;
             self.note_ready();
             let looks = self.shell.now().nanos() / LOOKS;
@@ -159,7 +159,7 @@
                     process.planner.start()?;
                     process.starting = true;
                     let now = self.shell.now();
-                    self.shell.party.starts(now, number);
+                    self.shell.state_machine.starts(now, number);
                 }
                 Deed::Fail => {
                     process.spent += process.planner.usage().cpu.as_secs_f64();
@@ -171,7 +171,7 @@
     }
 
     fn note_ready(&mut self) {
-        let start_ups = self.shell.party.start_ups().iter();
+        let start_ups = self.shell.state_machine.start_ups().iter();
         for (start_up, process) in start_ups.zip(&mut self.processes) {
             if !start_up.is_ready || !std::mem::take(&mut process.starting) {
                 continue;
@@ -200,7 +200,7 @@
         let spent = self.processes.iter().map(|process| process.spent);
         Look {
             at: self.shell.now(),
-            traffic: self.shell.party.traffic().to_vec(),
+            traffic: self.shell.state_machine.traffic().to_vec(),
             processor: usage
                 .iter()
                 .zip(spent)
--- a/crates/scale/src/planners/virtual_host.rs
+++ b/crates/scale/src/planners/virtual_host.rs
@@ -11,7 +11,7 @@
 use super::traffic::SchedulerTraffic;
 use mulleinhub_engine::{Counts, Engine, Settings as EngineSettings};
 use mulleinhub_interface::{Duration, Timestamp};
-use mulleinhub_planner::conf_of_text;
+use mulleinhub_planner::parse_settings_text;
 use mulleinhub_sans_io::{CloseReason, Command, ConnectionId, Connections, ListenerId, StateMachine};
 use std::cmp::Reverse;
 use std::collections::{BTreeSet, BinaryHeap, VecDeque};
@@ -478,7 +478,7 @@
 
 impl Scheduler {
     fn new(scenario: &Scenario, number: usize) -> Result<Self, String> {
-        let settings = conf_of_text(&settings::text(scenario, number, LIST_ADDRESS, None))?.engine;
+        let settings = parse_settings_text(&settings::text(scenario, number, LIST_ADDRESS, None))?.engine;
         let mut meter = Meter::default();
         let engine = meter.measure(|| Engine::new(settings.clone(), first_life(number), None));
         Ok(Self {
--- a/crates/simulation/src/books.rs
+++ b/crates/simulation/src/books.rs
@@ -3,7 +3,7 @@
 use mulleinhub_engine::Engine;
 use mulleinhub_interface::{Duration, Timestamp};
 use mulleinhub_ledger::{AdmissionHandle, Exchange, SharedPools};
-use mulleinhub_planner::BooksConf;
+use mulleinhub_planner::LedgerSettings;
 use mulleinhub_replicated_log::{Change, Changes, Digest, Kept, KeptLogs, Kind, LogId, Reached};
 use mulleinhub_sans_io::StateMachine;
 use std::collections::{BTreeMap, VecDeque};
@@ -69,7 +69,7 @@
 
 impl Books {
     /// The books of a planner that starts, and the planner's look into them.
-    pub fn start(conf: &BooksConf, begins: u64, life: u64, disk: &Disk) -> (Self, AdmissionHandle) {
+    pub fn start(conf: &LedgerSettings, begins: u64, life: u64, disk: &Disk) -> (Self, AdmissionHandle) {
         let shelf = SharedPools::new(&conf.settings);
         let teller = AdmissionHandle::new(shelf.clone(), &conf.settings);
         let seed =
--- a/crates/simulation/src/lib.rs
+++ b/crates/simulation/src/lib.rs
@@ -13,7 +13,7 @@
 use mulleinhub_baselines::Baseline;
 use mulleinhub_engine::{Counts, Engine};
 use mulleinhub_interface::{Duration, Pcg, Timestamp};
-use mulleinhub_planner::{BooksText, Conf, ConfText, conf_of_text, parse_orders};
+use mulleinhub_planner::{LedgerText, PlannerSettings, SettingsText, parse_settings_text, parse_operator_directives};
 use mulleinhub_sans_io::{CloseReason, Command, ConnectionId, ListenerId, StateMachine};
 use mulleinhub_scenario::{Behind, Day, Fate, PlannerDeed, Score, Stage, list_door};
 use std::collections::{BTreeMap, BTreeSet};
@@ -71,7 +71,7 @@
 pub struct Runner<W: Write> {
     stage: Stage<W>,
     slots: Vec<Slot>,
-    settings: Vec<Conf>,
+    settings: Vec<PlannerSettings>,
     /// The wires: a planner's link and the stage's.
     to_stage: BTreeMap<(Seat, ConnectionId), ConnectionId>,
     to_planner: BTreeMap<ConnectionId, (Seat, ConnectionId)>,
@@ -94,27 +94,27 @@
     listen: Option<std::net::SocketAddr>,
     list: String,
     state_dir: Option<&'a std::path::Path>,
-    books: Option<BooksText<'a>>,
-) -> ConfText<'a> {
-    ConfText {
+    books: Option<LedgerText<'a>>,
+) -> SettingsText<'a> {
+    SettingsText {
         name: format!("planner-{}", planner + 1),
         number: planner,
         schedulers: day.planners,
         seed: day.seed.wrapping_mul(1_000_003).wrapping_add(planner as u64),
-        hall: planner as u32 % day.halls,
+        zone: planner as u32 % day.halls,
         listen,
         list,
         state_dir,
-        asked: day.list.asked,
+        poll_for_list: day.list.asked,
         rules: &day.rules,
         kinds: &day.kinds,
-        cases: day.cases.iter().map(|case| &case.case).collect(),
+        use_cases: day.cases.iter().map(|case| &case.case).collect(),
         accepts: (day.machine.accepts_cores, day.machine.accepts_memory),
-        yes_when_running: day.machine.yes_when_running,
-        tells_pressure: day.machine.tells_pressure,
+        accepts_when_running: day.machine.yes_when_running,
+        reports_pressure: day.machine.tells_pressure,
         prices: (day.machine_price, day.cross_hall_price),
-        most_in_hand: day.most_in_hand,
-        books,
+        max_in_flight: day.most_in_hand,
+        ledger: books,
     }
 }
 
@@ -137,14 +137,14 @@
         let settings = (0..day.planners)
             .map(|planner| {
                 let list = format!("door:{}", list_door(planner).0);
-                let books = day.books.as_ref().map(|books| BooksText {
+                let books = day.books.as_ref().map(|books| LedgerText {
                     terms: &books.terms,
                     members: members_of(planner),
-                    orders: None,
-                    ahead: 0,
+                    directives_file: None,
+                    clock_ahead_ms: 0,
                 });
-                let text = planner_text(&day, planner, None, list, None, books).show();
-                conf_of_text(&text).unwrap_or_else(|faults| panic!("{faults}"))
+                let text = planner_text(&day, planner, None, list, None, books).render();
+                parse_settings_text(&text).unwrap_or_else(|faults| panic!("{faults}"))
             })
             .collect();
         let slots = (0..day.planners).map(|_| Slot::default()).collect();
@@ -264,7 +264,7 @@
                 let conf = &self.settings[planner];
                 let (settings, kept) = (conf.engine.clone(), slot.kept.clone());
                 let started =
-                    conf.books.as_ref().map(|books| Books::start(books, self.begins, life, &slot.disk));
+                    conf.ledger.as_ref().map(|books| Books::start(books, self.begins, life, &slot.disk));
                 let (books, teller) = started.unzip();
                 slot.books = books;
                 let engine = match self.baseline {
@@ -351,7 +351,7 @@
     fn give_orders(&mut self, planner: usize) {
         let slot = &mut self.slots[planner];
         if let Some(books) = &mut slot.books {
-            let orders = parse_orders("orders", &slot.orders).unwrap_or_else(|faults| panic!("{faults}"));
+            let orders = parse_operator_directives("orders", &slot.orders).unwrap_or_else(|faults| panic!("{faults}"));
             books.exchange.order(&orders);
             books.told = true;
         }
