--- a/crates/limits/src/admission.rs
+++ b/crates/limits/src/admission.rs
@@ -1,17 +1,17 @@
 //! Admission of task requests while the number of tasks in flight is bounded, and the `Retry-After` of those
 //! that are rejected.
 //!
-//! Seen: a job of ten thousand tasks requested at one moment took all places; every other service was rejected
-//! without a time to retry after, retried within seconds together with the ten thousand, and so on for as long
-//! as the burst lasted.
+//! Seen: a job of ten thousand tasks requested at one moment took all places; every other service was
+//! rejected without a time to retry after, retried within seconds together with the ten thousand, and so on
+//! for as long as the burst lasted.
 
 use mulleinhub_interface::{Duration, Timestamp};
 use std::collections::BTreeMap;
 
 /// Below this part of the capacity every request is admitted.
 const FREE_PART: f64 = 0.5;
-/// Above this part only services below an equal share are admitted, with one share reserved for a service that
-/// has none yet. One half was tried: a lone burst then drained at half the speed.
+/// Above this part only services below an equal share are admitted, with one share reserved for a service
+/// that has none yet. One half was tried: a lone burst then drained at half the speed.
 const RESERVED_ABOVE: f64 = 0.875;
 /// The shortest time after which a rejected request is to be retried.
 const MIN_RETRY_AFTER: Duration = Duration::from_nanos(100_000_000);
@@ -23,8 +23,8 @@
 const RATE_WEIGHT: f64 = 0.5;
 /// Before the first completion, all capacity is assumed to be freed within this time.
 const ASSUMED_DRAIN_TIME: Duration = Duration::from_secs(1);
-/// Retries per place that becomes free: a retry that comes too early is rejected again at little cost, one that
-/// comes too late leaves a place unused.
+/// Retries per place that becomes free: a retry that comes too early is rejected again at little cost, one
+/// that comes too late leaves a place unused.
 const RETRIES_PER_PLACE: f64 = 2.0;
 const NANOS_PER_SECOND: f64 = 1e9;
 
@@ -71,8 +71,8 @@
     /// Admits a task of this service, or rejects it.
     ///
     /// # Errors
-    /// The time after which to retry. Requests rejected one after the other are called back one after the other,
-    /// at the rate at which places become free, so that they don't retry in step.
+    /// The time after which to retry. Requests rejected one after the other are called back one after the
+    /// other, at the rate at which places become free, so that they don't retry in step.
     pub fn try_admit(&mut self, now: Timestamp, service: u64) -> Result<(), Duration> {
         let of_service = self.services.get(&service).copied().unwrap_or(0);
         let below = |part: f64| (self.in_flight as f64) < self.capacity as f64 * part;
@@ -101,8 +101,8 @@
         self.promised_until - now
     }
 
-    /// The places that one service may have while they are scarce: an equal share among the services that have
-    /// any, this one and `reserved` more.
+    /// The places that one service may have while they are scarce: an equal share among the services that
+    /// have any, this one and `reserved` more.
     fn fair_share(&self, service: u64, reserved: usize) -> usize {
         let shares = self.services.len() + usize::from(!self.services.contains_key(&service)) + reserved;
         (self.capacity / shares).max(1)
--- a/crates/limits/src/connection.rs
+++ b/crates/limits/src/connection.rs
@@ -34,6 +34,7 @@
 }
 
 impl Connection {
+    /// A connection opened now, whose wheel entry is at `deadline`.
     pub fn new(now: Timestamp, deadline: Timestamp) -> Self {
         Self {
             name: None,
--- a/crates/limits/src/connections.rs
+++ b/crates/limits/src/connections.rs
@@ -19,7 +19,8 @@
 /// opened them.
 const EVICTED_ON_EXHAUSTION: usize = 16;
 
-/// The eviction order of idle connections: those not known to be legitimate first, then the longest silent one.
+/// The eviction order of idle connections: those not known to be legitimate first, then the longest silent
+/// one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct IdleKey {
     legitimate: bool,
@@ -144,8 +145,8 @@
         self.accept_rate.record_iteration_time(took);
     }
 
-    /// How many more connections are accepted in this iteration; the others wait in the kernel's backlog, where
-    /// they cost nothing.
+    /// How many more connections are accepted in this iteration; the others wait in the kernel's backlog,
+    /// where they cost nothing.
     pub fn accept_budget(&self) -> usize {
         self.accept_rate.current().saturating_sub(self.accepted_in_iteration)
     }
@@ -178,7 +179,8 @@
     /// Why the new connection is rejected.
     pub fn accept(&mut self, now: Timestamp, id: u64) -> Result<Option<u64>, DisconnectReason> {
         self.accepted_in_iteration += 1;
-        // Guards against clients that connect and never send a greeting: they took the places of identified ones.
+        // Guards against clients that connect and never send a greeting: they took the places of identified
+        // ones.
         let mut evicted = self.unidentified_to_evict().map(|(_, evicted)| evicted);
         if evicted.is_none() && self.connections.len() >= self.current_limit() {
             let grace = self.settings.eviction_grace;
@@ -205,8 +207,8 @@
         self.wheel.insert(now, deadline, id);
     }
 
-    /// Takes back an evicted connection that sent something before it was closed; no effect on one that is still
-    /// in the table.
+    /// Takes back an evicted connection that sent something before it was closed; no effect on one that is
+    /// still in the table.
     pub fn readmit(&mut self, now: Timestamp, id: u64) {
         if !self.connections.contains_key(&id) {
             self.insert(now, id);
@@ -247,8 +249,8 @@
     }
 
     /// All input was processed; `is_partial` where the start of a frame is left. The rest of the frame must
-    /// arrive in time, however slowly single bytes of it come. Where a whole frame was processed before it, call
-    /// `frame_completed` first.
+    /// arrive in time, however slowly single bytes of it come. Where a whole frame was processed before it,
+    /// call `frame_completed` first.
     pub fn set_partial_frame(&mut self, now: Timestamp, id: u64, is_partial: bool) {
         let Some(connection) = self.connections.get_mut(&id) else { return };
         connection.partial_since = if is_partial { connection.partial_since.min(now) } else { NEVER };
@@ -291,8 +293,8 @@
     }
 
     /// The client has done something that only a legitimate one does: others are evicted before it. Seen:
-    /// hundreds that sent one request and stayed took the places of clients whose tasks were running, and nobody
-    /// was left to receive the outcomes.
+    /// hundreds that sent one request and stayed took the places of clients whose tasks were running, and
+    /// nobody was left to receive the outcomes.
     pub fn mark_legitimate(&mut self, id: u64) {
         let Some(connection) = self.connections.get_mut(&id).filter(|connection| !connection.legitimate)
         else {
@@ -315,14 +317,15 @@
         }
     }
 
-    /// Whether the input of this connection is processed before that of connections that were silent until now.
+    /// Whether the input of this connection is processed before that of connections that were silent until
+    /// now.
     pub fn is_steady(&self, now: Timestamp, id: u64) -> bool {
         let connection = self.connections.get(&id);
         connection.is_some_and(|connection| now - connection.steady_since >= self.settings.steady_period)
     }
 
-    /// A connection has input. True: it is processed in this iteration, with the other steady ones. False: the
-    /// connection is queued, and `next_queued` returns it. `has_tasks`: its client has tasks in flight.
+    /// A connection has input. True: it is processed in this iteration, with the other steady ones. False:
+    /// the connection is queued, and `next_queued` returns it. `has_tasks`: its client has tasks in flight.
     pub fn admit_input(&mut self, now: Timestamp, id: u64, has_tasks: bool) -> bool {
         if self.is_steady(now, id) {
             let Some(name) = self.connections.get(&id).and_then(|connection| connection.name.as_ref()) else {
--- a/crates/limits/src/deadlines.rs
+++ b/crates/limits/src/deadlines.rs
@@ -5,8 +5,8 @@
 use mulleinhub_interface::Timestamp;
 
 impl ConnectionLimits {
-    /// The next connection whose deadline has passed, and what to do to it. Call until there is none; each wheel
-    /// entry that is looked at costs one of `budget`, and the remaining entries stay due.
+    /// The next connection whose deadline has passed, and what to do to it. Call until there is none; each
+    /// wheel entry that is looked at costs one of `budget`, and the remaining entries stay due.
     pub fn next_due(&mut self, now: Timestamp, budget: &mut usize) -> Option<(u64, Action)> {
         loop {
             if *budget == 0 {
--- a/crates/limits/src/descriptor_budget.rs
+++ b/crates/limits/src/descriptor_budget.rs
@@ -45,8 +45,8 @@
     }
 }
 
-/// Descriptors for the connections to all machines together: those that are neither reserved nor guaranteed to
-/// clients.
+/// Descriptors for the connections to all machines together: those that are neither reserved nor guaranteed
+/// to clients.
 pub fn machine_connection_limit(descriptors: usize) -> usize {
     descriptors.saturating_sub(reserved_descriptors(descriptors) + descriptors / CLIENTS_PART).max(1)
 }
@@ -56,8 +56,8 @@
     megabytes.max(1) * TASKS_PER_MEGABYTE
 }
 
-/// Tasks that may be tracked in all, running ones included: these take far less memory once their descriptions
-/// are freed.
+/// Tasks that may be tracked in all, running ones included: these take far less memory once their
+/// descriptions are freed.
 pub fn max_tasks_tracked(megabytes: usize) -> usize {
     max_tasks_in_flight(megabytes) * TRACKED_PER_IN_FLIGHT
 }
--- a/crates/limits/src/input_queues.rs
+++ b/crates/limits/src/input_queues.rs
@@ -23,6 +23,7 @@
         self.with_tasks_budget = max - self.others_budget;
     }
 
+    /// Appends a connection to the queue of its kind.
     pub fn push(&mut self, tenant: &str, connection: u64, has_tasks: bool) {
         let queue = if has_tasks { &mut self.with_tasks } else { &mut self.others };
         queue.push(tenant, connection);
@@ -50,6 +51,7 @@
         self.with_tasks.pop().or_else(|| self.others.pop())
     }
 
+    /// Whether no connection is queued.
     pub fn is_empty(&self) -> bool {
         self.with_tasks.is_empty() && self.others.is_empty()
     }
--- a/crates/limits/src/lib.rs
+++ b/crates/limits/src/lib.rs
@@ -8,8 +8,8 @@
 //! A connection with a task in flight is never evicted while an idle one exists.
 //!
 //! The crate performs no I/O and knows neither frames nor tasks: its caller reports what happens, identifies
-//! connections by numbers of its own and asks what to do. All state is in memory and belongs to the thread that
-//! runs the caller.
+//! connections by numbers of its own and asks what to do. All state is in memory and belongs to the thread
+//! that runs the caller.
 
 #![warn(missing_docs)]
 
--- a/crates/limits/src/load_limit.rs
+++ b/crates/limits/src/load_limit.rs
@@ -1,8 +1,8 @@
 //! Limits that follow the load: how many connections are allowed, and how many are accepted per iteration.
 //!
-//! The measure is the time that event-loop iterations take: limits fall when they take too long and rise slowly
-//! afterwards. Iterations between short and too long change nothing, and each change of the connection limit
-//! waits for the effect of the one before, so that the limit doesn't oscillate.
+//! The measure is the time that event-loop iterations take: limits fall when they take too long and rise
+//! slowly afterwards. Iterations between short and too long change nothing, and each change of the connection
+//! limit waits for the effect of the one before, so that the limit doesn't oscillate.
 
 use mulleinhub_interface::{Duration, Timestamp};
 
@@ -69,8 +69,8 @@
     }
 }
 
-/// How many connections are accepted per iteration: half as many after a long iteration, more again after short
-/// ones. The others wait in the kernel's backlog, where they cost no time.
+/// How many connections are accepted per iteration: half as many after a long iteration, more again after
+/// short ones. The others wait in the kernel's backlog, where they cost no time.
 #[derive(Clone, Debug)]
 pub struct AcceptRate {
     max: usize,
--- a/crates/limits/src/name_usage.rs
+++ b/crates/limits/src/name_usage.rs
@@ -37,6 +37,7 @@
         }
     }
 
+    /// Counts a connection of this name.
     pub fn add(&mut self, name: &Arc<str>) {
         *self.names.entry(name.clone()).or_default() += 1;
         let tenant = tenant_of(name);
@@ -48,6 +49,7 @@
         self.tenants.insert(key, TenantUsage { connections: 1, ..TenantUsage::default() });
     }
 
+    /// A connection of this name is closed.
     pub fn remove(&mut self, name: &str) {
         if let Some(connections) = self.names.get_mut(name) {
             *connections -= 1;
@@ -63,8 +65,8 @@
         }
     }
 
-    /// Counts a steady connection of this name that has input; whether its tenant has had no more than `max` of
-    /// them in this iteration.
+    /// Counts a steady connection of this name that has input; whether its tenant has had no more than `max`
+    /// of them in this iteration.
     pub fn count_steady(&mut self, name: &str, iteration: u64, max: usize) -> bool {
         let Some(usage) = self.tenants.get_mut(tenant_of(name)) else { return true };
         if usage.iteration != iteration {
--- a/crates/limits/src/timer_wheel.rs
+++ b/crates/limits/src/timer_wheel.rs
@@ -1,9 +1,9 @@
 //! A hashed timer wheel: many deadlines, at a cost that doesn't grow with their number.
 //!
 //! There is a slot for each tick of one revolution; later deadlines lie in the slot that they will come to.
-//! Entries are neither removed early nor moved: a connection with new activity changes the deadline in its own
-//! record, which is compared when its entry comes up. So there is one entry for each connection, not one for
-//! each frame read.
+//! Entries are neither removed early nor moved: a connection with new activity changes the deadline in its
+//! own record, which is compared when its entry comes up. So there is one entry for each connection, not one
+//! for each frame read.
 
 use mulleinhub_interface::{Duration, Timestamp};
 use std::collections::VecDeque;
--- a/crates/limits/src/unidentified.rs
+++ b/crates/limits/src/unidentified.rs
@@ -16,10 +16,12 @@
 }
 
 impl Unidentified {
+    /// Adds a connection, as one that has sent nothing.
     pub fn insert(&mut self, connection: Opened) {
         self.silent.insert(connection);
     }
 
+    /// Removes a connection that is identified or closed.
     pub fn remove(&mut self, connection: Opened) {
         self.silent.remove(&connection);
         self.greeting.remove(&connection);
@@ -38,8 +40,8 @@
 
     /// The connection to evict where more than `max` are unidentified. While other places are free, those in
     /// the middle of their greetings are kept and not counted. Seen: of as many new clients as there were
-    /// places, which sent their greetings in pieces, those beyond the limit were disconnected in the middle of
-    /// them.
+    /// places, which sent their greetings in pieces, those beyond the limit were disconnected in the middle
+    /// of them.
     pub fn to_evict(&self, max: usize, has_free_places: bool) -> Option<Opened> {
         let silent = self.silent.first().copied();
         if self.silent.len() >= max {
--- a/crates/limits/tests/admission.rs
+++ b/crates/limits/tests/admission.rs
@@ -23,8 +23,8 @@
     assert!((0..125).all(|_| admission.try_admit(at(300), 2).is_ok()), "another service is admitted at once");
 }
 
-/// Simulates a planner that completes this many tasks per second, and services that retry when told to. Returns
-/// the millisecond at which the completed_at task of each service was completed.
+/// Simulates a planner that completes this many tasks per second, and services that retry when told to.
+/// Returns the millisecond at which the completed_at task of each service was completed.
 fn drain(max: usize, per_second: u64, services: &[usize], fair: bool) -> BTreeMap<u64, u64> {
     let mut admission = AdmissionControl::new(max);
     let mut queue: VecDeque<u64> = VecDeque::new();
@@ -104,11 +104,14 @@
                 match admission.try_admit(at(now), service) {
                     Ok(()) => *in_flight.entry(service).or_default() += 1,
                     Err(retry_after) => {
-                        prop_assert!(retry_after >= Duration::from_nanos(100_000_000) && retry_after <= Duration::from_secs(10));
+                        prop_assert!(retry_after >= Duration::from_nanos(100_000_000));
+                        prop_assert!(retry_after <= Duration::from_secs(10));
                         let of_service = in_flight.get(&service).copied().unwrap_or(0);
-                        let services = in_flight.values().filter(|n| **n > 0).count() + usize::from(of_service == 0);
+                        let others = in_flight.values().filter(|n| **n > 0).count();
+                        let services = others + usize::from(of_service == 0);
                         let share = (max / (services + 1)).max(1);
-                        prop_assert!(all >= max || of_service >= share, "the service was below its fair share");
+                        let has_share = of_service >= share;
+                        prop_assert!(all >= max || has_share, "the service was below its fair share");
                         prop_assert!(all * 2 >= max, "half of the capacity was free");
                     }
                 }
--- a/crates/limits/tests/connections.rs
+++ b/crates/limits/tests/connections.rs
@@ -332,7 +332,8 @@
         queued in proptest::collection::vec((0u8..5, any::<bool>()), 1..200),
         max in 1usize..20,
     ) {
-        let mut limits = ConnectionLimits::new(Settings { max_queued_per_iteration: max, ..Settings::default() });
+        let settings = Settings { max_queued_per_iteration: max, ..Settings::default() };
+        let mut limits = ConnectionLimits::new(settings);
         let mut waiting = BTreeMap::new();
         for (id, (tenant, has_tasks)) in queued.iter().enumerate() {
             let id = id as u64;
@@ -374,7 +375,7 @@
             let next = wheel.next_wakeup();
             while let Some((due, n)) = wheel.pop_due(at(now)) {
                 prop_assert!(due <= at(now) && due == at(entries[n as usize]));
-                prop_assert!(next.is_some_and(|next| next <= at(now)), "next_wakeup is too late for this entry");
+                prop_assert!(next.is_some_and(|next| next <= at(now)), "next_wakeup is too late");
                 prop_assert!(seen.insert(n, now).is_none());
             }
             for (n, ms) in entries.iter().enumerate() {
@@ -401,13 +402,15 @@
                     match limits.accept(at(now), newest) {
                         Ok(evicted) => {
                             if let Some(evicted) = evicted {
-                                prop_assert_eq!(open.remove(&evicted), Some(0), "a connection with a task was evicted");
+                                let tasks = open.remove(&evicted);
+                                prop_assert_eq!(tasks, Some(0), "a connection with a task was evicted");
                             }
                             open.insert(newest, 0);
                         }
                         Err(reason) => {
                             prop_assert_eq!(reason, DisconnectReason::ConnectionLimit);
-                            prop_assert!(open.values().all(|tasks| *tasks > 0), "an idle one should have been evicted");
+                            let no_idle = open.values().all(|tasks| *tasks > 0);
+                            prop_assert!(no_idle, "an idle one should have been evicted");
                         }
                     }
                 }
--- a/crates/platform-settings/src/lib.rs
+++ b/crates/platform-settings/src/lib.rs
@@ -1,7 +1,9 @@
-//! The settings object that a scheduler receives, on the simulator's wire and in the platform's configuration.
+//! The settings object that a scheduler receives, on the simulator's wire and in the platform's
+//! configuration.
 //!
-//! Reads it into the types of the interface, once for both adapters. Unknown keys are ignored. The crate makes no
-//! decision and adds no value that is not in the object, except for the defaults that the format defines.
+//! Reads it into the types of the interface, once for both adapters. Unknown keys are ignored. The crate
+//! makes no decision and adds no value that is not in the object, except for the defaults that the format
+//! defines.
 
 #![warn(missing_docs)]
 
--- a/crates/resilience/src/backoff.rs
+++ b/crates/resilience/src/backoff.rs
@@ -1,10 +1,10 @@
 //! Delays before a planner reconnects to a peer, and between keepalive checks, with jitter.
 //!
-//! Seen, counted over 120 planners: those that lost a rack or the endpoint list at the same moment reconnected at
-//! the same moment, and again at each doubling; those that started together sent keepalives together ever after.
-//! So a part of each delay is random, and no delay is longer than it would be without jitter. What can't wait
-//! is not delayed: attempts in flight that need a confirmation, and attempts on a machine that has not rejected
-//! any.
+//! Seen, counted over 120 planners: those that lost a rack or the endpoint list at the same moment
+//! reconnected at the same moment, and again at each doubling; those that started together sent keepalives
+//! together ever after. So a part of each delay is random, and no delay is longer than it would be without
+//! jitter. What can't wait is not delayed: attempts in flight that need a confirmation, and attempts on a
+//! machine that has not rejected any.
 //!
 //! The `random` parameters are uniform numbers from 0 to 1 that the caller draws.
 
@@ -24,7 +24,8 @@
     initial * f64::from(1u32 << failures.min(MAX_DOUBLINGS)) * (1.0 - RETRY_JITTER * random)
 }
 
-/// The delay before the reconnect after an established connection was closed, where nothing waits for the peer.
+/// The delay before the reconnect after an established connection was closed, where nothing waits for the
+/// peer.
 pub fn reconnect_delay(initial: Duration, random: f64) -> Duration {
     initial * random
 }
--- a/crates/resilience/src/lib.rs
+++ b/crates/resilience/src/lib.rs
@@ -1,9 +1,9 @@
 //! Protection against thundering herds, slow machines and pauses of this process.
 //!
-//! [`backoff`] computes reconnect and keepalive delays with jitter; [`SlowStartGate`] holds back task offers to a
-//! machine in slow start whose connection is stalled; [`PauseDetector`] notices that this process itself was
-//! paused. The engine and the platform use all three. The crate performs no I/O, has no clock and makes no
-//! placement decision.
+//! [`backoff`] computes reconnect and keepalive delays with jitter; [`SlowStartGate`] holds back task offers
+//! to a machine in slow start whose connection is stalled; [`PauseDetector`] notices that this process itself
+//! was paused. The engine and the platform use all three. The crate performs no I/O, has no clock and makes
+//! no placement decision.
 
 #![warn(missing_docs)]
 
--- a/crates/resilience/src/pause_detector.rs
+++ b/crates/resilience/src/pause_detector.rs
@@ -30,9 +30,9 @@
 }
 
 impl PauseDetector {
-    /// Starts an iteration. True if it follows a pause. After an early iteration the full one is due at once, and
-    /// what the early one has found holds for the rest of the queued input. Guards against: a pause between the
-    /// two.
+    /// Starts an iteration. True if it follows a pause. After an early iteration the full one is due at once,
+    /// and what the early one has found holds for the rest of the queued input. Guards against: a pause
+    /// between the two.
     pub fn begin_iteration(&mut self, now: Timestamp) -> bool {
         self.iterations += 1;
         let lateness = self.due.take().map_or(Duration::ZERO, |due| now - due);
@@ -65,9 +65,9 @@
         self.iterations
     }
 
-    /// How long something has been queued that was read at a time, after a number of iterations: the pause before
-    /// the read included. What is read after a pause may be processed several iterations later. Seen: requests
-    /// queued then had their whole deadline again.
+    /// How long something has been queued that was read at a time, after a number of iterations: the pause
+    /// before the read included. What is read after a pause may be processed several iterations later. Seen:
+    /// requests queued then had their whole deadline again.
     pub fn queued_for(&self, now: Timestamp, (read_at, iterations): (Timestamp, u64)) -> Duration {
         let pause = &self.last_pause;
         let follows_pause = pause.first_iteration <= iterations + 1 && iterations < pause.last_iteration;
--- a/crates/resilience/src/slow_start.rs
+++ b/crates/resilience/src/slow_start.rs
@@ -1,9 +1,10 @@
 //! Spaces out offers to a machine in slow start whose connection is stalled.
 //!
 //! The placement policy spreads what such a machine can bear over half as long again as the rule's window, so
-//! offers may be late by half a window. Seen on real sockets: behind a stalled connection, a stopped proxy or a
-//! machine that hung, offers sent over seconds arrived together. So no more is sent while an offer to a machine
-//! in slow start has been unanswered for longer than that, or for one window after an answer that late.
+//! offers may be late by half a window. Seen on real sockets: behind a stalled connection, a stopped proxy or
+//! a machine that hung, offers sent over seconds arrived together. So no more is sent while an offer to a
+//! machine in slow start has been unanswered for longer than that, or for one window after an answer that
+//! late.
 
 use mulleinhub_interface::{Duration, Timestamp};
 use std::collections::VecDeque;
@@ -63,8 +64,9 @@
         self.unanswered.clear();
     }
 
-    /// Whether an offer that was decided at `decided` is too late for the window that it was counted in. Seen:
-    /// offers of several windows waited for a connection or behind the gate, and were sent at one moment.
+    /// Whether an offer that was decided at `decided` is too late for the window that it was counted in.
+    /// Seen: offers of several windows waited for a connection or behind the gate, and were sent at one
+    /// moment.
     pub fn is_stale(&self, now: Timestamp, window: Duration, decided: Timestamp) -> bool {
         self.is_in_slow_start(now) && now - decided > window * MAX_LATENESS
     }
@@ -74,7 +76,8 @@
         self.is_in_slow_start(now).then(|| now + window * MAX_LATENESS)
     }
 
-    /// Until when nothing may be sent because the connection is stalled; a later call may return a later time.
+    /// Until when nothing may be sent because the connection is stalled; a later call may return a later
+    /// time.
     pub fn closed_until(&self, now: Timestamp, window: Duration) -> Option<Timestamp> {
         if !self.is_in_slow_start(now) {
             return None;
--- a/crates/resilience/src/slow_start/tests.rs
+++ b/crates/resilience/src/slow_start/tests.rs
@@ -7,14 +7,14 @@
 }
 
 #[test]
-fn gate_stays_open_outside_slow_start() {
+fn gate_is_open_outside_slow_start() {
     let mut gate = SlowStartGate::default();
     gate.on_sent(at(0), 1, 0);
     assert_eq!(gate.closed_until(at(5_000), WINDOW), None);
 }
 
 #[test]
-fn unanswered_offer_closes_gate_and_late_answer_keeps_it_closed_for_a_window() {
+fn unanswered_offer_closes_gate_and_late_answer_extends_it_by_a_window() {
     let mut gate = SlowStartGate::default();
     gate.extend_slow_start(at(60_000));
     gate.on_sent(at(0), 1, 0);
--- a/crates/sans-io/src/connections.rs
+++ b/crates/sans-io/src/connections.rs
@@ -53,9 +53,9 @@
 pub struct Connections {
     next_id: u64,
     open: BTreeMap<ConnectionId, Connection>,
-    /// Connections with outgoing bytes, in the order of the first write, so that what was written first is handed
-    /// over first, on whatever connection. Seen: an attempt that was given up on one connection and its successor
-    /// on another were sent in the order of the connection ids.
+    /// Connections with outgoing bytes, in the order of the first write, so that what was written first is
+    /// handed over first, on whatever connection. Seen: an attempt that was given up on one connection and
+    /// its successor on another were sent in the order of the connection ids.
     with_output: VecDeque<ConnectionId>,
     commands: VecDeque<Command>,
     #[expect(clippy::vec_box, reason = "the boxes move from here into connections and back")]
@@ -78,8 +78,8 @@
         }
     }
 
-    /// Closes a connection immediately and returns the tokens of the frames that were not completely handed over.
-    /// `on_closed` is not called. No effect on a connection that is closed.
+    /// Closes a connection immediately and returns the tokens of the frames that were not completely handed
+    /// over. `on_closed` is not called. No effect on a connection that is closed.
     pub fn abort(&mut self, id: ConnectionId) -> Vec<(u64, Unsent)> {
         if self.open.contains_key(&id) {
             self.commands.push_back(Command::Close { connection: id, immediately: true });
@@ -102,7 +102,8 @@
         }
     }
 
-    /// Removes a frame from the outgoing bytes if no byte of it was handed over. True if it will never be sent.
+    /// Removes a frame from the outgoing bytes if no byte of it was handed over. True if it will never be
+    /// sent.
     pub fn retract(&mut self, id: ConnectionId, token: u64) -> bool {
         let output = self.open.get_mut(&id).and_then(|connection| connection.output.as_mut());
         let Some(output) = output else { return false };
@@ -130,8 +131,8 @@
         }
     }
 
-    /// Removes a connection that `on_closed` reported; returns the tokens of the frames that were not completely
-    /// handed over.
+    /// Removes a connection that `on_closed` reported; returns the tokens of the frames that were not
+    /// completely handed over.
     pub fn remove(&mut self, id: ConnectionId) -> Vec<(u64, Unsent)> {
         let Some(output) = self.open.remove(&id).and_then(|connection| connection.output) else {
             return Vec::new();
--- a/crates/sans-io/src/connections/tests.rs
+++ b/crates/sans-io/src/connections/tests.rs
@@ -47,7 +47,7 @@
 }
 
 #[test]
-fn removal_tells_entirely_from_partially_unsent_frames() {
+fn removal_distinguishes_entirely_and_partially_unsent_frames() {
     let mut connections = Connections::default();
     let id = connections.register();
     for token in 1..=3 {
--- a/crates/sans-io/src/lib.rs
+++ b/crates/sans-io/src/lib.rs
@@ -1,9 +1,9 @@
 //! Sans-I/O state machines: the boundary between the programs and their I/O.
 //!
-//! Each program and each emulator is a [`StateMachine`]. Its host reports bytes, closed connections and the time,
-//! and takes bytes, [`Command`]s and a wakeup time from its [`Connections`]. The host is either the event loop
-//! with real sockets or the simulation in virtual time; the state machines are the same. The crate performs no
-//! I/O, reads no clock, starts no thread and doesn't interpret the bytes.
+//! Each program and each emulator is a [`StateMachine`]. Its host reports bytes, closed connections and the
+//! time, and takes bytes, [`Command`]s and a wakeup time from its [`Connections`]. The host is either the
+//! event loop with real sockets or the simulation in virtual time; the state machines are the same. The crate
+//! performs no I/O, reads no clock, starts no thread and doesn't interpret the bytes.
 
 #![warn(missing_docs)]
 
@@ -20,8 +20,8 @@
 pub enum CloseReason {
     /// It was never established: nothing was delivered.
     Refused,
-    /// It was never attempted, because this side had no descriptor or no port. Nothing is known of the peer, and
-    /// nothing was delivered.
+    /// It was never attempted, because this side had no descriptor or no port. Nothing is known of the peer,
+    /// and nothing was delivered.
     NotAttempted,
     /// The peer closed it.
     Closed,
@@ -49,9 +49,9 @@
 
 /// A program or an emulator without I/O.
 ///
-/// One iteration of the host calls `on_connection_accepted`, `on_connected`, `on_data` and `on_closed` any number
-/// of times, then `poll` once. The host reports all input that has arrived before it calls `poll`, so that a pause
-/// of this process isn't taken for silence of its peers.
+/// One iteration of the host calls `on_connection_accepted`, `on_connected`, `on_data` and `on_closed` any
+/// number of times, then `poll` once. The host reports all input that has arrived before it calls `poll`, so
+/// that a pause of this process isn't taken for silence of its peers.
 pub trait StateMachine {
     /// A listener has accepted a connection.
     fn on_connection_accepted(&mut self, now: Timestamp, connection: ConnectionId, listener: ListenerId);
@@ -63,8 +63,8 @@
     fn on_closed(&mut self, now: Timestamp, connection: ConnectionId, reason: CloseReason);
     /// All input was reported: acts on it, and on timers that are due.
     fn poll(&mut self, now: Timestamp);
-    /// A part of the input was reported and more is unread: may answer what was reported, but must not take any
-    /// peer for silent before `poll`.
+    /// A part of the input was reported and more is unread: may answer what was reported, but must not take
+    /// any peer for silent before `poll`.
     fn poll_early(&mut self, _now: Timestamp) {}
     /// Whether the input of this connection is reported before that of others when much arrives at once.
     fn is_priority(&self, _connection: ConnectionId) -> bool {
--- a/crates/sans-io/src/timers.rs
+++ b/crates/sans-io/src/timers.rs
@@ -42,8 +42,8 @@
         self.scheduled
     }
 
-    /// Removes the earliest event, if it is due and its sequence number is at most `sequence`: an event that is
-    /// scheduled again for the same timestamp waits for the next iteration.
+    /// Removes the earliest event, if it is due and its sequence number is at most `sequence`: an event that
+    /// is scheduled again for the same timestamp waits for the next iteration.
     pub fn pop_due_up_to(&mut self, now: Timestamp, sequence: u64) -> Option<T> {
         let Reverse((_, scheduled, _)) = self.heap.peek()?;
         if *scheduled > sequence { None } else { self.pop_due(now) }
