--- a/crates/limits/src/settings.rs
+++ b/crates/limits/src/settings.rs
@@ -26,10 +26,10 @@
     /// A connection is steady once it has been active for this time without a silence of the same length.
     /// Input of steady connections is processed first; that of the others is queued.
     pub steady_period: Duration,
-    /// An idle connection can't be evicted before this time has passed since its last activity, and an
-    /// unidentified one not before it has passed since its opening: what was sent with the connection is
-    /// still on its way. Seen: of a hundred clients that connected at once and sent requests, some were
-    /// disconnected before their requests were read.
+    /// An idle connection isn't evicted before this time has passed since its last activity, and while an
+    /// unidentified one would have to be evicted sooner after its opening, none is accepted: what was sent
+    /// with the connection is still on its way. Seen: of a hundred clients that connected at once and sent
+    /// requests, some were disconnected before their requests were read.
     pub eviction_grace: Duration,
     /// Queued connections processed in one event-loop iteration; also the steady connections of one tenant
     /// that are processed without queueing.
