--- a/crates/planner/tests/acceptance.rs
+++ b/crates/planner/tests/acceptance.rs
@@ -4,7 +4,7 @@
 mod host;
 
 use host::*;
-use mulleinhub_platform_protocol::{Frames, kind, write_with_cause};
+use mulleinhub_platform_protocol::{FrameBuffer, kind, write_with_cause};
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -28,7 +28,7 @@
             0 => Ok(()),
             1 => one.write_all(&set_up(n)[..20]),
             2 => one.write_all(b"\xff\xff\xff\xff noise"),
-            _ => one.write_all(&written(|out| write_with_cause(out, kind::TEST, n, 0))),
+            _ => one.write_all(&written(|out| write_with_cause(out, kind::HEALTH_CHECK, n, 0))),
         };
         open.push(one);
     }
@@ -69,7 +69,7 @@
                 let began = Instant::now();
                 let mut owner = program.owner();
                 owner.write_all(&set_up(task)).expect("is sent");
-                assert_eq!(next(&mut owner), (kind::ANSWER, task, None), "with {descriptors} descriptors");
+                assert_eq!(next(&mut owner), (kind::ACCEPT, task, None), "with {descriptors} descriptors");
                 assert!(began.elapsed() < Duration::from_secs(2), "{:?}", began.elapsed());
             }
             drop(ends);
@@ -79,7 +79,7 @@
         // And when they have gone, it serves as ever.
         let mut owner = program.owner();
         owner.write_all(&set_up(9_100)).expect("is sent");
-        assert_eq!(next(&mut owner), (kind::ANSWER, 9_100, None));
+        assert_eq!(next(&mut owner), (kind::ACCEPT, 9_100, None));
     }
 }
 
@@ -98,14 +98,15 @@
         std::thread::sleep(Duration::from_millis(5));
         let Ok(mut front) = TcpStream::connect(at) else { continue };
         front.set_read_timeout(Some(Duration::from_millis(500))).expect("is set");
-        if front.write_all(&written(|out| write_with_cause(out, kind::TEST, 1, 0))).is_err() {
+        if front.write_all(&written(|out| write_with_cause(out, kind::HEALTH_CHECK, 1, 0))).is_err() {
             continue;
         }
-        let (mut frames, mut bytes) = (Frames::default(), [0; 256]);
+        let (mut frames, mut bytes) = (FrameBuffer::default(), [0; 256]);
         while let Ok(n @ 1..) = front.read(&mut bytes) {
-            frames.take(&bytes[..n]);
+            frames.extend(&bytes[..n]);
             if let Ok(Some(frame)) = frames.next_frame() {
-                return frame.kind == kind::TESTED && mulleinhub_platform_protocol::cause(&frame) == Some(1);
+                return frame.kind == kind::HEALTH_RESULT
+                    && mulleinhub_platform_protocol::cause(&frame) == Some(1);
             }
         }
     }
--- a/crates/planner/tests/crossings.rs
+++ b/crates/planner/tests/crossings.rs
@@ -4,7 +4,7 @@
 mod host;
 
 use host::*;
-use mulleinhub_platform_protocol::{kind, why};
+use mulleinhub_platform_protocol::{cause_code, kind};
 use rustix::process::Signal;
 use std::io::{Read, Write};
 use std::net::{TcpListener, TcpStream};
@@ -65,9 +65,9 @@
         } else {
             program.thaw();
             let mut way = program.way();
-            assert_eq!(next(&mut way), (kind::SET_UP, 40, None));
+            assert_eq!(next(&mut way), (kind::START, 40, None));
             way.write_all(&yes(40)).expect("is sent");
-            assert_eq!(next(&mut client), (kind::ANSWER, 40, None));
+            assert_eq!(next(&mut client), (kind::ACCEPT, 40, None));
         }
     }
     program.kill();
@@ -108,9 +108,9 @@
         let mut client = program.owner();
         client.write_all(&waits(set_up(7), "60000")).expect("is sent");
         let (at, mut way) = accepted_by(&[&program.machine, &second]);
-        assert_eq!(next(&mut way), (kind::SET_UP, 7, None));
+        assert_eq!(next(&mut way), (kind::START, 7, None));
         program.freeze();
-        way.write_all(&release(7, why::FULL)).expect("is sent");
+        way.write_all(&release(7, cause_code::FULL)).expect("is sent");
         let kept = leaving.leave(client, 7..=7);
         program.thaw();
         turns(&program, 6);
@@ -130,7 +130,7 @@
         let mut client = program.owner();
         client.write_all(&set_up(7)).expect("is sent");
         let (at, mut way) = accepted_by(&[&program.machine, &second]);
-        assert_eq!(next(&mut way), (kind::SET_UP, 7, None));
+        assert_eq!(next(&mut way), (kind::START, 7, None));
         program.freeze();
         let kept = leaving.leave(client, 7..=7);
         // The send is recalled after a tenth of the client timeout without a word; two seconds are wanted.
@@ -150,10 +150,10 @@
     let mut client = program.owner();
     client.write_all(&set_up(7)).expect("is sent");
     let mut way = program.way();
-    assert_eq!(next(&mut way), (kind::SET_UP, 7, None));
+    assert_eq!(next(&mut way), (kind::START, 7, None));
     program.freeze();
     way.write_all(&yes(7)).expect("is sent");
-    client.write_all(&release(7, why::ENDED)).expect("is sent");
+    client.write_all(&release(7, cause_code::ENDED)).expect("is sent");
     program.thaw();
     // Heard in either order, the copy is cut.
     let (of, task, _) = next(&mut way);
@@ -164,12 +164,12 @@
 /// As `is_heard`; an answer to a set-up may come before.
 fn is_heard_after_answers(owner: &mut TcpStream) {
     let test = mulleinhub_platform_protocol::write_with_cause;
-    owner.write_all(&written(|out| test(out, kind::TEST, 99, 0))).expect("is sent");
+    owner.write_all(&written(|out| test(out, kind::HEALTH_CHECK, 99, 0))).expect("is sent");
     let mut answers = 0;
     loop {
         match next(owner) {
-            (kind::TESTED, 99, Some(1)) => break,
-            (kind::ANSWER, 7, None) => answers += 1,
+            (kind::HEALTH_RESULT, 99, Some(1)) => break,
+            (kind::ACCEPT, 7, None) => answers += 1,
             other => panic!("{other:?}"),
         }
     }
@@ -198,9 +198,9 @@
     let way = door.open();
     program.thaw();
     let mut other = accepted(&second);
-    assert_eq!(next(&mut other), (kind::SET_UP, 7, None));
+    assert_eq!(next(&mut other), (kind::START, 7, None));
     other.write_all(&yes(7)).expect("is sent");
-    assert_eq!(next(&mut client), (kind::ANSWER, 7, None));
+    assert_eq!(next(&mut client), (kind::ACCEPT, 7, None));
     program.kill();
     assert_eq!(set_ups(way), NONE, "the machine drains");
 }
@@ -213,7 +213,7 @@
     let mut client = program.owner();
     client.write_all(&waits(set_up_of(7, "batch", ""), "60000")).expect("is sent");
     let mut way = program.way();
-    assert_eq!(next(&mut way), (kind::SET_UP, 7, None));
+    assert_eq!(next(&mut way), (kind::START, 7, None));
     let since = Instant::now();
     let (mut bulletin, _) = program.call();
     bulletin.write_all(&told(2, &[listed("s-2", address(&second), "in_service", 0)])).expect("is sent");
@@ -226,7 +226,7 @@
     std::thread::sleep(Duration::from_millis(3_200).saturating_sub(since.elapsed()));
     let way = door.open();
     program.thaw();
-    assert_eq!(next(&mut client), (kind::RELEASE, 7, Some(why::ERROR)));
+    assert_eq!(next(&mut client), (kind::RELEASE, 7, Some(cause_code::ERROR)));
     program.kill();
     assert_eq!(set_ups(way), NONE, "three seconds after the first attempt it may run twice");
 }
@@ -253,7 +253,7 @@
     for task in 1..=5 {
         client.write_all(&set_up(task)).expect("is sent");
         let mut way = accepted(&second);
-        assert_eq!(next(&mut way), (kind::SET_UP, task, None));
+        assert_eq!(next(&mut way), (kind::START, task, None));
         ways.push(way);
     }
     program.kill();
@@ -375,14 +375,14 @@
     let mut owner = program.owner();
     owner.write_all(&set_up(7)).expect("is sent");
     let mut way = program.way();
-    assert_eq!(next(&mut way), (kind::SET_UP, 7, None));
+    assert_eq!(next(&mut way), (kind::START, 7, None));
     way.write_all(&yes(7)).expect("is sent");
-    assert_eq!(next(&mut owner), (kind::ANSWER, 7, None));
+    assert_eq!(next(&mut owner), (kind::ACCEPT, 7, None));
     // Of a task whose scheduler died a machine tells on any connection that is open.
-    way.write_all(&release(99, why::RESET)).expect("is sent");
-    assert_eq!(next(&mut way), (kind::RELEASE_HEARD, 99, None));
+    way.write_all(&release(99, cause_code::RESET)).expect("is sent");
+    assert_eq!(next(&mut way), (kind::RELEASE_ACK, 99, None));
     owner.write_all(&set_up_of(99, "front", ";at:s-1")).expect("is sent");
-    assert_eq!(next(&mut owner), (kind::RELEASE, 99, Some(why::RESET)));
+    assert_eq!(next(&mut owner), (kind::RELEASE, 99, Some(cause_code::RESET)));
     // Once: handed over again, by whoever, it is a task like any other.
     is_heard(&mut owner);
 }
@@ -402,10 +402,10 @@
     is_heard(&mut another);
     bulletin.write_all(&told(2, &[listed("s-2", address(&second), "in_service", 0)])).expect("is sent");
     let mut way = accepted(&second);
-    way.write_all(&release(99, why::ENDED)).expect("is sent");
-    assert_eq!(next(&mut way), (kind::RELEASE_HEARD, 99, None));
+    way.write_all(&release(99, cause_code::ENDED)).expect("is sent");
+    assert_eq!(next(&mut way), (kind::RELEASE_ACK, 99, None));
     let told = next(&mut owner);
-    assert_eq!(told, (kind::RELEASE, 99, Some(why::ENDED)));
+    assert_eq!(told, (kind::RELEASE, 99, Some(cause_code::ENDED)));
     is_heard(&mut another);
 }
 
@@ -415,7 +415,7 @@
     let mut owner = program.owner();
     let began = Instant::now();
     owner.write_all(&set_up_of(99, "front", ";at:s-none")).expect("is sent");
-    assert_eq!(next(&mut owner), (kind::RELEASE, 99, Some(why::ERROR)));
+    assert_eq!(next(&mut owner), (kind::RELEASE, 99, Some(cause_code::ERROR)));
     assert!(began.elapsed() < Duration::from_secs(3), "who speaks wrongly is owed a word in three seconds");
 }
 
@@ -429,13 +429,13 @@
     owner.write_all(&all).expect("is sent");
     program.thaw();
     let mut way = program.way();
-    let ends: Vec<u8> = (1..=2_000).flat_map(|task| release(task, why::ENDED)).collect();
+    let ends: Vec<u8> = (1..=2_000).flat_map(|task| release(task, cause_code::ENDED)).collect();
     // Heard one way or the other: what is over before its hand-over was heard is told with it.
     way.write_all(&ends).expect("is sent");
     let mut told = std::collections::BTreeSet::new();
     while told.len() < 2_000 {
         let (of, task, cause) = next(&mut owner);
-        assert_eq!((of, cause), (kind::RELEASE, Some(why::ENDED)));
+        assert_eq!((of, cause), (kind::RELEASE, Some(cause_code::ENDED)));
         assert!(told.insert(task), "task {task} is told twice");
     }
     is_heard(&mut owner);
@@ -490,18 +490,18 @@
     program.signal(Signal::TERM);
     half.write_all(&set_up(1)[40..]).expect("is sent");
     for (task, owner) in (100..).zip(&mut backlog) {
-        assert_eq!(next(owner), (kind::ANSWER, task, None));
+        assert_eq!(next(owner), (kind::ACCEPT, task, None));
     }
     let mut answers: Vec<u64> = (200..220)
         .map(|_| {
             let (of, task, _) = next(&mut pipelines);
-            assert_eq!(of, kind::ANSWER);
+            assert_eq!(of, kind::ACCEPT);
             task
         })
         .collect();
     answers.sort_unstable();
     assert_eq!(answers, (200..220).collect::<Vec<u64>>());
-    assert_eq!(next(&mut half), (kind::ANSWER, 1, None));
+    assert_eq!(next(&mut half), (kind::ACCEPT, 1, None));
     // Each connection ends with an end, not a reset.
     for mut owner in backlog.into_iter().chain([pipelines, half]) {
         assert_eq!(owner.read(&mut [0; 16]).expect("an end, no reset"), 0);
@@ -520,7 +520,7 @@
     program.signal(Signal::TERM);
     program.wait_for("tests fail from now on");
     for task in 1..=2_000 {
-        assert_eq!(next(&mut owner), (kind::RELEASE, task, Some(why::ERROR)));
+        assert_eq!(next(&mut owner), (kind::RELEASE, task, Some(cause_code::ERROR)));
     }
     assert_eq!(owner.read(&mut [0; 16]).expect("an end, no reset"), 0);
     assert_eq!(program.exit(), Some(0), "{}", program.log());
--- a/crates/planner/tests/host/fleet.rs
+++ b/crates/planner/tests/host/fleet.rs
@@ -157,14 +157,14 @@
 
     /// What stood there is over.
     pub fn ends(&self, task: u64) {
-        lock(&self.state).to_tell.extend(release(task, why::ENDED));
+        lock(&self.state).to_tell.extend(release(task, cause_code::ENDED));
     }
 }
 
 fn run_machine(
     door: &TcpListener,
     state: &Mutex<MachineState>,
-    wires: &mut Vec<(Wire, Frames)>,
+    wires: &mut Vec<(Wire, FrameBuffer)>,
     refusals: &mut Vec<(Instant, usize, Vec<u8>)>,
 ) {
     let state = &mut *lock(state);
@@ -174,7 +174,7 @@
         return;
     }
     while let Some(wire) = Wire::next(door) {
-        wires.push((wire, Frames::default()));
+        wires.push((wire, FrameBuffer::default()));
     }
     let to_tell = std::mem::take(&mut state.to_tell);
     if wires.iter().all(|(wire, _)| wire.ended) {
@@ -184,9 +184,9 @@
     for (at, (wire, frames)) in wires.iter_mut().enumerate().filter(|(_, (wire, _))| !wire.ended) {
         wire.unwritten.extend_from_slice(&to_tell);
         wire.read();
-        frames.take(&std::mem::take(&mut wire.unread));
+        frames.extend(&std::mem::take(&mut wire.unread));
         while let Some(frame) = frames.next_frame().expect("the program speaks rightly") {
-            if frame.kind != kind::SET_UP {
+            if frame.kind != kind::START {
                 continue;
             }
             state.set_ups.push((frame.task, now));
@@ -194,12 +194,14 @@
                 Conduct::Serves | Conduct::ServesInPieces => {
                     wire.unwritten.extend(yes(frame.task));
                     if frame.task > OF_CLIENTS {
-                        wire.unwritten.extend(release(frame.task, why::ENDED));
+                        wire.unwritten.extend(release(frame.task, cause_code::ENDED));
                     }
                 }
-                Conduct::Refuses => refusals.push((now + REFUSES_AFTER, at, release(frame.task, why::FULL))),
+                Conduct::Refuses => {
+                    refusals.push((now + REFUSES_AFTER, at, release(frame.task, cause_code::FULL)))
+                }
                 Conduct::HandsBack => {
-                    refusals.push((now + REFUSES_AFTER, at, release(frame.task, why::MOOT)))
+                    refusals.push((now + REFUSES_AFTER, at, release(frame.task, cause_code::NOT_SENT)))
                 }
                 Conduct::Silent | Conduct::Dead => {}
             }
@@ -481,14 +483,14 @@
 
 /// The answer to this set-up; none where the connection ends without one, or none comes in time.
 pub fn answer_to(stream: &mut TcpStream, task: u64) -> Option<Answer> {
-    let (mut frames, mut bytes) = (Frames::default(), [0; 1]);
+    let (mut frames, mut bytes) = (FrameBuffer::default(), [0; 1]);
     while stream.read(&mut bytes).ok()? == 1 {
-        frames.take(&bytes);
+        frames.extend(&bytes);
         let Some(frame) = frames.next_frame().expect("spoken rightly") else { continue };
         match (frame.task == task, frame.kind) {
-            (true, kind::ANSWER) => return Some(Answer::Placed),
+            (true, kind::ACCEPT) => return Some(Answer::Placed),
             (true, kind::RELEASE) => {
-                let errored = mulleinhub_platform_protocol::cause(&frame) == Some(why::ERROR);
+                let errored = mulleinhub_platform_protocol::cause(&frame) == Some(cause_code::ERROR);
                 return Some(if errored { Answer::Errored } else { Answer::Refused });
             }
             // Ends of earlier ones.
--- a/crates/planner/tests/host/mod.rs
+++ b/crates/planner/tests/host/mod.rs
@@ -5,7 +5,9 @@
 
 pub mod fleet;
 
-use mulleinhub_platform_protocol::{Frames, code, kind, why, write_answer, write_message, write_with_cause};
+use mulleinhub_platform_protocol::{
+    FrameBuffer, cause_code, code, kind, write_acceptance, write_message, write_with_cause,
+};
 use rustix::process::{Pid, Signal, kill_process};
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -269,11 +271,11 @@
 
 /// The next message on a connection: its type, task and cause.
 pub fn next(stream: &mut TcpStream) -> (u8, u64, Option<u8>) {
-    let mut frames = Frames::default();
+    let mut frames = FrameBuffer::default();
     loop {
         let mut byte = [0];
         assert_eq!(stream.read(&mut byte).expect("in time"), 1, "the connection ended");
-        frames.take(&byte);
+        frames.extend(&byte);
         if let Some(frame) = frames.next_frame().expect("spoken rightly") {
             return (frame.kind, frame.task, mulleinhub_platform_protocol::cause(&frame));
         }
@@ -282,9 +284,9 @@
 
 /// All messages on a connection until it ends, in whatever way.
 pub fn rest(mut stream: TcpStream) -> Vec<(u8, u64, Option<u8>)> {
-    let (mut frames, mut bytes, mut all) = (Frames::default(), [0; 4096], Vec::new());
+    let (mut frames, mut bytes, mut all) = (FrameBuffer::default(), [0; 4096], Vec::new());
     while let Ok(n @ 1..) = stream.read(&mut bytes) {
-        frames.take(&bytes[..n]);
+        frames.extend(&bytes[..n]);
         while let Ok(Some(frame)) = frames.next_frame() {
             all.push((frame.kind, frame.task, mulleinhub_platform_protocol::cause(&frame)));
         }
@@ -299,14 +301,14 @@
 /// A set-up as owners send it; `more` goes behind the figures.
 pub fn set_up_of(task: u64, class: &str, more: &str) -> Vec<u8> {
     let figures = format!("cores:1;memory:2;service:00000000b4d65521{more}");
-    let mut params: Vec<(u8, &[u8])> = vec![(code::CLASS, class.as_bytes()), (code::PATIENCE, b"2000")];
+    let mut params: Vec<(u8, &[u8])> = vec![(code::CLASS, class.as_bytes()), (code::TIMEOUT, b"2000")];
     if class == "batch" {
-        params.push((code::KEY, b"5c0f6e1a2b3d4c59a8b7c6d5e4f30211"));
+        params.push((code::IDEMPOTENCY_KEY, b"5c0f6e1a2b3d4c59a8b7c6d5e4f30211"));
     }
     params.push((code::NAME, b"7f3a9c21e0b4d655"));
-    params.push((code::FIGURES, figures.as_bytes()));
+    params.push((code::RESOURCES, figures.as_bytes()));
     params.push((code::DESCRIPTION, b"wanted"));
-    written(|out| write_message(out, kind::SET_UP, task, &params))
+    written(|out| write_message(out, kind::START, task, &params))
 }
 
 /// The same, of an owner that waits for so long.
@@ -328,15 +330,15 @@
 }
 
 pub fn yes(task: u64) -> Vec<u8> {
-    written(|out| write_answer(out, task, b"made"))
+    written(|out| write_acceptance(out, task, b"made"))
 }
 
 /// All that was written on this connection before has been heard, and what came of it carried out: the second
 /// test is answered in a later turn than the first.
 pub fn is_heard(owner: &mut TcpStream) {
     for test in [u64::MAX - 1, u64::MAX] {
-        owner.write_all(&written(|out| write_with_cause(out, kind::TEST, test, 0))).expect("is sent");
-        assert_eq!(next(owner), (kind::TESTED, test, Some(1)));
+        owner.write_all(&written(|out| write_with_cause(out, kind::HEALTH_CHECK, test, 0))).expect("is sent");
+        assert_eq!(next(owner), (kind::HEALTH_RESULT, test, Some(1)));
     }
 }
 
@@ -372,13 +374,13 @@
     listener.set_nonblocking(false).expect("is set");
     while let Ok((mut way, _)) = listener.accept() {
         std::thread::spawn(move || {
-            let (mut frames, mut bytes) = (Frames::default(), [0; 4096]);
+            let (mut frames, mut bytes) = (FrameBuffer::default(), [0; 4096]);
             while let Ok(n @ 1..) = way.read(&mut bytes) {
-                frames.take(&bytes[..n]);
+                frames.extend(&bytes[..n]);
                 let mut out = Vec::new();
                 while let Ok(Some(frame)) = frames.next_frame() {
-                    if frame.kind == kind::SET_UP {
-                        write_answer(&mut out, frame.task, b"made");
+                    if frame.kind == kind::START {
+                        write_acceptance(&mut out, frame.task, b"made");
                     }
                 }
                 if way.write_all(&out).is_err() {
@@ -418,7 +420,7 @@
 
 /// Set-ups on a connection up to its end.
 pub fn set_ups(stream: TcpStream) -> Vec<u64> {
-    rest(stream).into_iter().filter(|(of, ..)| *of == kind::SET_UP).map(|(_, task, _)| task).collect()
+    rest(stream).into_iter().filter(|(of, ..)| *of == kind::START).map(|(_, task, _)| task).collect()
 }
 
 /// How a client leaves.
@@ -454,7 +456,7 @@
                 Some(owner)
             }
             Self::Cancel => {
-                let all: Vec<u8> = tasks.flat_map(|task| release(task, why::ENDED)).collect();
+                let all: Vec<u8> = tasks.flat_map(|task| release(task, cause_code::ENDED)).collect();
                 owner.write_all(&all).expect("is sent");
                 Some(owner)
             }
--- a/crates/planner/tests/platform.rs
+++ b/crates/planner/tests/platform.rs
@@ -3,7 +3,7 @@
 mod host;
 
 use host::*;
-use mulleinhub_platform_protocol::{kind, why, write_answer, write_with_cause};
+use mulleinhub_platform_protocol::{cause_code, kind, write_acceptance, write_with_cause};
 use rustix::process::Signal;
 use std::io::{Read, Write};
 use std::net::TcpStream;
@@ -13,8 +13,8 @@
 fn it_serves_reads_its_configuration_again_refuses_bad_bytes_and_ends_when_told() {
     let mut program = Program::start();
     let mut owner = program.owner();
-    owner.write_all(&written(|out| write_with_cause(out, kind::TEST, 1, 0))).expect("is sent");
-    assert_eq!(next(&mut owner), (kind::TESTED, 1, Some(1)));
+    owner.write_all(&written(|out| write_with_cause(out, kind::HEALTH_CHECK, 1, 0))).expect("is sent");
+    assert_eq!(next(&mut owner), (kind::HEALTH_RESULT, 1, Some(1)));
     let (_first, _) = program.bulletin.accept().expect("it calls the bulletin");
     // Bad bytes cost their own connection.
     let mut bad = program.owner();
@@ -24,9 +24,9 @@
     owner.write_all(&set_up(7)).expect("is sent");
     let (mut machine, _) = program.machine.accept().expect("it is sent to the machine");
     machine.set_read_timeout(Some(PATIENCE)).expect("is set");
-    assert_eq!(next(&mut machine), (kind::SET_UP, 7, None));
-    machine.write_all(&written(|out| write_answer(out, 7, b"made"))).expect("is sent");
-    assert_eq!(next(&mut owner), (kind::ANSWER, 7, None));
+    assert_eq!(next(&mut machine), (kind::START, 7, None));
+    machine.write_all(&written(|out| write_acceptance(out, 7, b"made"))).expect("is sent");
+    assert_eq!(next(&mut owner), (kind::ACCEPT, 7, None));
     // A faulty file leaves the old one in force; a good one moves the bulletin.
     std::fs::write(&program.conf, "{\"name\":").expect("is written");
     program.signal(Signal::HUP);
@@ -40,20 +40,22 @@
     let n = second.read(&mut call).expect("the call");
     assert!(String::from_utf8_lossy(&call[..n]).contains("Last-Event-ID: 1\r\n"));
     // What stood ends, and its owner hears of it on the connection that lived through all this.
-    machine.write_all(&written(|out| write_with_cause(out, kind::RELEASE, 7, why::ENDED))).expect("is sent");
-    assert_eq!(next(&mut owner), (kind::RELEASE, 7, Some(why::ENDED)));
-    assert_eq!(next(&mut machine).0, kind::RELEASE_HEARD);
+    machine
+        .write_all(&written(|out| write_with_cause(out, kind::RELEASE, 7, cause_code::ENDED)))
+        .expect("is sent");
+    assert_eq!(next(&mut owner), (kind::RELEASE, 7, Some(cause_code::ENDED)));
+    assert_eq!(next(&mut machine).0, kind::RELEASE_ACK);
     // The end: tests fail, set-ups are taken a while longer, and it exits with all answered.
     let told = Instant::now();
     program.signal(Signal::TERM);
     program.wait_for("tests fail from now on");
-    owner.write_all(&written(|out| write_with_cause(out, kind::TEST, 2, 0))).expect("is sent");
-    assert_eq!(next(&mut owner), (kind::TESTED, 2, Some(0)));
+    owner.write_all(&written(|out| write_with_cause(out, kind::HEALTH_CHECK, 2, 0))).expect("is sent");
+    assert_eq!(next(&mut owner), (kind::HEALTH_RESULT, 2, Some(0)));
     owner.write_all(&set_up(8)).expect("is sent");
-    assert_eq!(next(&mut machine), (kind::SET_UP, 8, None));
+    assert_eq!(next(&mut machine), (kind::START, 8, None));
     program.signal(Signal::TERM);
-    machine.write_all(&written(|out| write_answer(out, 8, b"made"))).expect("is sent");
-    assert_eq!(next(&mut owner), (kind::ANSWER, 8, None));
+    machine.write_all(&written(|out| write_acceptance(out, 8, b"made"))).expect("is sent");
+    assert_eq!(next(&mut owner), (kind::ACCEPT, 8, None));
     assert_eq!(program.exit(), Some(0), "{}", program.log());
     assert!(told.elapsed() >= Duration::from_millis(700), "set-ups were still coming");
 }
@@ -75,8 +77,8 @@
 fn both_signals_that_came_while_it_stood_still_are_acted_on() {
     let mut program = Program::start();
     let mut owner = program.owner();
-    owner.write_all(&written(|out| write_with_cause(out, kind::TEST, 1, 0))).expect("is sent");
-    assert_eq!(next(&mut owner), (kind::TESTED, 1, Some(1)));
+    owner.write_all(&written(|out| write_with_cause(out, kind::HEALTH_CHECK, 1, 0))).expect("is sent");
+    assert_eq!(next(&mut owner), (kind::HEALTH_RESULT, 1, Some(1)));
     let moved = listener(4);
     std::fs::write(&program.conf, conf(address(&program.machine), address(&moved))).expect("is written");
     for signal in [Signal::STOP, Signal::TERM, Signal::HUP, Signal::CONT] {
@@ -102,8 +104,8 @@
     let (mut placed, mut refused) = (0, 0);
     for (task, mut owner) in (100..).zip(owners) {
         match next(&mut owner) {
-            (kind::ANSWER, of, None) if of == task => placed += 1,
-            (kind::RELEASE, of, Some(why::BUSY | why::FULL)) if of == task => refused += 1,
+            (kind::ACCEPT, of, None) if of == task => placed += 1,
+            (kind::RELEASE, of, Some(cause_code::BUSY | cause_code::FULL)) if of == task => refused += 1,
             other => panic!("task {task}: {other:?}"),
         }
     }
--- a/crates/planner/tests/symptoms.rs
+++ b/crates/planner/tests/symptoms.rs
@@ -6,7 +6,7 @@
 
 use host::fleet::*;
 use host::*;
-use mulleinhub_platform_protocol::{kind, why};
+use mulleinhub_platform_protocol::{cause_code, kind};
 use rustix::process::Signal;
 use std::io::Write;
 use std::net::{SocketAddr, TcpListener};
@@ -46,7 +46,7 @@
     let client = Client::new(program.listen, 1);
     let mut owner = program.owner();
     owner.write_all(&set_up(7)).expect("is sent");
-    assert_eq!(next(&mut owner), (kind::ANSWER, 7, None));
+    assert_eq!(next(&mut owner), (kind::ACCEPT, 7, None));
     old.is_called(Instant::now() - ms(5_000), 1);
     // The first thing that the new address tells is a drain.
     let moved = Discovery::new(32);
@@ -57,7 +57,7 @@
     let drained = first.set_ups().len();
     // What stands there stands until its machine tells the end, and then the process there is gone.
     first.ends(7);
-    assert_eq!(next(&mut owner), (kind::RELEASE, 7, Some(why::ENDED)));
+    assert_eq!(next(&mut owner), (kind::RELEASE, 7, Some(cause_code::ENDED)));
     std::thread::sleep(ms(100));
     assert_eq!(first.set_ups().len(), drained, "it drains");
     first.conducts(Conduct::Dead);
@@ -128,13 +128,13 @@
     let client = Client::new(program.listen, 1);
     let mut owner = program.owner();
     owner.write_all(&set_up(7)).expect("is sent");
-    assert_eq!(next(&mut owner), (kind::ANSWER, 7, None));
+    assert_eq!(next(&mut owner), (kind::ACCEPT, 7, None));
     // As the answer to a call, where changes were expected; it drops the machine that was known.
     discovery.tells_all(2, &[line(1)]);
     goes_to(&machines, 1);
     // What stands on a machine that a whole list left out stands all the same, and its end is told.
     machines[0].ends(7);
-    assert_eq!(next(&mut owner), (kind::RELEASE, 7, Some(why::ENDED)));
+    assert_eq!(next(&mut owner), (kind::RELEASE, 7, Some(cause_code::ENDED)));
     // Whole lists in a row on an open watch, with numbers that jump, one of them empty for a moment.
     discovery.tells_all(5, &[line(2)]);
     goes_to(&machines, 2);
@@ -255,7 +255,7 @@
         owner.write_all(&set_up_of(task, "front", ";at:s-1")).expect("is sent");
         is_heard(&mut owner);
         machine.ends(task);
-        assert_eq!(next(&mut owner), (kind::RELEASE, task, Some(why::ENDED)));
+        assert_eq!(next(&mut owner), (kind::RELEASE, task, Some(cause_code::ENDED)));
         // The next life at the address is there and serves, though connections of the old one linger.
         let began = Instant::now();
         let next_life = early.next_life();
--- a/crates/platform-protocol/examples/fuzz_platform.rs
+++ b/crates/platform-protocol/examples/fuzz_platform.rs
@@ -1,8 +1,8 @@
-//! Throws mutated streams at both decoders: `cargo run --release --example fuzz_platform -- STREAMS SEED`.
+//! Feeds mutated streams to both decoders: `cargo run --release --example fuzz_platform -- STREAMS SEED`.
 //!
-//! Each stream is good messages, or a good answer of the bulletin, with bytes changed, dropped, doubled or
-//! swapped, read in pieces. Nothing may panic, more than one message and one piece may never be held, and
-//! what is read must be the same however the stream is cut.
+//! Each stream is valid messages, or a valid response with the endpoint list, with bytes changed, dropped,
+//! duplicated or truncated, read in pieces. Nothing may panic, no more than one message and one piece may be
+//! buffered, and the result must not depend on the size of the pieces.
 
 #[path = "../../protocol/examples/bytes/mod.rs"]
 mod bytes;
@@ -10,7 +10,7 @@
 use bytes::Bytes;
 use mulleinhub_platform_protocol::*;
 
-fn spoil(bytes: &mut Bytes, stream: &mut Vec<u8>) {
+fn corrupt(bytes: &mut Bytes, stream: &mut Vec<u8>) {
     for _ in 0..bytes.below(6) {
         if stream.is_empty() {
             return;
@@ -30,36 +30,39 @@
     for _ in 0..1 + bytes.below(5) {
         let task = bytes.next();
         match bytes.below(5) {
-            0 => write_setup(&mut out, task, "batch", 1_500, None, "7f3a9c21e0b4d655", b"v=0\r\n"),
-            1 => write_answer(&mut out, task, &[b'x'; 80]),
-            2 => write_refusal(&mut out, task, why::FULL, 250),
+            0 => write_start_request(&mut out, task, "batch", 1_500, None, "7f3a9c21e0b4d655", b"v=0\r\n"),
+            1 => write_acceptance(&mut out, task, &[b'x'; 80]),
+            2 => write_rejection(&mut out, task, cause_code::FULL, 250),
             3 => write_message(&mut out, kind::NOTE, task, &[(code::NOTE, b"use_cpu")]),
-            _ => write_with_cause(&mut out, kind::RELEASE, task, why::ENDED),
+            _ => write_with_cause(&mut out, kind::RELEASE, task, cause_code::ENDED),
         }
     }
     out
 }
 
-fn hear_messages(stream: &[u8], cut: usize) -> (Vec<(u8, u64, usize)>, bool) {
-    let (mut frames, mut heard) = (Frames::default(), Vec::new());
-    for piece in stream.chunks(cut) {
-        frames.take(piece);
+fn decode_messages(stream: &[u8], piece_size: usize) -> (Vec<(u8, u64, usize)>, bool) {
+    let (mut frames, mut decoded) = (FrameBuffer::default(), Vec::new());
+    for piece in stream.chunks(piece_size) {
+        frames.extend(piece);
         loop {
             match frames.next_frame() {
                 Ok(Some(frame)) => {
-                    let _ = (SetUp::read(&frame), note(&frame), cause(&frame), why(&frame));
-                    heard.push((frame.kind, frame.task, frame.params().count()));
+                    let _ = (StartRequest::parse(&frame), note(&frame), cause(&frame), reason(&frame));
+                    decoded.push((frame.kind, frame.task, frame.params().count()));
                 }
                 Ok(None) => break,
-                Err(_) => return (heard, false),
+                Err(_) => return (decoded, false),
             }
         }
-        assert!(frames.kept() <= 2 + MOST + cut, "more is held than one message and one piece");
+        assert!(
+            frames.unprocessed() <= 2 + MAX_LENGTH + piece_size,
+            "more than one message and one piece is buffered"
+        );
     }
-    (heard, true)
+    (decoded, true)
 }
 
-fn answer(bytes: &mut Bytes) -> Vec<u8> {
+fn response(bytes: &mut Bytes) -> Vec<u8> {
     let event = r#"{"no":2,"roster":{"all":false,"targets":[{"uid":"s-1","endpoint":"127.0.0.1:1","az":"a",
         "model":"m","pod_group":1,"state":"in_service","boot_ms":0,"room":[1.0,2.0]}]}}"#
         .replace('\n', "");
@@ -75,52 +78,52 @@
     text.into_bytes()
 }
 
-fn hear_answer(stream: &[u8], cut: usize) -> (Vec<String>, bool) {
-    let (mut head, mut body, mut heard) = (Head::default(), None::<Stream>, Vec::new());
-    for piece in stream.chunks(cut) {
+fn decode_response(stream: &[u8], piece_size: usize) -> (Vec<String>, bool) {
+    let (mut head, mut body, mut decoded) = (ResponseHead::default(), None::<EventStream>, Vec::new());
+    for piece in stream.chunks(piece_size) {
         let mut rest = piece.to_vec();
         if body.is_none() {
-            match head.take(piece) {
-                Ok(Some((framing, behind))) => (body, rest) = (Some(Stream::new(framing)), behind),
+            match head.feed(piece) {
+                Ok(Some((framing, behind))) => (body, rest) = (Some(EventStream::new(framing)), behind),
                 Ok(None) => continue,
-                Err(_) => return (heard, false),
+                Err(_) => return (decoded, false),
             }
         }
-        let taken = body.as_mut().expect("was made").take(&rest, |data| {
-            let _ = event(data);
-            heard.push(data.to_owned());
+        let taken = body.as_mut().expect("the head is complete").feed(&rest, |data| {
+            let _ = parse_event(data);
+            decoded.push(data.to_owned());
         });
         if taken.is_err() {
-            return (heard, false);
+            return (decoded, false);
         }
     }
-    (heard, true)
+    (decoded, true)
 }
 
 fn main() {
     let mut args = std::env::args().skip(1).map(|arg| arg.parse::<u64>().expect("a whole number"));
     let (streams, seed) = (args.next().unwrap_or(200_000), args.next().unwrap_or(1));
     let mut bytes = Bytes(seed | 1);
-    let (mut whole, mut refused) = (0u64, 0u64);
+    let (mut accepted, mut rejected) = (0u64, 0u64);
     for _ in 0..streams {
-        let cut = 1 + bytes.below(40);
+        let piece_size = 1 + bytes.below(40);
         let mut stream = messages(&mut bytes);
-        spoil(&mut bytes, &mut stream);
-        let heard = hear_messages(&stream, cut);
-        assert_eq!(heard, hear_messages(&stream, stream.len().max(1)), "{stream:02x?}");
-        let mut stream = answer(&mut bytes);
-        spoil(&mut bytes, &mut stream);
-        let told = hear_answer(&stream, cut);
+        corrupt(&mut bytes, &mut stream);
+        let decoded = decode_messages(&stream, piece_size);
+        assert_eq!(decoded, decode_messages(&stream, stream.len().max(1)), "{stream:02x?}");
+        let mut stream = response(&mut bytes);
+        corrupt(&mut bytes, &mut stream);
+        let events = decode_response(&stream, piece_size);
         assert_eq!(
-            told.0,
-            hear_answer(&stream, stream.len().max(1)).0,
+            events.0,
+            decode_response(&stream, stream.len().max(1)).0,
             "{}",
             String::from_utf8_lossy(&stream)
         );
-        for is_whole in [heard.1, told.1] {
-            *(if is_whole { &mut whole } else { &mut refused }) += 1;
+        for is_accepted in [decoded.1, events.1] {
+            *(if is_accepted { &mut accepted } else { &mut rejected }) += 1;
         }
     }
-    println!("{whole} streams read, {refused} refused");
-    assert!(whole > 0 && refused > 0, "the streams were all of one kind");
+    println!("{accepted} streams read, {rejected} refused");
+    assert!(accepted > 0 && rejected > 0, "all streams were accepted, or all rejected");
 }
--- a/crates/platform-protocol/src/message.rs
+++ b/crates/platform-protocol/src/message.rs
@@ -1,39 +1,28 @@
-//! Messages but set-ups: what they say, and how they are written.
+//! Messages other than start requests: their parameters, and how all messages are written.
 
-use crate::frames::Frame;
-use crate::{code, kind};
+use crate::frame::Frame;
+use crate::{Cause, code, kind};
 
-/// Why something was refused, given up or is over.
-pub type Cause = u8;
-
-/// Causes.
-pub mod why {
-    /// The release of a task that came to its end; before an answer, a set-up given up.
-    pub const ENDED: u8 = 16;
-    pub const CANCELLED: u8 = 31;
-    /// Refused: it never ran.
-    pub const FULL: u8 = 34;
-    pub const RESET: u8 = 41;
-    /// Refused: it never ran.
-    pub const BUSY: u8 = 42;
-    pub const ERROR: u8 = 47;
-    /// It never left.
-    pub const MOOT: u8 = 102;
-}
-
-/// What a machine says of an outcome, beside the cause.
+/// Why a machine rejected or ended a task, beside the cause.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Why {
-    NoCores,
-    NoMemory,
-    LineFull,
+pub enum Reason {
+    /// Rejected: the machine has too few free cores.
+    InsufficientCores,
+    /// Rejected: the machine has too little free memory.
+    InsufficientMemory,
+    /// Rejected: the machine's queue is full.
+    QueueFull,
+    /// Rejected: the machine does not run tasks of this kind.
     NotHere,
+    /// Ended: the machine has killed the task.
     Evicted,
-    PushedOut,
-    SentAway,
+    /// Ended: a task of higher priority took its place.
+    Preempted,
+    /// Ended: the machine has dismissed the task.
+    Dismissed,
 }
 
-/// The cause, where it is there and is one byte.
+/// The cause of a message, if it has one of one byte.
 pub fn cause(frame: &Frame<'_>) -> Option<Cause> {
     match frame.param(code::CAUSE) {
         Some([cause]) => Some(*cause),
@@ -41,28 +30,28 @@
     }
 }
 
-/// The name and figure of a note; a figure that is no number is none.
+/// The name and the value of a note; a value that is not a finite number counts as none.
 pub fn note<'a>(frame: &Frame<'a>) -> Option<(&'a str, Option<f64>)> {
-    let figure = frame.text(code::FIGURE).and_then(|text| text.parse::<f64>().ok());
-    Some((frame.text(code::NOTE)?, figure.filter(|figure| figure.is_finite())))
+    let value = frame.text(code::VALUE).and_then(|text| text.parse::<f64>().ok());
+    Some((frame.text(code::NOTE)?, value.filter(|value| value.is_finite())))
 }
 
-/// What a refusal or release says of its reason.
-pub fn why(frame: &Frame<'_>) -> Option<Why> {
+/// The reason of a rejection or release, if the machine gives a known one.
+pub fn reason(frame: &Frame<'_>) -> Option<Reason> {
     Some(match frame.text(code::NOTE)? {
-        "lack_cpu" => Why::NoCores,
-        "lack_ram" => Why::NoMemory,
-        "backlog" => Why::LineFull,
-        "unfit" => Why::NotHere,
-        "killed" => Why::Evicted,
-        "displaced" => Why::PushedOut,
-        "dismissed" => Why::SentAway,
+        "lack_cpu" => Reason::InsufficientCores,
+        "lack_ram" => Reason::InsufficientMemory,
+        "backlog" => Reason::QueueFull,
+        "unfit" => Reason::NotHere,
+        "killed" => Reason::Evicted,
+        "displaced" => Reason::Preempted,
+        "dismissed" => Reason::Dismissed,
         _ => return None,
     })
 }
 
-/// Writes a message: its length is put in once its parameters are there.
-fn message(out: &mut Vec<u8>, kind: u8, task: u64, params: impl FnOnce(&mut Vec<u8>)) {
+/// Appends a message; its length field is filled in after its parameters are written.
+fn append_message(out: &mut Vec<u8>, kind: u8, task: u64, params: impl FnOnce(&mut Vec<u8>)) {
     let start = out.len();
     out.extend_from_slice(&[0, 0, kind]);
     out.extend_from_slice(&task.to_be_bytes());
@@ -71,52 +60,60 @@
     out[start..start + 2].copy_from_slice(&length.to_be_bytes());
 }
 
-fn param(out: &mut Vec<u8>, code: u8, value: &[u8]) {
+fn append_param(out: &mut Vec<u8>, code: u8, value: &[u8]) {
     out.push(code);
     out.extend_from_slice(&u16::try_from(value.len()).expect("a value is bounded").to_be_bytes());
     out.extend_from_slice(value);
 }
 
-/// Any message of these parameters.
+/// Appends a message with these parameters.
+///
+/// # Panics
+/// Like all writers, if the message doesn't fit its 16-bit length field.
 pub fn write_message(out: &mut Vec<u8>, kind: u8, task: u64, params: &[(u8, &[u8])]) {
-    message(out, kind, task, |out| params.iter().for_each(|(code, value)| param(out, *code, value)));
+    append_message(out, kind, task, |out| {
+        params.iter().for_each(|(code, value)| append_param(out, *code, value));
+    });
 }
 
+/// Appends a message that has only a cause.
 pub fn write_with_cause(out: &mut Vec<u8>, kind: u8, task: u64, cause: Cause) {
     write_message(out, kind, task, &[(code::CAUSE, &[cause])]);
 }
 
-pub fn write_refusal(out: &mut Vec<u8>, task: u64, cause: Cause, stay_away_ms: u64) {
-    message(out, kind::RELEASE, task, |out| {
-        if stay_away_ms > 0 {
-            param(out, code::STAY_AWAY, stay_away_ms.to_string().as_bytes());
+/// Appends a rejection; the time after which to retry is omitted if it is 0.
+pub fn write_rejection(out: &mut Vec<u8>, task: u64, cause: Cause, retry_after_ms: u64) {
+    append_message(out, kind::RELEASE, task, |out| {
+        if retry_after_ms > 0 {
+            append_param(out, code::RETRY_AFTER, retry_after_ms.to_string().as_bytes());
         }
-        param(out, code::CAUSE, &[cause]);
+        append_param(out, code::CAUSE, &[cause]);
     });
 }
 
-/// The description goes on as it came.
-pub fn write_answer(out: &mut Vec<u8>, task: u64, description: &[u8]) {
-    write_message(out, kind::ANSWER, task, &[(code::DESCRIPTION, description)]);
+/// Appends an acceptance; the description is forwarded unchanged.
+pub fn write_acceptance(out: &mut Vec<u8>, task: u64, description: &[u8]) {
+    write_message(out, kind::ACCEPT, task, &[(code::DESCRIPTION, description)]);
 }
 
-/// A set-up for a machine, of the parts that go on unchanged and how long it is waited for.
-pub fn write_setup(
+/// Appends a start request for a machine, of the parts that are forwarded unchanged and the time that the
+/// requester waits.
+pub fn write_start_request(
     out: &mut Vec<u8>,
     task: u64,
     class: &str,
-    patience_ms: u64,
-    key: Option<&str>,
+    timeout_ms: u64,
+    idempotency_key: Option<&str>,
     name: &str,
     description: &[u8],
 ) {
-    message(out, kind::SET_UP, task, |out| {
-        param(out, code::CLASS, class.as_bytes());
-        param(out, code::PATIENCE, patience_ms.to_string().as_bytes());
-        if let Some(key) = key {
-            param(out, code::KEY, key.as_bytes());
+    append_message(out, kind::START, task, |out| {
+        append_param(out, code::CLASS, class.as_bytes());
+        append_param(out, code::TIMEOUT, timeout_ms.to_string().as_bytes());
+        if let Some(key) = idempotency_key {
+            append_param(out, code::IDEMPOTENCY_KEY, key.as_bytes());
         }
-        param(out, code::NAME, name.as_bytes());
-        param(out, code::DESCRIPTION, description);
+        append_param(out, code::NAME, name.as_bytes());
+        append_param(out, code::DESCRIPTION, description);
     });
 }
--- a/crates/platform/src/conf.rs
+++ b/crates/platform/src/conf.rs
@@ -1,6 +1,6 @@
 //! The configuration that the platform gives.
 
-use mulleinhub_platform_protocol::{Known, known};
+use mulleinhub_platform_protocol::{InitialEvents, parse_initial_events};
 use mulleinhub_platform_settings::PlatformSettings;
 use serde_json::Value;
 
@@ -13,7 +13,7 @@
     pub memory_mb: usize,
     pub descriptors: usize,
     pub bulletin: String,
-    pub known: Known,
+    pub known: InitialEvents,
     pub site: PlatformSettings,
 }
 
@@ -39,7 +39,8 @@
             memory_mb: limit("memory_mb")?,
             descriptors: limit("sockets")?,
             bulletin: text("bulletin")?,
-            known: known(value.get("known").cloned().unwrap_or_default()).map_err(|bad| bad.to_string())?,
+            known: parse_initial_events(value.get("known").cloned().unwrap_or_default())
+                .map_err(|bad| bad.to_string())?,
             site: PlatformSettings::from_json(settings)?,
         })
     }
--- a/crates/platform/src/desk.rs
+++ b/crates/platform/src/desk.rs
@@ -12,7 +12,7 @@
     AcceptBudget, AdmissionControl, ConnectionLimits, ConnectionPool, MAX_CONNECTIONS_PER_MACHINE,
     machine_connection_limit, max_tasks_in_flight, max_tasks_tracked,
 };
-use mulleinhub_platform_protocol::{self as protocol, Cause, Event, kind, why};
+use mulleinhub_platform_protocol::{self as protocol, Cause, ListEvent, cause_code, kind};
 use mulleinhub_platform_settings::PlatformSettings;
 use mulleinhub_resilience::{MAX_POLL_INTERVAL, PauseDetector, backoff};
 use mulleinhub_sans_io::{CloseReason, ConnectionId, Connections, Timers};
@@ -105,7 +105,7 @@
     /// One name for all owners: the platform's have none.
     pub owners_name: Arc<str>,
     /// The list that the configuration knew; told first.
-    pub saved: Vec<Event>,
+    pub saved: Vec<ListEvent>,
     /// Connections to machines on which something came in.
     arrivals: VecDeque<ConnectionId>,
     /// Owners of whom more came than is heard in a turn.
@@ -158,7 +158,7 @@
             links: Connections::default(),
             owners: Owners::default(),
             machines: Machines::default(),
-            watch: Watch::new(conf.bulletin, conf.known.no),
+            watch: Watch::new(conf.bulletin, conf.known.sequence),
             tasks: Tasks::default(),
             pool: ConnectionPool::new(machine_connection_limit(conf.descriptors)),
             doorway,
@@ -166,7 +166,7 @@
             most_held: max_tasks_tracked(conf.memory_mb),
             handovers: HandOvers::default(),
             owners_name: "owner".into(),
-            saved: conf.known.items,
+            saved: conf.known.events,
             arrivals: VecDeque::new(),
             rest: Vec::new(),
             closings: VecDeque::new(),
@@ -226,13 +226,13 @@
             let Some(since) = owner.gives_way else { continue };
             let until = since + self.limits.settings().eviction_grace;
             let speaks =
-                owner.queued || owner.frames.has_next() || !owner.open.is_empty() || owner.end.is_some();
+                owner.queued || owner.frames.has_frame() || !owner.open.is_empty() || owner.end.is_some();
             // Met: of as many new owners as there were places for, all beyond an eighth of the descriptors
             // were ended in the middle of their first set-up, which came in pieces.
             let has_room = self.owners.by_link.len() <= self.limits.current_limit();
             if speaks || (has_room && self.is_within_a_message(link)) {
                 self.stays(link);
-            } else if owner.frames.kept() > 0 && until > self.now {
+            } else if owner.frames.unprocessed() > 0 && until > self.now {
                 // The rest of a message may be on its way. Met: whoever sent a part of one kept its place for
                 // two seconds beyond all limits, and such clients took every descriptor there was.
                 self.owners.giving_way.push(link);
@@ -320,12 +320,12 @@
             Some(Who::Owner) => {
                 let turns = self.stood.iterations();
                 let owner = self.owners.by_link.get_mut(&link).expect("is one");
-                owner.frames.take(bytes);
+                owner.frames.extend(bytes);
                 owner.heard_at = now;
                 if !owner.queued {
                     owner.since = (now, turns);
                 }
-                if self.limits.should_pause_reading(owner.frames.kept()) {
+                if self.limits.should_pause_reading(owner.frames.unprocessed()) {
                     self.links.set_reading_paused(link, true);
                 }
                 self.limits.record_activity(now, link.0);
@@ -335,7 +335,7 @@
                 self.pool.touch(now, link.0);
                 let connection = self.machines.connections.get_mut(&link).expect("is one");
                 connection.used_at = now;
-                connection.frames.take(bytes);
+                connection.frames.extend(bytes);
                 self.queue_machine(link);
             }
             Some(Who::Watch) => {
@@ -575,7 +575,9 @@
         self.pool.insert(now, link.0);
         self.machines.connections.insert(link, Connection::new(id, now));
         for task in cuts {
-            self.send(link, |out| protocol::write_with_cause(out, kind::RELEASE, task.0, why::CANCELLED));
+            self.send(link, |out| {
+                protocol::write_with_cause(out, kind::RELEASE, task.0, cause_code::CANCELLED)
+            });
         }
         self.timers.schedule(now + self.patience.connect, Due::Up(link));
         self.look_after(id);
@@ -588,7 +590,7 @@
         let connection = connection.or_else(|| self.machines.connections_of(id).map(|(link, _)| link).next());
         if let Some(connection) = connection.or_else(|| self.open_connection(id)) {
             self.send(connection, |out| {
-                protocol::write_with_cause(out, kind::RELEASE, task.0, why::CANCELLED)
+                protocol::write_with_cause(out, kind::RELEASE, task.0, cause_code::CANCELLED)
             });
         } else if let Some(machine) = self.machines.by_id.get_mut(&id) {
             machine.cuts.push(task);
@@ -668,7 +670,7 @@
         let patience = (open.due - now).nanos() / 1_000_000;
         let wanted = job.wanted.as_ref().expect("is kept until the task stands");
         self.scratch.clear();
-        protocol::write_setup(
+        protocol::write_start_request(
             &mut self.scratch,
             id.0,
             class,
@@ -762,7 +764,7 @@
             return Some(if connection.up { Outcome::NotSent } else { Outcome::NoConnection });
         }
         connection.gives_up(id, cut);
-        self.send(link, |out| protocol::write_with_cause(out, kind::RELEASE, id.0, why::ENDED));
+        self.send(link, |out| protocol::write_with_cause(out, kind::RELEASE, id.0, cause_code::ENDED));
         None
     }
 
--- a/crates/platform/src/hear.rs
+++ b/crates/platform/src/hear.rs
@@ -14,7 +14,8 @@
 };
 use mulleinhub_limits::Action;
 use mulleinhub_platform_protocol::{
-    self as protocol, Bad, Cause, Frame, Listed, SetUp, Unusable, Why, kind, why,
+    self as protocol, Cause, Endpoint, Frame, InvalidRequest, ProtocolError, Reason, StartRequest,
+    cause_code, kind,
 };
 use mulleinhub_resilience::backoff;
 use mulleinhub_sans_io::{CloseReason, ConnectionId, Unsent};
@@ -35,14 +36,14 @@
 /// The first turn: the list that the configuration knew, and the call for what came since.
 pub fn begin(desk: &RefCell<Desk>, round: &mut dyn PolicyEvents) {
     let saved = std::mem::take(&mut desk.borrow_mut().saved);
-    let mut all: BTreeMap<String, Listed> = BTreeMap::new();
+    let mut all: BTreeMap<String, Endpoint> = BTreeMap::new();
     for event in saved {
-        if event.roster.all {
+        if event.change.is_snapshot {
             all.clear();
         }
-        all.extend(event.roster.targets.into_iter().map(|listed| (listed.uid.clone(), listed)));
+        all.extend(event.change.endpoints.into_iter().map(|listed| (listed.name.clone(), listed)));
     }
-    let known: Vec<Listed> = all.into_values().collect();
+    let known: Vec<Endpoint> = all.into_values().collect();
     list(desk, round, ListKind::Cached, &known);
     let d = &mut *desk.borrow_mut();
     d.open_watch();
@@ -74,12 +75,12 @@
 pub fn bulletin(desk: &RefCell<Desk>, round: &mut dyn PolicyEvents) {
     let events = std::mem::take(&mut desk.borrow_mut().watch.events);
     for event in events {
-        let kind = if event.roster.all { ListKind::Snapshot } else { ListKind::Delta };
-        list(desk, round, kind, &event.roster.targets);
+        let kind = if event.change.is_snapshot { ListKind::Snapshot } else { ListKind::Delta };
+        list(desk, round, kind, &event.change.endpoints);
     }
 }
 
-fn list(desk: &RefCell<Desk>, round: &mut dyn PolicyEvents, kind: ListKind, targets: &[Listed]) {
+fn list(desk: &RefCell<Desk>, round: &mut dyn PolicyEvents, kind: ListKind, targets: &[Endpoint]) {
     let entries: Vec<MachineEntry> = {
         let d = &mut *desk.borrow_mut();
         let entries: Vec<MachineEntry> = targets.iter().map(|listed| entry(d, listed)).collect();
@@ -88,7 +89,7 @@
         }
         let mut by_address = None;
         for (listed, entry) in targets.iter().zip(&entries) {
-            is_listed(d, &mut by_address, &listed.endpoint, *entry);
+            is_listed(d, &mut by_address, &listed.address, *entry);
         }
         entries
     };
@@ -117,22 +118,23 @@
         .forget_gone(|id| tasks.by_id.values().any(|job| job.open.is_some_and(|open| open.machine == id)));
 }
 
-fn entry(d: &Desk, listed: &Listed) -> MachineEntry {
+fn entry(d: &Desk, listed: &Endpoint) -> MachineEntry {
     let place = |names: &[String], name: &str| names.iter().position(|known| known == name);
     MachineEntry {
-        id: id_of(&listed.uid),
-        kind: KindId(place(&d.site.names.kinds, &listed.model).unwrap_or(usize::MAX)),
+        id: id_of(&listed.name),
+        kind: KindId(place(&d.site.names.kinds, &listed.kind).unwrap_or(usize::MAX)),
         // A number that only has to differ.
-        cell: CellId(listed.pod_group as u32),
-        zone: ZoneId(place(&d.site.names.zones, &listed.az).map_or(u32::MAX, |at| at as u32)),
+        cell: CellId(listed.cell as u32),
+        zone: ZoneId(place(&d.site.names.zones, &listed.zone).map_or(u32::MAX, |at| at as u32)),
         mode: match listed.state.as_str() {
             "in_service" => MachineState::Active,
             "terminated" => MachineState::Removed,
             // Nothing new goes where the state is not understood.
             _ => MachineState::Draining,
         },
-        since: (listed.boot_ms > 0).then(|| Timestamp::from_nanos(listed.boot_ms.saturating_mul(1_000_000))),
-        left: listed.room.map(|(cores, memory)| Resources::new(cores, memory)),
+        since: (listed.late_start_ms > 0)
+            .then(|| Timestamp::from_nanos(listed.late_start_ms.saturating_mul(1_000_000))),
+        left: listed.free.map(|(cores, memory)| Resources::new(cores, memory)),
     }
 }
 
@@ -234,8 +236,8 @@
     let d = &mut *borrowed;
     let now = d.now;
     let Some(owner) = d.owners.by_link.get_mut(&link) else { return };
-    frames.tidy();
-    let (partial, more) = (frames.kept() > 0, frames.has_next());
+    frames.release_if_empty();
+    let (partial, more) = (frames.unprocessed() > 0, frames.has_frame());
     owner.frames = frames;
     if heard_any {
         d.limits.frame_completed(link.0);
@@ -276,18 +278,20 @@
     round: &mut dyn PolicyEvents,
     link: ConnectionId,
     frame: &Frame<'_>,
-) -> Result<(), Bad> {
+) -> Result<(), ProtocolError> {
     match frame.kind {
-        kind::SET_UP => set_up(desk, round, link, frame)?,
+        kind::START => set_up(desk, round, link, frame)?,
         kind::RELEASE => given_up(&mut desk.borrow_mut(), link, TaskId(frame.task)),
-        kind::TEST => {
+        kind::HEALTH_CHECK => {
             let d = &mut *desk.borrow_mut();
             greets(d, link);
             let passes = d.ending.is_none();
-            d.send(link, |out| protocol::write_with_cause(out, kind::TESTED, frame.task, u8::from(passes)));
+            d.send(link, |out| {
+                protocol::write_with_cause(out, kind::HEALTH_RESULT, frame.task, u8::from(passes))
+            });
         }
-        kind::RELEASE_HEARD | kind::PROGRESS | kind::NOTE => {}
-        other => return Err(Bad(format!("a message of type {other}"))),
+        kind::RELEASE_ACK | kind::PROGRESS | kind::NOTE => {}
+        other => return Err(ProtocolError(format!("a message of type {other}"))),
     }
     Ok(())
 }
@@ -311,12 +315,13 @@
     round: &mut dyn PolicyEvents,
     link: ConnectionId,
     frame: &Frame<'_>,
-) -> Result<(), Bad> {
+) -> Result<(), ProtocolError> {
     let mut borrowed = desk.borrow_mut();
     let d = &mut *borrowed;
     let id = TaskId(frame.task);
-    let read = SetUp::read(frame).and_then(|setup| usable(d, &setup).map(|case| (setup, case)));
-    if let (Ok((setup, case)), Some(uid)) = (&read, read.as_ref().ok().and_then(|(s, _)| s.figures.at)) {
+    let read = StartRequest::parse(frame).and_then(|setup| usable(d, &setup).map(|case| (setup, case)));
+    if let (Ok((setup, case)), Some(uid)) = (&read, read.as_ref().ok().and_then(|(s, _)| s.resources.machine))
+    {
         // It may name what is held already.
         if d.tasks.by_id.contains_key(&id) {
             return Ok(());
@@ -326,7 +331,7 @@
             return Ok(());
         }
         if d.tasks.by_id.len() + d.handovers.waiting.len() >= d.most_held {
-            return refuse_unusable(d, link, id, &Unusable("one more than can be held"));
+            return refuse_unusable(d, link, id, &InvalidRequest("one more than can be held"));
         }
         let order = order(setup, *case, Timestamp::from_nanos(u64::MAX));
         if !d.machines.by_id.contains_key(&machine) {
@@ -342,7 +347,7 @@
         return Ok(());
     }
     if d.tasks.by_id.contains_key(&id) {
-        return Err(Bad("an id that is in hand already".into()));
+        return Err(ProtocolError("an id that is in hand already".into()));
     }
     let (setup, case) = match read {
         Ok(read) => read,
@@ -352,31 +357,31 @@
     let lay =
         d.owners.by_link.get(&link).map_or(Duration::ZERO, |owner| d.stood.queued_for(d.now, owner.since));
     let longest = d.site.use_cases[case.0].client_timeout;
-    let patience = Duration::from_nanos(setup.patience_ms * 1_000_000).min(longest) - lay;
+    let patience = Duration::from_nanos(setup.timeout_ms * 1_000_000).min(longest) - lay;
     if d.is_closed() || patience == Duration::ZERO {
-        d.send(link, |out| protocol::write_refusal(out, id.0, why::FULL, 0));
+        d.send(link, |out| protocol::write_rejection(out, id.0, cause_code::FULL, 0));
         return Ok(());
     }
     if d.owners.by_link.get(&link).is_some_and(|owner| owner.turned_away) {
         let away = NO_ROOM_AWAY.nanos() / 1_000_000;
-        d.send(link, |out| protocol::write_refusal(out, id.0, why::BUSY, away));
+        d.send(link, |out| protocol::write_rejection(out, id.0, cause_code::BUSY, away));
         return Ok(());
     }
     if d.tasks.by_id.len() >= d.most_held {
         let away = longest.nanos() / 1_000_000;
-        d.send(link, |out| protocol::write_refusal(out, id.0, why::BUSY, away));
+        d.send(link, |out| protocol::write_rejection(out, id.0, cause_code::BUSY, away));
         return Ok(());
     }
-    if let Err(away) = d.admission.try_admit(d.now, setup.figures.service) {
+    if let Err(away) = d.admission.try_admit(d.now, setup.resources.service) {
         let away = away.nanos() / 1_000_000;
-        d.send(link, |out| protocol::write_refusal(out, id.0, why::BUSY, away));
+        d.send(link, |out| protocol::write_rejection(out, id.0, cause_code::BUSY, away));
         return Ok(());
     }
     let deadline = d.now + patience;
     let order = order(&setup, case, d.answered_by().map_or(deadline, |by| deadline.min(by)));
     let wanted = Wanted {
         name: setup.name.to_owned(),
-        key: setup.key.map(str::to_owned),
+        key: setup.idempotency_key.map(str::to_owned),
         description: setup.description.to_owned(),
     };
     let job = Job { wanted: Some(Box::new(wanted)), ..Job::new(order, link) };
@@ -421,46 +426,51 @@
 }
 
 /// The connection lives; "errored" promises nothing.
-fn refuse_unusable(d: &mut Desk, link: ConnectionId, id: TaskId, unusable: &Unusable) -> Result<(), Bad> {
+fn refuse_unusable(
+    d: &mut Desk,
+    link: ConnectionId,
+    id: TaskId,
+    unusable: &InvalidRequest,
+) -> Result<(), ProtocolError> {
     d.counts.unusable += 1;
     d.grumble("a set-up can't be used", unusable.0);
-    d.send(link, |out| protocol::write_refusal(out, id.0, why::ERROR, 0));
+    d.send(link, |out| protocol::write_rejection(out, id.0, cause_code::ERROR, 0));
     Ok(())
 }
 
 /// Which use case it is of, where all that it says can be so.
-fn usable(d: &Desk, setup: &SetUp<'_>) -> Result<UseCaseId, Unusable> {
+fn usable(d: &Desk, setup: &StartRequest<'_>) -> Result<UseCaseId, InvalidRequest> {
     let case = d.site.names.use_cases.iter().position(|name| name == setup.class);
-    let case = case.ok_or(Unusable("an unknown class"))?;
+    let case = case.ok_or(InvalidRequest("an unknown class"))?;
     let use_case = &d.site.use_cases[case];
-    if matches!(use_case.effect, Idempotency::Keyed { .. }) && setup.key.is_none() {
-        return Err(Unusable("no key in a class that has keys"));
+    if matches!(use_case.effect, Idempotency::Keyed { .. }) && setup.idempotency_key.is_none() {
+        return Err(InvalidRequest("no key in a class that has keys"));
     }
     if std::str::from_utf8(setup.description).is_err() {
-        return Err(Unusable("a description that is no text"));
+        return Err(InvalidRequest("a description that is no text"));
     }
     let taking = &d.site.acceptance;
     let largest = d.site.machine_kinds.iter().fold(Resources::ZERO, |most, size| most.at_least(*size));
-    let asked = Resources::new(setup.figures.cores, setup.figures.memory);
+    let asked = Resources::new(setup.resources.cores, setup.resources.memory);
     if !(largest + taking.beyond(largest)).fits(asked) {
-        return Err(Unusable("more than any machine takes"));
+        return Err(InvalidRequest("more than any machine takes"));
     }
     let longest = use_case.client_timeout.nanos() / 1_000_000;
-    if setup.figures.at.is_none() && setup.patience_ms > longest.saturating_mul(ABSURD) {
-        return Err(Unusable("a wait beyond all reason"));
+    if setup.resources.machine.is_none() && setup.timeout_ms > longest.saturating_mul(ABSURD) {
+        return Err(InvalidRequest("a wait beyond all reason"));
     }
     Ok(UseCaseId(case))
 }
 
-fn order(setup: &SetUp<'_>, use_case: UseCaseId, deadline: Timestamp) -> TaskSpec {
+fn order(setup: &StartRequest<'_>, use_case: UseCaseId, deadline: Timestamp) -> TaskSpec {
     TaskSpec {
         id: TaskId(setup.task),
         key: TaskKey(setup.name_number),
         use_case,
-        service: ServiceId(setup.figures.service),
-        ask: Resources::new(setup.figures.cores, setup.figures.memory),
+        service: ServiceId(setup.resources.service),
+        ask: Resources::new(setup.resources.cores, setup.resources.memory),
         deadline,
-        again: setup.again,
+        again: setup.is_retry,
     }
 }
 
@@ -512,7 +522,7 @@
 /// A connection that speaks wrongly is ended by us. Nothing that was taken on it is left without an answer.
 fn close_owner(d: &mut Desk, link: ConnectionId) {
     for id in open_on(d, link) {
-        d.send(link, |out| protocol::write_refusal(out, id.0, why::ERROR, 0));
+        d.send(link, |out| protocol::write_rejection(out, id.0, cause_code::ERROR, 0));
         abandon(d, id);
     }
     d.drop_owner(link);
@@ -566,7 +576,7 @@
     }
     let d = &mut *desk.borrow_mut();
     let Some(connection) = d.machines.connections.get_mut(&link) else { return };
-    frames.tidy();
+    frames.release_if_empty();
     connection.frames = frames;
     if let Some(end) = connection.end {
         connection_ended(d, link, end);
@@ -578,12 +588,12 @@
     round: &mut dyn PolicyEvents,
     link: ConnectionId,
     frame: &Frame<'_>,
-) -> Result<(), Bad> {
+) -> Result<(), ProtocolError> {
     let id = TaskId(frame.task);
     let mut borrowed = desk.borrow_mut();
     let d = &mut *borrowed;
     match frame.kind {
-        kind::ANSWER | kind::NOTE => d.machines.shows_life(d.said_at(), link),
+        kind::ACCEPT | kind::NOTE => d.machines.shows_life(d.said_at(), link),
         kind::RELEASE if d.tasks.by_id.get(&id).is_some_and(|job| job.placed().is_some()) => {
             d.machines.shows_life(d.said_at(), link);
         }
@@ -603,16 +613,18 @@
     link: ConnectionId,
     id: TaskId,
     frame: &Frame<'_>,
-) -> Result<(), Bad> {
+) -> Result<(), ProtocolError> {
     match frame.kind {
-        kind::ANSWER => {
+        kind::ACCEPT => {
             let description = frame.param(protocol::code::DESCRIPTION);
-            let description = description.ok_or_else(|| Bad("an answer without a description".into()))?;
+            let description =
+                description.ok_or_else(|| ProtocolError("an answer without a description".into()))?;
             stands(desk, round, link, id, description);
         }
         kind::RELEASE => {
-            let cause = protocol::cause(frame).ok_or_else(|| Bad("a release without a cause".into()))?;
-            released(desk, round, link, id, cause, protocol::why(frame));
+            let cause =
+                protocol::cause(frame).ok_or_else(|| ProtocolError("a release without a cause".into()))?;
+            released(desk, round, link, id, cause, protocol::reason(frame));
         }
         kind::NOTE => {
             let placed = {
@@ -633,8 +645,8 @@
                 }
             }
         }
-        kind::PROGRESS | kind::RELEASE_HEARD | kind::TESTED => {}
-        other => return Err(Bad(format!("a message of type {other}"))),
+        kind::PROGRESS | kind::RELEASE_ACK | kind::HEALTH_RESULT => {}
+        other => return Err(ProtocolError(format!("a message of type {other}"))),
     }
     Ok(())
 }
@@ -660,7 +672,7 @@
         let cut = at.and_then(|at| connection.given_up.remove(at)).is_some_and(|(_, cut)| cut);
         d.counts.late_yes += u64::from(at.is_some());
         if cut {
-            d.send(link, |out| protocol::write_with_cause(out, kind::RELEASE, id.0, why::CANCELLED));
+            d.send(link, |out| protocol::write_with_cause(out, kind::RELEASE, id.0, cause_code::CANCELLED));
         }
         return;
     };
@@ -680,7 +692,7 @@
     answered_by(d, open.machine, id, open.number);
     if let Some(owner) = owner {
         proves(d, owner);
-        d.send(owner, |out| protocol::write_answer(out, id.0, description));
+        d.send(owner, |out| protocol::write_acceptance(out, id.0, description));
     }
     d.look_after(open.machine);
     drop(borrowed);
@@ -702,17 +714,20 @@
     link: ConnectionId,
     id: TaskId,
     cause: Cause,
-    why: Option<Why>,
+    why: Option<Reason>,
 ) {
     let open = {
         let d = &mut *desk.borrow_mut();
-        d.send(link, |out| protocol::write_message(out, kind::RELEASE_HEARD, id.0, &[]));
+        d.send(link, |out| protocol::write_message(out, kind::RELEASE_ACK, id.0, &[]));
         let Some(connection) = d.machines.connections.get_mut(&link) else { return };
         connection.given_up.retain(|(given_up, _)| *given_up != id);
         let machine = connection.machine;
         let Some(job) = d.tasks.by_id.get(&id) else {
             // A refusal is the end of a send, and whoever ended a task is owed nothing.
-            let refused = matches!(cause, why::FULL | why::BUSY | why::ERROR | why::MOOT);
+            let refused = matches!(
+                cause,
+                cause_code::FULL | cause_code::BUSY | cause_code::ERROR | cause_code::NOT_SENT
+            );
             if !refused && after_answer(cause, why) != Outcome::Cancelled {
                 d.handovers.has_ended(d.now, id, machine, cause, d.most_held);
             }
@@ -722,7 +737,7 @@
     };
     let Some(open) = open else { return };
     if open.placed_at.is_some() {
-        if matches!(cause, why::FULL | why::MOOT) && open.link != Some(link) {
+        if matches!(cause, cause_code::FULL | cause_code::NOT_SENT) && open.link != Some(link) {
             // A refusal that comes twice is no end of what was sent there after the first.
             return;
         }
@@ -735,30 +750,30 @@
     }
 }
 
-fn before_answer(cause: Cause, told: Option<Why>) -> Outcome {
+fn before_answer(cause: Cause, told: Option<Reason>) -> Outcome {
     match cause {
-        why::FULL => Outcome::Rejected(match told {
+        cause_code::FULL => Outcome::Rejected(match told {
             None => Rejection::Unspecified,
-            Some(Why::NoCores) => Rejection::InsufficientCores,
-            Some(Why::NoMemory) => Rejection::InsufficientMemory,
-            Some(Why::LineFull) => Rejection::QueueFull,
-            Some(Why::NotHere) => Rejection::NotHere,
-            Some(Why::Evicted | Why::PushedOut | Why::SentAway) => Rejection::Returned,
+            Some(Reason::InsufficientCores) => Rejection::InsufficientCores,
+            Some(Reason::InsufficientMemory) => Rejection::InsufficientMemory,
+            Some(Reason::QueueFull) => Rejection::QueueFull,
+            Some(Reason::NotHere) => Rejection::NotHere,
+            Some(Reason::Evicted | Reason::Preempted | Reason::Dismissed) => Rejection::Returned,
         }),
-        why::ERROR => Outcome::Failed,
-        why::MOOT => Outcome::NotSent,
+        cause_code::ERROR => Outcome::Failed,
+        cause_code::NOT_SENT => Outcome::NotSent,
         _ => Outcome::Lost(FailureCause::Unspecified),
     }
 }
 
-fn after_answer(cause: Cause, told: Option<Why>) -> Outcome {
+fn after_answer(cause: Cause, told: Option<Reason>) -> Outcome {
     match cause {
-        why::ENDED => Outcome::Ok,
-        why::CANCELLED => Outcome::Cancelled,
+        cause_code::ENDED => Outcome::Ok,
+        cause_code::CANCELLED => Outcome::Cancelled,
         _ => Outcome::Lost(match told {
-            Some(Why::Evicted) => FailureCause::Evicted,
-            Some(Why::PushedOut) => FailureCause::Preempted,
-            Some(Why::SentAway) => FailureCause::SentAway,
+            Some(Reason::Evicted) => FailureCause::Evicted,
+            Some(Reason::Preempted) => FailureCause::Preempted,
+            Some(Reason::Dismissed) => FailureCause::SentAway,
             _ => FailureCause::Unspecified,
         }),
     }
@@ -770,7 +785,7 @@
     loop {
         let next = desk.borrow_mut().closings.pop_front();
         let Some((id, send, ending)) = next else { return };
-        close(desk, round, id, send, ending, why::RESET);
+        close(desk, round, id, send, ending, cause_code::RESET);
     }
 }
 
@@ -912,7 +927,7 @@
                 // It may be an owner's, or nobody's: the machine may never have been.
                 d.counts.unusable += 1;
                 d.grumble("a set-up can't be used", "a machine that no list names");
-                d.tell_end(Some(waiting.owner), waiting.order.id, why::ERROR);
+                d.tell_end(Some(waiting.owner), waiting.order.id, cause_code::ERROR);
             }
         }
         Due::Watch(link) if d.watch.link == Some(link) => {
--- a/crates/platform/src/machines.rs
+++ b/crates/platform/src/machines.rs
@@ -4,7 +4,7 @@
 //! connection to itself while the bound on connections allows it, and set-ups share when it does not.
 
 use mulleinhub_interface::{Duration, MachineEntry, MachineId, MachineState, TaskId, Timestamp};
-use mulleinhub_platform_protocol::Frames;
+use mulleinhub_platform_protocol::FrameBuffer;
 use mulleinhub_resilience::SlowStartGate;
 use mulleinhub_sans_io::{CloseReason, ConnectionId};
 use std::collections::{BTreeMap, VecDeque};
@@ -16,7 +16,7 @@
 #[derive(Debug)]
 pub struct Connection {
     pub machine: MachineId,
-    pub frames: Frames,
+    pub frames: FrameBuffer,
     pub end: Option<CloseReason>,
     pub queued: bool,
     pub up: bool,
@@ -39,7 +39,7 @@
     pub fn new(machine: MachineId, now: Timestamp) -> Self {
         Self {
             machine,
-            frames: Frames::default(),
+            frames: FrameBuffer::default(),
             end: None,
             queued: false,
             up: false,
--- a/crates/platform/src/owners.rs
+++ b/crates/platform/src/owners.rs
@@ -1,13 +1,13 @@
 //! Connections of owners: what came in on them, and which tasks are to be answered there.
 
 use mulleinhub_interface::{TaskId, Timestamp};
-use mulleinhub_platform_protocol::{Cause, Frames};
+use mulleinhub_platform_protocol::{Cause, FrameBuffer};
 use mulleinhub_sans_io::{CloseReason, ConnectionId};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
 #[derive(Debug)]
 pub struct Owner {
-    pub frames: Frames,
+    pub frames: FrameBuffer,
     pub end: Option<CloseReason>,
     pub queued: bool,
     /// Since when a part of a message has been here, if one is.
@@ -34,7 +34,7 @@
 impl Owner {
     pub fn new(since: (Timestamp, u64)) -> Self {
         Self {
-            frames: Frames::default(),
+            frames: FrameBuffer::default(),
             end: None,
             queued: false,
             partial_since: None,
--- a/crates/platform/src/pen.rs
+++ b/crates/platform/src/pen.rs
@@ -8,7 +8,7 @@
 use mulleinhub_interface::{
     Dispatch, Duration, FailureDomain, Idempotency, MachineId, MachineState, Outcome, TaskId, Timestamp,
 };
-use mulleinhub_platform_protocol::{self as protocol, kind, why};
+use mulleinhub_platform_protocol::{self as protocol, cause_code, kind};
 use std::cell::RefCell;
 
 pub struct Pen<'a>(pub &'a RefCell<Desk>);
@@ -21,7 +21,7 @@
     desk.tasks.by_id.remove(&task);
     if let Some(link) = link.filter(|_| owed) {
         let away = stay_away.nanos() / 1_000_000;
-        desk.send(link, |out| protocol::write_refusal(out, task.0, cause, away));
+        desk.send(link, |out| protocol::write_rejection(out, task.0, cause, away));
     }
 }
 
@@ -76,21 +76,21 @@
         };
         assert!(harmless, "task {}: nacked though it may have run", task.0);
         desk.counts.nacked += 1;
-        answer(desk, task, why::FULL, stay_away);
+        answer(desk, task, cause_code::FULL, stay_away);
     }
 
     fn fail(&mut self, task: TaskId) {
         let desk = &mut *self.0.borrow_mut();
         assert!(desk.tasks.by_id[&task].open.is_none(), "task {}: errored with a send out", task.0);
         desk.counts.errored += 1;
-        answer(desk, task, why::ERROR, Duration::ZERO);
+        answer(desk, task, cause_code::ERROR, Duration::ZERO);
     }
 
     fn preempt(&mut self, task: TaskId) {
         let desk = &mut *self.0.borrow_mut();
         let Some(job) = desk.tasks.by_id.get(&task).filter(|job| job.placed().is_some()) else { return };
         if let Some(link) = desk.owners.to_tell(job.owner) {
-            desk.send(link, |out| protocol::write_message(out, kind::MOVE, task.0, &[]));
+            desk.send(link, |out| protocol::write_message(out, kind::MIGRATE, task.0, &[]));
         }
     }
 
--- a/crates/platform/src/stories/crossings.rs
+++ b/crates/platform/src/stories/crossings.rs
@@ -3,7 +3,7 @@
 use super::placed;
 use super::rig::*;
 use mulleinhub_interface::Duration;
-use mulleinhub_platform_protocol::{code, kind, why};
+use mulleinhub_platform_protocol::{cause_code, code, kind};
 use mulleinhub_sans_io::{CloseReason, ConnectionId, StateMachine};
 use std::collections::BTreeSet;
 
@@ -25,7 +25,7 @@
     rig.pass(ms(200));
     let (connection, _) = rig.set_ups().pop().expect("it is sent");
     rig.say(connection, &yes(1));
-    assert_eq!(rig.heard_on(owner)[0].kind, kind::ANSWER);
+    assert_eq!(rig.heard_on(owner)[0].kind, kind::ACCEPT);
 }
 
 #[test]
@@ -51,7 +51,7 @@
         let owner = rig.owner();
         rig.say(owner, &set_up(1, "front", ""));
         let (first, _) = rig.set_ups().pop().expect("it is sent");
-        rig.say(first, &release(1, why::ERROR));
+        rig.say(first, &release(1, cause_code::ERROR));
         rig.pass(ms(idle));
         rig.say(owner, &set_up(2, "batch", ""));
         let (connection, said) = rig.set_ups().pop().expect("it is sent");
@@ -65,27 +65,27 @@
     let owner = rig.owner();
     rig.say(owner, &set_up(1, "front", ""));
     let (first, _) = rig.set_ups().pop().expect("it is sent");
-    rig.say(first, &release(1, why::FULL));
+    rig.say(first, &release(1, cause_code::FULL));
     let (second, _) = rig.set_ups().pop().expect("to the other machine");
-    rig.say(second, &release(1, why::FULL));
+    rig.say(second, &release(1, cause_code::FULL));
     rig.pass(ms(1_100));
     let (third, _) = rig.set_ups().pop().expect("to the first one again, once it has rested");
     assert_eq!(rig.address_of(first), rig.address_of(third));
     // The first refusal once more, before the answer and after it.
-    rig.say(first, &release(1, why::FULL));
+    rig.say(first, &release(1, cause_code::FULL));
     assert!(rig.set_ups().is_empty() && rig.heard_on(owner).is_empty(), "the third send is out");
     rig.say(third, &yes(1));
-    rig.say(first, &release(1, why::FULL));
+    rig.say(first, &release(1, cause_code::FULL));
     let heard = rig.heard_on(owner);
-    assert_eq!((heard.len(), heard[0].kind), (1, kind::ANSWER), "{heard:?}");
-    rig.say(third, &release(1, why::ENDED));
+    assert_eq!((heard.len(), heard[0].kind), (1, kind::ACCEPT), "{heard:?}");
+    rig.say(third, &release(1, cause_code::ENDED));
     assert_eq!(rig.heard_on(owner).len(), 1);
 }
 
 #[test]
 fn the_end_of_a_send_its_time_out_and_a_cancel_in_one_turn_end_it_once_in_every_order() {
     // 0: the machine's word, 1: the owner's cancel; the time-out falls due at the instant.
-    for cause in [why::FULL, why::ERROR, why::RESET, why::MOOT] {
+    for cause in [cause_code::FULL, cause_code::ERROR, cause_code::RESET, cause_code::NOT_SENT] {
         for order in [[0, 1], [1, 0]] {
             for class in ["front", "batch"] {
                 let mut rig = Rig::new(3);
@@ -97,7 +97,7 @@
                 for event in order {
                     match event {
                         0 => rig.platform.on_data(rig.now, connection, &release(1, cause)),
-                        _ => rig.platform.on_data(rig.now, owner, &release(1, why::ENDED)),
+                        _ => rig.platform.on_data(rig.now, owner, &release(1, cause_code::ENDED)),
                     }
                 }
                 rig.turn();
@@ -123,7 +123,7 @@
     rig.turn();
     rig.pass(Duration::from_secs(2));
     let heard = rig.heard_on(owner);
-    let answers = heard.iter().filter(|said| said.kind == kind::ANSWER).count();
+    let answers = heard.iter().filter(|said| said.kind == kind::ACCEPT).count();
     let ends = heard.iter().filter(|said| said.kind == kind::RELEASE).count();
     assert!(answers <= 1 && ends <= 1 && answers + ends >= 1, "{heard:?}");
     assert_eq!(rig.platform.desk.get_mut().tasks.by_id.len(), answers.saturating_sub(ends));
@@ -146,8 +146,8 @@
     // And what is out when its machine is dropped has its answer still.
     rig.say(bulletin, format!("data: {}\n\n", event(3, true, &[listed(3, "in_service", 0)])).as_bytes());
     rig.say(connection, &yes(1));
-    assert_eq!(rig.heard_on(owner)[0].kind, kind::ANSWER);
-    rig.say(connection, &release(1, why::ENDED));
+    assert_eq!(rig.heard_on(owner)[0].kind, kind::ACCEPT);
+    rig.say(connection, &release(1, cause_code::ENDED));
     assert_eq!(rig.heard_on(owner)[0].kind, kind::RELEASE);
 }
 
@@ -201,16 +201,16 @@
     let mut rig = Rig::of(1, |conf| conf.replace(r#""memory_mb":32"#, r#""memory_mb":1"#));
     let owner = rig.owner();
     let connection = placed(&mut rig, owner, 1, "front");
-    (100..1_000).for_each(|task| rig.say(connection, &release(task, why::ENDED)));
+    (100..1_000).for_each(|task| rig.say(connection, &release(task, cause_code::ENDED)));
     assert_eq!(rig.platform.desk.get_mut().handovers.remembered(), 4 * 32);
     // Of the newest it is known, and a refusal or a cancel is no end.
-    rig.say(connection, &[release(2_000, why::FULL), release(2_001, why::CANCELLED)].concat());
+    rig.say(connection, &[release(2_000, cause_code::FULL), release(2_001, cause_code::CANCELLED)].concat());
     rig.heard_on(owner);
     for (task, is_over) in [(999, true), (2_000, false), (2_001, false)] {
         rig.say(owner, &set_up(task, "front", &format!(";at:{}", uid(1))));
         let heard = rig.heard_on(owner);
         assert_eq!(!heard.is_empty(), is_over, "{task}");
-        assert!(heard.iter().all(|said| said.param(code::CAUSE) == Some(&[why::ENDED])));
+        assert!(heard.iter().all(|said| said.param(code::CAUSE) == Some(&[cause_code::ENDED])));
     }
 }
 
@@ -221,7 +221,7 @@
     let owner = rig.owner();
     let connection = placed(&mut rig, owner, 1, "front");
     rig.pass(ms(1_000));
-    rig.say(connection, &message(kind::NOTE, 1, &[(code::NOTE, b"use_cpu"), (code::FIGURE, b"0.5")]));
+    rig.say(connection, &message(kind::NOTE, 1, &[(code::NOTE, b"use_cpu"), (code::VALUE, b"0.5")]));
     let over = rig.now;
     rig.doors.insert(address(1), Entrance::Refuses);
     // Its place in the list is not told yet: more set-ups come, and are refused on what is open.
@@ -231,13 +231,13 @@
         assert!(rig.now - over < ms(8_000), "its owner must have heard by now");
         rig.pass(ms(50));
         for said in rig.heard_on(connection) {
-            if said.kind == kind::SET_UP {
+            if said.kind == kind::START {
                 refused += 1;
-                rig.say(connection, &release(said.task, why::FULL));
+                rig.say(connection, &release(said.task, cause_code::FULL));
             }
         }
         // And passes a test that nobody sent.
-        rig.say(connection, &message(kind::TESTED, 9, &[(code::CAUSE, &[1])]));
+        rig.say(connection, &message(kind::HEALTH_RESULT, 9, &[(code::CAUSE, &[1])]));
         asked += 1;
         if asked % 20 == 0 {
             rig.say(asks, &set_up(100 + asked, "batch", ""));
@@ -293,7 +293,7 @@
 /// Its client leaves while a send waits: by a cancel, or by its end.
 fn leaves(rig: &mut Rig, owner: ConnectionId, task: u64, cancels: bool) {
     if cancels {
-        rig.say(owner, &release(task, why::ENDED));
+        rig.say(owner, &release(task, cause_code::ENDED));
     } else {
         rig.end(owner, CloseReason::Closed);
     }
@@ -341,15 +341,15 @@
     let mut rig = Rig::new(1);
     let owner = rig.owner();
     rig.say(owner, &set_up(5, "front", &format!(";at:{}", uid(2))));
-    rig.say(owner, &release(5, why::ENDED));
+    rig.say(owner, &release(5, cause_code::ENDED));
     let bulletin = rig.on(BULLETIN)[0];
     let line = event(2, false, &[listed(2, "in_service", 0)]);
     rig.say(bulletin, format!("data: {line}\n\n").as_bytes());
     rig.pass(ms(500));
     let cuts = rig.heard(|link| link != owner);
     let cut = cuts.iter().find(|(_, said)| said.task == 5).expect("its machine hears of it");
-    assert_eq!((cut.1.kind, cut.1.cause()), (kind::RELEASE, Some(why::CANCELLED)));
-    rig.say(cut.0, &release(5, why::CANCELLED));
+    assert_eq!((cut.1.kind, cut.1.cause()), (kind::RELEASE, Some(cause_code::CANCELLED)));
+    rig.say(cut.0, &release(5, cause_code::CANCELLED));
     assert!(rig.heard_on(owner).is_empty(), "whoever ended it is owed nothing");
     assert!(rig.platform.desk.get_mut().tasks.by_id.is_empty());
 }
@@ -361,7 +361,7 @@
     for task in [5, 6] {
         rig.say(owner, &set_up(task, "front", &format!(";at:{}", uid(2))));
     }
-    rig.say(owner, &release(5, why::ENDED));
+    rig.say(owner, &release(5, cause_code::ENDED));
     rig.pass(Duration::from_secs(3));
     let told: Vec<u64> = rig.heard_on(owner).iter().map(|said| said.task).collect();
     assert_eq!(told, [6], "whoever ended it is owed nothing, the other one hears in time");
@@ -377,7 +377,7 @@
     let over = rig.now;
     rig.doors.insert(address(1), Entrance::Refuses);
     rig.now = rig.now + ms(2_000);
-    rig.say(connection, &message(kind::NOTE, 1, &[(code::NOTE, b"use_cpu"), (code::FIGURE, b"0.5")]));
+    rig.say(connection, &message(kind::NOTE, 1, &[(code::NOTE, b"use_cpu"), (code::VALUE, b"0.5")]));
     while rig.heard_on(owner).is_empty() {
         assert!(rig.now - over < ms(8_000), "its owner must have heard by now");
         rig.pass(ms(20));
--- a/crates/platform/src/stories/fleet.rs
+++ b/crates/platform/src/stories/fleet.rs
@@ -2,7 +2,7 @@
 
 use super::rig::*;
 use mulleinhub_interface::Duration;
-use mulleinhub_platform_protocol::{code, kind, why};
+use mulleinhub_platform_protocol::{cause_code, code, kind};
 use mulleinhub_sans_io::{ConnectionId, ListenerId, StateMachine};
 use std::collections::BTreeSet;
 
@@ -68,7 +68,7 @@
             for (link, to) in fresh {
                 seen.insert(link);
                 if let Some(n) = (1..=machines).find(|n| address(*n) == to).filter(|n| told.insert(*n)) {
-                    rig.say(link, &release(n, why::ENDED));
+                    rig.say(link, &release(n, cause_code::ENDED));
                 }
             }
         }
@@ -114,8 +114,8 @@
     let silent = rig.owner();
     rig.say(asks, &set_up(900, "front", ""));
     let said = rig.heard_on(asks);
-    assert_eq!((said.len(), said[0].cause()), (1, Some(why::BUSY)));
-    assert!(said[0].param(code::STAY_AWAY).is_some());
+    assert_eq!((said.len(), said[0].cause()), (1, Some(cause_code::BUSY)));
+    assert!(said[0].param(code::RETRY_AFTER).is_some());
     assert!(rig.closed.contains(&asks), "and then it is ended");
     rig.pass(ms(300));
     assert!(rig.closed.contains(&silent));
@@ -145,7 +145,7 @@
     let (connection, said) = rig.set_ups().pop().expect("the same send, once there is a descriptor");
     assert_eq!((said.task, rig.platform.counts().sends), (2, 1));
     rig.say(connection, &yes(2));
-    assert_eq!(rig.heard_on(owner)[0].kind, kind::ANSWER);
+    assert_eq!(rig.heard_on(owner)[0].kind, kind::ACCEPT);
     // And for longer: what stands is not called lost for it, before silence tells.
     rig.end(connection, mulleinhub_sans_io::CloseReason::Closed);
     rig.doors.insert(address(1), Entrance::Untried);
--- a/crates/platform/src/stories/large_lists.rs
+++ b/crates/platform/src/stories/large_lists.rs
@@ -29,7 +29,7 @@
     rig.say(owner, &set_up(task, "batch", ""));
     let (connection, _) = rig.set_ups().pop().expect("it is sent at once");
     rig.say(connection, &yes(task));
-    assert_eq!(rig.heard_on(owner).pop().map(|said| said.kind), Some(kind::ANSWER));
+    assert_eq!(rig.heard_on(owner).pop().map(|said| said.kind), Some(kind::ACCEPT));
     rig.opened[&connection].clone()
 }
 
--- a/crates/platform/src/stories/mod.rs
+++ b/crates/platform/src/stories/mod.rs
@@ -8,7 +8,7 @@
 mod rules;
 
 use mulleinhub_interface::{Duration, Timestamp};
-use mulleinhub_platform_protocol::{code, kind, why};
+use mulleinhub_platform_protocol::{cause_code, code, kind};
 use mulleinhub_sans_io::{CloseReason, ConnectionId};
 use rig::*;
 
@@ -29,24 +29,24 @@
     rig.say(owner, &set_up(77, "batch", ""));
     let (connection, said) = rig.set_ups().pop().unwrap();
     assert_eq!(said.param(code::CLASS), Some(&b"batch"[..]));
-    assert_eq!(said.param(code::KEY), Some(KEY));
+    assert_eq!(said.param(code::IDEMPOTENCY_KEY), Some(KEY));
     assert_eq!(said.param(code::NAME), Some(&b"000000000000ab80"[..]));
     assert_eq!(said.param(code::DESCRIPTION), Some(&b"wanted\r\n"[..]));
-    assert!(said.param(code::FIGURES).is_none() && said.param(code::AGAIN).is_none());
+    assert!(said.param(code::RESOURCES).is_none() && said.param(code::RETRY).is_none());
     rig.say(connection, &yes(77));
     let answers = rig.heard_on(owner);
     assert_eq!(answers.len(), 1);
     assert_eq!(
         (answers[0].kind, answers[0].param(code::DESCRIPTION)),
-        (kind::ANSWER, Some(&b"made\r\n"[..]))
+        (kind::ACCEPT, Some(&b"made\r\n"[..]))
     );
     // A second yes, and one that nobody asked for, are heard without harm.
     rig.say(connection, &[yes(77), yes(78)].concat());
     rig.pass(ms(500));
-    rig.say(connection, &release(77, why::ENDED));
+    rig.say(connection, &release(77, cause_code::ENDED));
     let ends = rig.heard_on(owner);
     assert_eq!(ends.len(), 1);
-    assert_eq!((ends[0].kind, ends[0].cause()), (kind::RELEASE, Some(why::ENDED)));
+    assert_eq!((ends[0].kind, ends[0].cause()), (kind::RELEASE, Some(cause_code::ENDED)));
 }
 
 #[test]
@@ -59,7 +59,7 @@
     rig.pass(ms(500));
     let connection = rig.on(&address(2))[0];
     rig.end(owner, CloseReason::Closed);
-    rig.say(connection, &release(5, why::ENDED));
+    rig.say(connection, &release(5, cause_code::ENDED));
     rig.pass(ms(900));
     // One that only asks is not told: it need be no owner.
     let another = rig.owner();
@@ -75,17 +75,17 @@
 fn tests_fail_once_it_is_to_end_and_it_ends_only_when_all_is_answered() {
     let mut rig = Rig::new(6);
     let owner = rig.owner();
-    rig.say(owner, &message(kind::TEST, 1, &[(code::CAUSE, &[0])]));
+    rig.say(owner, &message(kind::HEALTH_CHECK, 1, &[(code::CAUSE, &[0])]));
     assert_eq!(rig.heard_on(owner)[0].cause(), Some(1));
     rig.platform.wind_down(rig.now);
-    rig.say(owner, &message(kind::TEST, 2, &[(code::CAUSE, &[0])]));
+    rig.say(owner, &message(kind::HEALTH_CHECK, 2, &[(code::CAUSE, &[0])]));
     assert_eq!(rig.heard_on(owner)[0].cause(), Some(0));
     rig.pass(ms(500));
     rig.say(owner, &set_up(9, "front", ""));
     assert_eq!(rig.set_ups().len(), 1, "still taken");
     rig.pass(ms(300));
     rig.say(owner, &set_up(10, "front", ""));
-    assert_eq!(rig.heard_on(owner)[0].cause(), Some(why::FULL), "later ones are refused at once");
+    assert_eq!(rig.heard_on(owner)[0].cause(), Some(cause_code::FULL), "later ones are refused at once");
     rig.platform.wind_down(rig.now);
     rig.pass(ms(250));
     assert!(!rig.platform.is_done(rig.now), "one is unanswered");
@@ -125,9 +125,9 @@
         let (connection, _) = rig.set_ups().pop().unwrap();
         rig.pass(ms(1_900));
         let given_up = rig.heard_on(connection);
-        assert_eq!((given_up[0].kind, given_up[0].cause()), (kind::RELEASE, Some(why::ENDED)));
+        assert_eq!((given_up[0].kind, given_up[0].cause()), (kind::RELEASE, Some(cause_code::ENDED)));
         rig.say(connection, &yes(3));
-        let cut = rig.heard_on(connection).iter().any(|said| said.cause() == Some(why::CANCELLED));
+        let cut = rig.heard_on(connection).iter().any(|said| said.cause() == Some(cause_code::CANCELLED));
         assert_eq!(cut, is_cut, "{class}");
         rig.pass(ms(1_000));
         let answers = rig.heard_on(owner);
@@ -159,7 +159,7 @@
     assert!(rig.closed.contains(&connections[0].0) && !rig.closed.contains(&connections[1].0));
     rig.say(connections[1].0, &yes(connections[1].1.task));
     let answers = rig.heard_on(owner);
-    assert!(answers.iter().any(|said| (said.kind, said.task) == (kind::ANSWER, connections[1].1.task)));
+    assert!(answers.iter().any(|said| (said.kind, said.task) == (kind::ACCEPT, connections[1].1.task)));
 }
 
 #[test]
@@ -191,7 +191,7 @@
             rig.pass(ms(100));
             assert!(rig.heard_on(way).is_empty(), "tests cost the machine work and say nothing");
             // Should it ever be asked: one that drains fails its tests.
-            rig.say(way, &message(kind::TESTED, 9, &[(code::CAUSE, &[0])]));
+            rig.say(way, &message(kind::HEALTH_RESULT, 9, &[(code::CAUSE, &[0])]));
         }
         assert!(rig.heard_on(owner).is_empty(), "it stands");
         if dies {
@@ -247,7 +247,7 @@
         for _ in 0..seconds_before {
             rig.pass(Duration::from_secs(1));
             let connection = rig.on(&cut_off)[0];
-            rig.say(connection, &message(kind::NOTE, 1, &[(code::NOTE, b"use_cpu"), (code::FIGURE, b"0.5")]));
+            rig.say(connection, &message(kind::NOTE, 1, &[(code::NOTE, b"use_cpu"), (code::VALUE, b"0.5")]));
         }
         rig.pass(ms(900));
         rig.doors.insert(cut_off.clone(), Entrance::Silent);
@@ -311,13 +311,13 @@
         set_up(0, "front", ""),
         set_up(2, "nobody", ""),
         set_up(3, "front", ";cores:1"),
-        message(kind::SET_UP, 4, &[]),
+        message(kind::START, 4, &[]),
     ];
     for bytes in unusable {
         let bad = rig.owner();
         rig.say(bad, &bytes);
         let said = rig.heard_on(bad);
-        assert_eq!((said.len(), said[0].cause()), (1, Some(why::ERROR)));
+        assert_eq!((said.len(), said[0].cause()), (1, Some(cause_code::ERROR)));
         assert!(!rig.closed.contains(&bad), "the connection lives");
     }
     let no_message = [
@@ -335,10 +335,10 @@
     }
     // Taken back by another one: untouched.
     let bad = rig.owner();
-    rig.say(bad, &release(1, why::ENDED));
+    rig.say(bad, &release(1, cause_code::ENDED));
     assert!(rig.set_ups().is_empty(), "nothing unusable was passed on");
     rig.say(connection, &yes(1));
-    assert_eq!(rig.heard_on(good)[0].kind, kind::ANSWER);
+    assert_eq!(rig.heard_on(good)[0].kind, kind::ACCEPT);
     // Two requests under one number: the first has its one answer before the connection ends.
     let bad = rig.owner();
     rig.say(bad, &[set_up(8, "front", ""), set_up(8, "front", "")].concat());
@@ -349,7 +349,7 @@
     rig.say(bad, &set_up(5, "front", ";at:s-none"));
     rig.pass(ms(2_600));
     let said = rig.heard_on(bad);
-    assert_eq!((said.len(), said[0].cause()), (1, Some(why::ERROR)));
+    assert_eq!((said.len(), said[0].cause()), (1, Some(cause_code::ERROR)));
     assert!(!rig.closed.contains(&bad), "the connection lives");
 }
 
@@ -379,11 +379,11 @@
     for n in 0..400 {
         let stays = rig.owner();
         rig.say(stays, &set_up(100 + n, "front", ""));
-        rig.say(stays, &release(100 + n, why::ENDED));
+        rig.say(stays, &release(100 + n, cause_code::ENDED));
         rig.pass(ms(2));
     }
     assert!(!rig.closed.contains(&owner), "others are let go before it");
-    rig.say(connection, &release(1, why::ENDED));
+    rig.say(connection, &release(1, cause_code::ENDED));
     assert_eq!(rig.heard_on(owner).iter().filter(|said| said.task == 1).count(), 1);
 }
 
@@ -394,13 +394,13 @@
     let at = format!(";at:{}", uid(1));
     (1..=200).for_each(|task| rig.say(owner, &set_up(task, "front", &at)));
     assert_eq!(rig.platform.desk.get_mut().tasks.by_id.len(), 4 * 32);
-    assert!(rig.heard_on(owner).iter().all(|said| said.cause() == Some(why::ERROR)));
+    assert!(rig.heard_on(owner).iter().all(|said| said.cause() == Some(cause_code::ERROR)));
     rig.say(owner, &set_up(500, "front", ""));
-    assert_eq!(rig.heard_on(owner)[0].cause(), Some(why::BUSY));
+    assert_eq!(rig.heard_on(owner)[0].cause(), Some(cause_code::BUSY));
     rig.pass(ms(500));
     let connection = rig.on(&address(1))[0];
     rig.end(owner, CloseReason::Closed);
-    (1..=128).for_each(|task| rig.say(connection, &release(task, why::ENDED)));
+    (1..=128).for_each(|task| rig.say(connection, &release(task, cause_code::ENDED)));
     assert_eq!(rig.platform.desk.get_mut().owners.owed.len(), 128);
     rig.pass(Duration::from_secs(61));
     assert!(rig.platform.desk.get_mut().owners.owed.is_empty());
@@ -412,7 +412,7 @@
     for n in 0..300u64 {
         let owner = rig.owner();
         let connection = placed(&mut rig, owner, 1_000 + n, if n % 2 == 0 { "front" } else { "batch" });
-        rig.say(connection, &release(1_000 + n, why::ENDED));
+        rig.say(connection, &release(1_000 + n, cause_code::ENDED));
         rig.end(owner, CloseReason::Closed);
         let (new, bulletin) = (100 + n, rig.on(BULLETIN)[0]);
         for (no, state) in [(2 + 2 * n, "in_service"), (3 + 2 * n, "terminated")] {
--- a/crates/platform/src/stories/ramp.rs
+++ b/crates/platform/src/stories/ramp.rs
@@ -5,7 +5,7 @@
 use super::rig::*;
 use mulleinhub::{Pcg, mix};
 use mulleinhub_interface::{Duration, Timestamp};
-use mulleinhub_platform_protocol::why;
+use mulleinhub_platform_protocol::cause_code;
 use mulleinhub_sans_io::ConnectionId;
 use std::collections::BTreeMap;
 
@@ -109,8 +109,8 @@
                 match self.chance.below(5) {
                     // A silent one now and then, and one that was lost.
                     0 => {}
-                    1 => one.rig.say(connection, &release(said.task, why::FULL)),
-                    2 => one.rig.say(connection, &release(said.task, why::ERROR)),
+                    1 => one.rig.say(connection, &release(said.task, cause_code::FULL)),
+                    2 => one.rig.say(connection, &release(said.task, cause_code::ERROR)),
                     _ => one.rig.say(connection, &yes(said.task)),
                 }
             }
--- a/crates/platform/src/stories/rig.rs
+++ b/crates/platform/src/stories/rig.rs
@@ -3,7 +3,7 @@
 
 use crate::{Conf, Platform};
 use mulleinhub_interface::{Duration, Timestamp};
-use mulleinhub_platform_protocol::{Frames, code, kind, write_message};
+use mulleinhub_platform_protocol::{FrameBuffer, code, kind, write_message};
 use mulleinhub_sans_io::{CloseReason, Command, ConnectionId, ListenerId, StateMachine};
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -45,7 +45,7 @@
     pub opened: BTreeMap<ConnectionId, String>,
     pub stuck: BTreeSet<ConnectionId>,
     owners: BTreeSet<ConnectionId>,
-    frames: BTreeMap<ConnectionId, Frames>,
+    frames: BTreeMap<ConnectionId, FrameBuffer>,
     pub raw: BTreeMap<ConnectionId, Vec<u8>>,
     heard: Vec<(ConnectionId, Said)>,
     pub closed: BTreeSet<ConnectionId>,
@@ -199,7 +199,7 @@
             return self.raw.entry(link).or_default().extend(bytes);
         }
         let frames = self.frames.entry(link).or_default();
-        frames.take(&bytes);
+        frames.extend(&bytes);
         while let Some(frame) = frames.next_frame().expect("the scheduler speaks rightly") {
             let params = frame.params().map(|(code, value)| (code, value.to_vec())).collect();
             self.heard.push((link, Said { at: self.now, kind: frame.kind, task: frame.task, params }));
@@ -283,7 +283,7 @@
         let owners = self.owners.clone();
         let all = self.heard(|link| !owners.contains(&link));
         let (set_ups, others): (Vec<_>, Vec<_>) =
-            all.into_iter().partition(|(_, said)| said.kind == kind::SET_UP);
+            all.into_iter().partition(|(_, said)| said.kind == kind::START);
         self.heard.extend(others);
         set_ups
     }
@@ -306,14 +306,14 @@
 pub fn set_up(task: u64, class: &str, more: &str) -> Vec<u8> {
     let name = format!("{:016x}", task ^ 0xabcd);
     let figures = format!("cores:1;memory:2;service:{:016x}{more}", task % 7);
-    let mut params: Vec<(u8, &[u8])> = vec![(code::CLASS, class.as_bytes()), (code::PATIENCE, b"2000")];
+    let mut params: Vec<(u8, &[u8])> = vec![(code::CLASS, class.as_bytes()), (code::TIMEOUT, b"2000")];
     if class == "batch" {
-        params.push((code::KEY, KEY));
+        params.push((code::IDEMPOTENCY_KEY, KEY));
     }
     params.push((code::NAME, name.as_bytes()));
-    params.push((code::FIGURES, figures.as_bytes()));
+    params.push((code::RESOURCES, figures.as_bytes()));
     params.push((code::DESCRIPTION, b"wanted\r\n"));
-    message(kind::SET_UP, task, &params)
+    message(kind::START, task, &params)
 }
 
 /// The same, of an owner that waits for so long.
@@ -324,7 +324,7 @@
 }
 
 pub fn yes(task: u64) -> Vec<u8> {
-    message(kind::ANSWER, task, &[(code::DESCRIPTION, b"made\r\n")])
+    message(kind::ACCEPT, task, &[(code::DESCRIPTION, b"made\r\n")])
 }
 
 pub fn release(task: u64, cause: u8) -> Vec<u8> {
--- a/crates/platform/src/stories/rules.rs
+++ b/crates/platform/src/stories/rules.rs
@@ -3,7 +3,7 @@
 use super::rig::*;
 use mulleinhub::Pcg;
 use mulleinhub_interface::{Duration, Timestamp};
-use mulleinhub_platform_protocol::{kind, why};
+use mulleinhub_platform_protocol::{cause_code, kind};
 use mulleinhub_sans_io::{CloseReason, ConnectionId, StateMachine};
 use std::collections::BTreeMap;
 
@@ -60,7 +60,7 @@
         for (link, said) in self.rig.heard(|_| true) {
             let machine = self.connections.get(&link).copied();
             match (machine, said.kind) {
-                (Some(machine), kind::SET_UP) => self.sent(link, machine, said.task, said.at),
+                (Some(machine), kind::START) => self.sent(link, machine, said.task, said.at),
                 (Some(_), kind::RELEASE) => {
                     let Some(task) = self.tasks.get_mut(&said.task) else { continue };
                     for send in task.sends.iter_mut().filter(|send| send.0 == link) {
@@ -68,7 +68,7 @@
                         (send.3, send.4) = (false, true);
                     }
                 }
-                (None, kind::ANSWER) | (None, kind::RELEASE) => {
+                (None, kind::ACCEPT) | (None, kind::RELEASE) => {
                     let task = self.tasks.get_mut(&said.task).expect("a task that was asked for");
                     // A yes that crossed its client's leaving was told to a connection that had ended.
                     let unheard = task.left && link != task.owner && task.sends.iter().any(|send| send.4);
@@ -80,8 +80,10 @@
                     task.answers += 1;
                     assert_eq!(task.answers, 1, "rule 1: a second final answer of {}", said.task);
                     assert!(said.at <= task.deadline + ms(50), "rule 1: {} was answered late", said.task);
-                    task.stands = said.kind == kind::ANSWER;
-                    let harmless = said.cause().is_some_and(|cause| [why::FULL, why::BUSY].contains(&cause));
+                    task.stands = said.kind == kind::ACCEPT;
+                    let harmless = said
+                        .cause()
+                        .is_some_and(|cause| [cause_code::FULL, cause_code::BUSY].contains(&cause));
                     let may_have_run = task.sends.iter().any(|send| send.4 || send.3);
                     assert!(
                         !(harmless && task.keyed && may_have_run),
@@ -139,7 +141,7 @@
             waiting
         } else {
             let id = waiting[chance.below(waiting.len())];
-            self.rig.platform.on_data(self.rig.now, owner, &release(id, why::ENDED));
+            self.rig.platform.on_data(self.rig.now, owner, &release(id, cause_code::ENDED));
             vec![id]
         };
         self.seen.left += gone.len();
@@ -192,11 +194,11 @@
             0 => {
                 is_over(false);
                 self.seen.refused += 1;
-                self.rig.say(link, &release(id, why::FULL));
+                self.rig.say(link, &release(id, cause_code::FULL));
             }
             1 => {
                 is_over(true);
-                self.rig.say(link, &release(id, why::ERROR));
+                self.rig.say(link, &release(id, cause_code::ERROR));
             }
             2 | 3 => {
                 for (_, task) in self.tasks.iter_mut() {
@@ -278,7 +280,7 @@
                     .filter(|(_, link)| judge.rig.opened.contains_key(link))
                     .collect();
                 if let Some((id, link)) = standing.get(chance.below(standing.len().max(1))).copied() {
-                    judge.rig.say(link, &release(id, why::ENDED));
+                    judge.rig.say(link, &release(id, cause_code::ENDED));
                     // Its owner may be told later, where none is connected, or not at all, where he ended it.
                     judge.tasks.get_mut(&id).expect("is known").over = true;
                 }
--- a/crates/platform/src/watch.rs
+++ b/crates/platform/src/watch.rs
@@ -1,7 +1,7 @@
 //! The bulletin: its connection, and the last number that was heard whole.
 
 use mulleinhub_interface::{Duration, Timestamp};
-use mulleinhub_platform_protocol::{Bad, Event, Head, Stream, event};
+use mulleinhub_platform_protocol::{EventStream, ListEvent, ProtocolError, ResponseHead, parse_event};
 use mulleinhub_sans_io::ConnectionId;
 
 /// A comment comes each second; so long without one is a standstill of the other side.
@@ -34,10 +34,10 @@
     jumped: bool,
     /// Nothing was heard on this connection yet that has a number.
     first: bool,
-    head: Head,
-    stream: Option<Stream>,
+    head: ResponseHead,
+    stream: Option<EventStream>,
     /// Events that were heard and not told yet.
-    pub events: Vec<Event>,
+    pub events: Vec<ListEvent>,
 }
 
 impl Watch {
@@ -48,7 +48,7 @@
     /// A new connection begins.
     pub fn begins(&mut self, link: ConnectionId, now: Timestamp) {
         (self.link, self.up, self.heard_at, self.began, self.first) = (Some(link), false, now, now, true);
-        (self.head, self.stream) = (Head::default(), None);
+        (self.head, self.stream) = (ResponseHead::default(), None);
     }
 
     pub fn call(&self) -> String {
@@ -65,13 +65,13 @@
     /// Where it is no stream of events, or one that leaves some out. What was whole before is kept, and
     /// nothing counts that came behind. Met: an event that could not be read was never asked for again, as
     /// good ones with later numbers followed it.
-    pub fn take(&mut self, now: Timestamp, bytes: &[u8]) -> Result<(), Bad> {
+    pub fn take(&mut self, now: Timestamp, bytes: &[u8]) -> Result<(), ProtocolError> {
         self.heard_at = now;
         let behind;
         let mut bytes = bytes;
         if self.stream.is_none() {
-            let Some((body, rest)) = self.head.take(bytes)? else { return Ok(()) };
-            self.stream = Some(Stream::new(body));
+            let Some((body, rest)) = self.head.feed(bytes)? else { return Ok(()) };
+            self.stream = Some(EventStream::new(body));
             behind = rest;
             bytes = &behind;
         }
@@ -79,22 +79,23 @@
         let (last, events, first) = (&mut self.last, &mut self.events, &mut self.first);
         let (unread, jumped) = (&mut self.unread, &mut self.jumped);
         let (mut bad, mut told) = (None, false);
-        let read = stream.take(bytes, |data| {
+        let read = stream.feed(bytes, |data| {
             if bad.is_some() {
                 return;
             }
-            match event(data) {
+            match parse_event(data) {
                 Ok(event) => {
-                    let (whole, anew) = (event.roster.all, std::mem::take(first) && event.roster.all);
-                    if event.no <= *last && !(anew && event.no < *last) {
+                    let (whole, anew) =
+                        (event.change.is_snapshot, std::mem::take(first) && event.change.is_snapshot);
+                    if event.sequence <= *last && !(anew && event.sequence < *last) {
                         return;
                     }
-                    if event.no > *last + 1 && !whole && !*jumped {
+                    if event.sequence > *last + 1 && !whole && !*jumped {
                         *jumped = true;
-                        bad = Some(Bad(format!("number {} behind {last}", event.no)));
+                        bad = Some(ProtocolError(format!("number {} behind {last}", event.sequence)));
                         return;
                     }
-                    (*last, *unread, *jumped, told) = (event.no, 0, false, true);
+                    (*last, *unread, *jumped, told) = (event.sequence, 0, false, true);
                     events.push(event);
                 }
                 // Its number with it.
@@ -114,6 +115,6 @@
 
     /// The other side has no more to tell on this connection.
     pub fn is_over(&self) -> bool {
-        self.stream.as_ref().is_some_and(Stream::is_over)
+        self.stream.as_ref().is_some_and(EventStream::is_finished)
     }
 }
