--- a/crates/replicated-log/src/entry.rs
+++ b/crates/replicated-log/src/entry.rs
@@ -130,7 +130,7 @@
         let (kind, body) = bytes.split_first_chunk::<2>().ok_or(LogError::MissingKind)?;
         let kind = u16::from_be_bytes(*kind);
         if kind != SNAPSHOT && bytes.len() > MAX_ENTRY_BYTES {
-            return Err(LogError::TooLarge { bytes: bytes.len() });
+            return Err(LogError::TooLarge { bytes: bytes.len(), limit: MAX_ENTRY_BYTES });
         }
         Ok(match kind {
             SNAPSHOT => Self::Snapshot(decoded(body)?),
--- a/crates/replicated-log/src/error.rs
+++ b/crates/replicated-log/src/error.rs
@@ -2,7 +2,6 @@
 
 use crate::balance::SplitAmount;
 use crate::digest::Digest;
-use crate::entry::MAX_ENTRY_BYTES;
 use crate::log_id::LogId;
 use crate::name::Name;
 
@@ -13,10 +12,12 @@
     MissingKind,
     /// An entry of a known kind can't be decoded.
     Malformed(String),
-    /// An entry other than a snapshot has more than [`MAX_ENTRY_BYTES`] bytes.
+    /// An entry other than a snapshot is too large.
     TooLarge {
         /// Its size in bytes.
         bytes: usize,
+        /// The maximum size in bytes.
+        limit: usize,
     },
     /// A first entry is not a snapshot.
     MissingSnapshot {
@@ -91,7 +92,7 @@
         match self {
             Self::MissingKind => f.write_str("an entry without a kind"),
             Self::Malformed(error) => write!(f, "an entry can't be read: {error}"),
-            Self::TooLarge { bytes } => write!(f, "an entry of {bytes} bytes, {MAX_ENTRY_BYTES} at most"),
+            Self::TooLarge { bytes, limit } => write!(f, "an entry of {bytes} bytes, {limit} at most"),
             Self::MissingSnapshot { number } => {
                 write!(f, "entry {number} has nothing before it and is no snapshot")
             }
--- a/crates/replicated-log/src/membership.rs
+++ b/crates/replicated-log/src/membership.rs
@@ -27,7 +27,7 @@
     Alive,
     /// It is silent for longer than usual, or the connection to it broke: it may answer late.
     Suspect,
-    /// It is silent for far longer than usual, or was never heard of.
+    /// It is silent for far longer than usual, or no heartbeat has come yet.
     Dead,
 }
 
@@ -35,7 +35,7 @@
 struct Member {
     /// Incarnation and count: the count begins anew with each incarnation.
     heartbeat: (u64, u64),
-    heard_at: Option<Timestamp>,
+    last_heartbeat_at: Option<Timestamp>,
     mean_interval: Duration,
     deviation: Duration,
     /// The connection to it broke, and no heartbeat has come since.
@@ -54,7 +54,7 @@
     pub fn new(members: impl IntoIterator<Item = Name>, interval: Duration) -> Self {
         let fresh = Member {
             heartbeat: (0, 0),
-            heard_at: None,
+            last_heartbeat_at: None,
             mean_interval: interval,
             deviation: interval * LEAST_DEVIATION,
             is_suspected: false,
@@ -70,8 +70,8 @@
         if heartbeat <= member.heartbeat {
             return false;
         }
-        if let Some(heard_at) = member.heard_at.replace(now) {
-            let gap = now - heard_at;
+        if let Some(last_heartbeat_at) = member.last_heartbeat_at.replace(now) {
+            let gap = now - last_heartbeat_at;
             let mean = member.mean_interval;
             let deviation = if gap > mean { gap - mean } else { mean - gap };
             member.mean_interval = mean.toward(gap, NEWEST_WEIGHT).max(least);
@@ -90,17 +90,19 @@
 
     /// This process was paused for so long: the others may have sent heartbeats meanwhile.
     pub fn on_process_pause(&mut self, pause: Duration) {
-        for heard_at in self.members.values_mut().filter_map(|member| member.heard_at.as_mut()) {
-            *heard_at = *heard_at + pause;
+        for last_heartbeat_at in
+            self.members.values_mut().filter_map(|member| member.last_heartbeat_at.as_mut())
+        {
+            *last_heartbeat_at = *last_heartbeat_at + pause;
         }
     }
 
     /// A member's state by its silence; unknown names are dead.
     pub fn member_state(&self, now: Timestamp, name: &Name) -> MemberState {
         let Some(member) = self.members.get(name) else { return MemberState::Dead };
-        let Some(heard_at) = member.heard_at else { return MemberState::Dead };
+        let Some(last_heartbeat_at) = member.last_heartbeat_at else { return MemberState::Dead };
         let usual = member.mean_interval + member.deviation * SUSPECT_DEVIATIONS;
-        match now - heard_at {
+        match now - last_heartbeat_at {
             silence if silence <= usual && !member.is_suspected => MemberState::Alive,
             silence if silence <= usual * DEAD_FACTOR => MemberState::Suspect,
             _ => MemberState::Dead,
@@ -119,7 +121,7 @@
 
     /// The time since a member's last heartbeat; nothing where none has come.
     pub fn silence(&self, now: Timestamp, name: &Name) -> Option<Duration> {
-        self.members.get(name)?.heard_at.map(|heard_at| now - heard_at)
+        self.members.get(name)?.last_heartbeat_at.map(|last_heartbeat_at| now - last_heartbeat_at)
     }
 
     /// The names of all members, in their order.
--- a/crates/replicated-log/tests/membership.rs
+++ b/crates/replicated-log/tests/membership.rs
@@ -23,7 +23,7 @@
     assert_eq!(
         Membership::new([name.clone()], INTERVAL).member_state(at(0), &name),
         MemberState::Dead,
-        "never heard of"
+        "no heartbeat yet"
     );
     assert_eq!(membership.member_state(at(21_500), &name), MemberState::Alive);
     assert_eq!(membership.member_state(at(24_000), &name), MemberState::Suspect);
--- a/crates/replicated-log/tests/replica_set.rs
+++ b/crates/replicated-log/tests/replica_set.rs
@@ -117,10 +117,10 @@
 #[test]
 fn replicas_are_balanced_over_members() {
     let locations = fleet(MEMBERS);
-    let mut held: BTreeMap<Name, usize> = BTreeMap::new();
+    let mut copies: BTreeMap<Name, usize> = BTreeMap::new();
     for name in all_sets(&locations, 3, &BTreeSet::new()).into_values().flatten() {
-        *held.entry(name).or_default() += 1;
+        *copies.entry(name).or_default() += 1;
     }
-    let most = held.values().max().copied().unwrap_or_default();
-    assert!(most <= 14 && held.len() > MEMBERS * 9 / 10, "{most} at most, {} hold any", held.len());
+    let most = copies.values().max().copied().unwrap_or_default();
+    assert!(most <= 14 && copies.len() > MEMBERS * 9 / 10, "{most} at most, {} hold any", copies.len());
 }
