--- a/crates/platform/src/attempts/mod.rs
+++ b/crates/platform/src/attempts/mod.rs
@@ -83,21 +83,21 @@
     pub fn end_attempt(&mut self, id: TaskId, if_may_run: Outcome) {
         let Some(task) = self.tasks.by_id.get(&id) else { return };
         let Some(attempt) = task.attempt else { return };
-        let attempt_id = AttemptId { task: id, number: attempt.number };
+        let attempt_id = attempt.id(id);
         if self.has_pending_outcome(attempt_id) {
             return;
         }
         let effect = self.settings.use_cases[task.spec.use_case.0].effect;
         let stop_if_accepted = effect == Idempotency::Idempotent;
         let outcome = self.retract(id, attempt, stop_if_accepted).unwrap_or(if_may_run);
-        self.policy_queue.outcomes.push_back((attempt_id, outcome));
+        self.policy_queue.push_outcome(attempt_id, outcome);
     }
 
     /// Withdraws an attempt, or gives it up at its machine. Returns the outcome that proves that it never
     /// ran; none where it may have run.
     fn retract(&mut self, id: TaskId, attempt: Attempt, stop_if_accepted: bool) -> Option<Outcome> {
         let AttemptState::Sent { connection: connection_id, token } = attempt.state else {
-            let attempt_id = AttemptId { task: id, number: attempt.number };
+            let attempt_id = attempt.id(id);
             self.remove_queued(attempt.machine, attempt_id);
             return Some(Outcome::NotSent);
         };
@@ -129,7 +129,7 @@
         } else {
             self.remove_queued(attempt.machine, attempt_id);
         }
-        self.policy_queue.outcomes.push_back((attempt_id, Outcome::NotSent));
+        self.policy_queue.push_outcome(attempt_id, Outcome::NotSent);
     }
 
     fn remove_queued(&mut self, machine: MachineId, attempt: AttemptId) {
@@ -174,7 +174,7 @@
             let is_stale =
                 machine.slow_start.is_stale(now, window, attempt.decided_at) || attempt.write_deadline < now;
             if is_stale || machine.entry.mode != MachineState::Active {
-                self.policy_queue.outcomes.push_back((attempt_id, Outcome::NotSent));
+                self.policy_queue.push_outcome(attempt_id, Outcome::NotSent);
             } else if gate_opens_at.is_some() || attempt.deadline <= now {
                 still_queued.push(attempt_id);
             } else if !self.write_start_request(attempt_id.task) {
@@ -199,7 +199,7 @@
     pub fn queue_for_connection(&mut self, attempt: AttemptId, id: MachineId) {
         let machine = self.machines.by_id.get_mut(&id).expect("the policy chooses listed machines");
         if machine.replaced {
-            return self.policy_queue.outcomes.push_back((attempt, Outcome::NoConnection));
+            return self.policy_queue.push_outcome(attempt, Outcome::NoConnection);
         }
         machine.queued_attempts.push(attempt);
         let retry_interval: Duration = self.machines.timeouts.connect * CONNECTION_RETRY_PART;
--- a/crates/platform/src/machines/connection.rs
+++ b/crates/platform/src/machines/connection.rs
@@ -30,8 +30,10 @@
     pub queued: bool,
     /// It was established.
     pub established: bool,
-    /// When it was established, and when its machine had last shown before that that it is alive.
-    pub established_at: (Timestamp, Timestamp),
+    /// When it was established.
+    pub established_at: Timestamp,
+    /// When its machine had last shown before that that it was alive.
+    pub machine_seen_before: Timestamp,
     /// The machine sent something on it that shows that it is alive.
     pub proved_alive: bool,
     /// When something was last sent or received on it.
@@ -54,7 +56,8 @@
             close_reason: None,
             queued: false,
             established: false,
-            established_at: (now, now),
+            established_at: now,
+            machine_seen_before: now,
             proved_alive: false,
             used_at: now,
             awaiting: Vec::new(),
--- a/crates/platform/src/machines/disconnect.rs
+++ b/crates/platform/src/machines/disconnect.rs
@@ -2,7 +2,7 @@
 
 use super::{Machine, MachineConnection, REFUSALS_OF_DEAD};
 use crate::state::SchedulerState;
-use crate::tasks::{Attempt, AttemptId, AttemptState};
+use crate::tasks::{Attempt, AttemptState};
 use mulleinhub_interface::{FailureCause, Outcome, TaskId};
 use mulleinhub_resilience::backoff;
 use mulleinhub_sans_io::{CloseReason, ConnectionId, Unsent};
@@ -11,48 +11,64 @@
 pub fn handle_disconnect(state: &mut SchedulerState, connection_id: ConnectionId, reason: CloseReason) {
     let unsent = state.connections.abort(connection_id);
     let Some(connection) = state.machines.remove_connection(connection_id) else { return };
-    let id = connection.machine;
     log_disconnect(state, connection_id, &connection, reason);
+    update_machine(state, &connection, reason);
+    for task in &connection.awaiting {
+        let Some(attempt) = state.tasks.attempt(*task) else { continue };
+        let AttemptState::Sent { connection: carrier, token } = attempt.state else { continue };
+        if carrier == connection_id {
+            let never_left = unsent.contains(&(token, Unsent::Whole));
+            settle_attempt(state, *task, attempt, Disconnect { reason, never_left, connection: &connection });
+        }
+    }
+    state.schedule_check(connection.machine);
+}
+
+/// The machine's backoff and liveness after a disconnect.
+fn update_machine(state: &mut SchedulerState, connection: &MachineConnection, reason: CloseReason) {
+    let id = connection.machine;
     let random_part = state.random.part();
     let has_others = state.machines.connections_of(id).any(|(_, other)| other.established);
     let (now, timeouts) = (state.now, state.machines.timeouts);
-    if let Some(machine) = state.machines.by_id.get_mut(&id) {
-        machine.slow_start.ended(now);
-        machine.retract_liveness(&connection, now, timeouts.idle);
-        if reason == CloseReason::Untried {
-            // A lack of descriptors of this process proves nothing about the machine.
-            machine.reconnect_at = now + timeouts.check_interval;
-        } else if connection.established {
-            machine.reconnect_at = now + backoff::after_end(timeouts.reconnect, random_part);
-        } else {
-            let delay = backoff::after_failures(timeouts.reconnect, machine.failures, random_part);
-            machine.reconnect_at = now + delay;
-            count_failed_connect(machine, reason, has_others);
-            if machine.refusals >= REFUSALS_OF_DEAD {
-                state.lose_running_tasks(id, now, "it refuses connections");
-            }
+    let Some(machine) = state.machines.by_id.get_mut(&id) else { return };
+    machine.slow_start.ended(now);
+    machine.retract_liveness(connection, now, timeouts.idle);
+    if reason == CloseReason::Untried {
+        // A lack of descriptors of this process proves nothing about the machine.
+        machine.reconnect_at = now + timeouts.check_interval;
+    } else if connection.established {
+        machine.reconnect_at = now + backoff::after_end(timeouts.reconnect, random_part);
+    } else {
+        let delay = backoff::after_failures(timeouts.reconnect, machine.failures, random_part);
+        machine.reconnect_at = now + delay;
+        count_failed_connect(machine, reason, has_others);
+        if machine.refusals >= REFUSALS_OF_DEAD {
+            state.lose_running_tasks(id, now, "it refuses connections");
         }
     }
-    for task in connection.awaiting {
-        let Some(attempt) = state.tasks.attempt(task) else { continue };
-        let AttemptState::Sent { connection: carrier, token } = attempt.state else { continue };
-        if carrier != connection_id {
-            continue;
-        }
-        if reason == CloseReason::Untried {
-            set_attempt(state, task, Attempt { state: AttemptState::Queued, ..attempt });
-            state.queue_for_connection(AttemptId { task, number: attempt.number }, id);
-            continue;
-        }
-        let never_left = unsent.contains(&(token, Unsent::Whole));
-        if never_left && connection.established && resend(state, task, attempt) {
-            continue;
-        }
-        let outcome =
-            if never_left { Outcome::NoConnection } else { Outcome::Lost(FailureCause::Unspecified) };
-        state.policy_queue.outcomes.push_back((AttemptId { task, number: attempt.number }, outcome));
+}
+
+/// A disconnect, as an attempt on that connection meets it.
+struct Disconnect<'a> {
+    reason: CloseReason,
+    /// Not a byte of the start request had left.
+    never_left: bool,
+    connection: &'a MachineConnection,
+}
+
+/// What becomes of an attempt that waited for its answer on the connection: it is queued or sent again, or it
+/// ended.
+fn settle_attempt(state: &mut SchedulerState, task: TaskId, attempt: Attempt, disconnect: Disconnect<'_>) {
+    let Disconnect { reason, never_left, connection } = disconnect;
+    if reason == CloseReason::Untried {
+        set_attempt(state, task, Attempt { state: AttemptState::Queued, ..attempt });
+        return state.queue_for_connection(attempt.id(task), connection.machine);
+    }
+    if never_left && connection.established && resend(state, task, attempt) {
+        return;
     }
-    state.schedule_check(id);
+    let outcome = if never_left { Outcome::NoConnection } else { Outcome::Lost(FailureCause::Unspecified) };
+    state.policy_queue.push_outcome(attempt.id(task), outcome);
 }
 
 fn log_disconnect(
--- a/crates/platform/src/machines/health.rs
+++ b/crates/platform/src/machines/health.rs
@@ -3,7 +3,6 @@
 
 use super::REFUSALS_OF_DEAD;
 use crate::state::SchedulerState;
-use crate::tasks::AttemptId;
 use crate::timers::TimerEvent;
 use mulleinhub_interface::{Duration, FailureCause, MachineId, Outcome, Timestamp};
 use mulleinhub_resilience::backoff;
@@ -144,7 +143,7 @@
             if attempt.running_since().is_some_and(|since| since < before) {
                 lost += 1;
                 let outcome = Outcome::Lost(FailureCause::Unspecified);
-                self.policy_queue.outcomes.push_back((AttemptId { task, number: attempt.number }, outcome));
+                self.policy_queue.push_outcome(attempt.id(task), outcome);
             }
         }
         self.counts.lost += lost;
--- a/crates/platform/src/machines/mod.rs
+++ b/crates/platform/src/machines/mod.rs
@@ -85,13 +85,12 @@
         now: Timestamp,
         idle_timeout: Duration,
     ) {
-        let (established_at, seen_before) = connection.established_at;
         if connection.established
             && !connection.proved_alive
-            && now - established_at < idle_timeout
-            && self.last_seen_at == established_at
+            && now - connection.established_at < idle_timeout
+            && self.last_seen_at == connection.established_at
         {
-            self.last_seen_at = seen_before;
+            self.last_seen_at = connection.machine_seen_before;
             self.failures += 1;
         }
     }
@@ -194,7 +193,8 @@
         let Some(connection) = self.connections.get_mut(&connection_id) else { return };
         (connection.used_at, connection.established) = (now, true);
         if let Some(machine) = self.by_id.get_mut(&connection.machine) {
-            connection.established_at = (established_at, machine.last_seen_at);
+            connection.established_at = established_at;
+            connection.machine_seen_before = machine.last_seen_at;
             machine.mark_alive(established_at);
         }
     }
--- a/crates/platform/src/machines/replies.rs
+++ b/crates/platform/src/machines/replies.rs
@@ -36,7 +36,7 @@
         return;
     }
     let client = mark_running(state, connection_id, id, attempt);
-    settle_earlier_writes(state, attempt.machine, AttemptId { task: id, number: attempt.number });
+    settle_earlier_writes(state, attempt.machine, attempt.id(id));
     if let Some(client) = client {
         proves_itself(state, client);
         state.send(client, |out| protocol::write_answer(out, id.0, description));
@@ -97,7 +97,7 @@
 ) {
     let attempt = attempt_released(&mut shared.borrow_mut(), connection_id, id, release);
     let Some(attempt) = attempt else { return };
-    let attempt_id = AttemptId { task: id, number: attempt.number };
+    let attempt_id = attempt.id(id);
     let is_its_connection = attempt.connection() == Some(connection_id);
     if attempt.is_running() {
         if matches!(release.cause, why::FULL | why::MOOT) && !is_its_connection {
--- a/crates/platform/src/shutdown.rs
+++ b/crates/platform/src/shutdown.rs
@@ -2,7 +2,6 @@
 //! exit once every admitted task has its answer.
 
 use crate::state::{SchedulerState, SharedState};
-use crate::tasks::AttemptId;
 use crate::timers::TimerEvent;
 use mulleinhub_interface::{Duration, PolicyEvents, Timestamp};
 
@@ -78,7 +77,7 @@
         task.spec.deadline = task.spec.deadline.min(last);
         if let Some(attempt) = task.attempt.as_mut().filter(|attempt| attempt.deadline > last) {
             attempt.deadline = last;
-            let attempt_id = AttemptId { task: *id, number: attempt.number };
+            let attempt_id = attempt.id(*id);
             state.timers.set(last, TimerEvent::AttemptTimeout(attempt_id));
         }
     }
--- a/crates/platform/src/state.rs
+++ b/crates/platform/src/state.rs
@@ -44,6 +44,13 @@
     pub cancelled: Vec<TaskId>,
 }
 
+impl PolicyQueue {
+    /// An attempt ended in a way that this side found out.
+    pub fn push_outcome(&mut self, attempt: AttemptId, outcome: Outcome) {
+        self.outcomes.push_back((attempt, outcome));
+    }
+}
+
 /// The state of a scheduler: connections, tasks, and what is due. In memory only; lost with the process.
 pub struct SchedulerState {
     /// Use cases, machine kinds and rules of the platform.
--- a/crates/platform/src/tasks.rs
+++ b/crates/platform/src/tasks.rs
@@ -79,6 +79,11 @@
         }
     }
 
+    /// Its id, as an attempt of this task.
+    pub fn id(&self, task: TaskId) -> AttemptId {
+        AttemptId { task, number: self.number }
+    }
+
     /// The connection that carried it, if any did.
     pub fn connection(&self) -> Option<ConnectionId> {
         match self.state {
