--- a/crates/platform/src/attempts/mod.rs
+++ b/crates/platform/src/attempts/mod.rs
@@ -79,7 +79,7 @@
     }
 
     /// Ends the attempt of a task from this side, unless its outcome is known already: it is withdrawn, or
-    /// given up at its machine. The policy is told what is proven, or `if_may_run` where nothing is.
+    /// given up at its machine. The policy gets the outcome that is proven, or `if_may_run` where nothing is.
     pub fn end_attempt(&mut self, id: TaskId, if_may_run: Outcome) {
         let Some(task) = self.tasks.by_id.get(&id) else { return };
         let Some(attempt) = task.attempt else { return };
@@ -112,7 +112,7 @@
         None
     }
 
-    /// Withdraws an attempt if not a byte of it was written; the policy is told that it was not sent.
+    /// Withdraws an attempt if not a byte of it was written; the policy is notified that it was not sent.
     pub fn withdraw_unsent(&mut self, attempt_id: AttemptId) {
         let attempt = self.tasks.attempt(attempt_id.task);
         let Some(attempt) = attempt.filter(|attempt| attempt.number == attempt_id.number) else { return };
--- a/crates/platform/src/attempts/outcomes.rs
+++ b/crates/platform/src/attempts/outcomes.rs
@@ -5,7 +5,7 @@
 use mulleinhub_interface::{LoadReport, Outcome, PolicyEvents, TaskId};
 use mulleinhub_platform_protocol::{Cause, why};
 
-/// Tells the policy of the cancelled tasks, and of the outcomes that this side found out.
+/// Notifies the policy of the cancelled tasks, and of the outcomes that this side found out.
 pub fn settle_pending(shared: &SharedState, events: &mut dyn PolicyEvents) {
     crate::clients::report_cancelled(shared, events);
     loop {
@@ -15,7 +15,7 @@
     }
 }
 
-/// Settles an attempt with its outcome, unless it is settled already: the policy is told, and the client
+/// Settles an attempt with its outcome, unless it is settled already: the policy is notified, and the client
 /// where its task ended.
 pub fn settle(
     shared: &SharedState,
@@ -53,7 +53,7 @@
     }
 }
 
-/// A task that ran has ended. Whoever cancelled or moved it is owed nothing.
+/// A task that ran has ended. A client that cancelled or moved it is not notified.
 fn end_running_task(state: &mut SchedulerState, id: TaskId, outcome: Outcome, cause: Cause) {
     let task = state.tasks.by_id.remove(&id).expect("it had an attempt");
     if !task.is_cancelled() && outcome != Outcome::Cancelled {
--- a/crates/platform/src/clients/cancel.rs
+++ b/crates/platform/src/clients/cancel.rs
@@ -39,7 +39,7 @@
     state.policy_queue.cancelled.push(id);
 }
 
-/// Tells the policy of the tasks that nobody wants any more.
+/// Notifies the policy of the tasks that nobody wants any more.
 pub fn report_cancelled(shared: &SharedState, events: &mut dyn PolicyEvents) {
     let cancelled = std::mem::take(&mut shared.borrow_mut().policy_queue.cancelled);
     cancelled.into_iter().for_each(|id| events.on_client_cancelled(id));
--- a/crates/platform/src/clients/messages.rs
+++ b/crates/platform/src/clients/messages.rs
@@ -121,7 +121,7 @@
     !was_paused
 }
 
-/// Tells the policy of the tasks that were admitted on this connection and that still want an answer.
+/// Notifies the policy of the tasks that were admitted on this connection and that still want an answer.
 fn announce_admitted(shared: &SharedState, events: &mut dyn PolicyEvents, connection_id: ConnectionId) {
     let take_admitted = |state: &mut SchedulerState| {
         let client = state.clients.by_connection.get_mut(&connection_id);
@@ -148,7 +148,7 @@
 }
 
 /// Enforces the deadlines of client connections, a bounded number of them in one iteration, closes those that
-/// are to make room, and reports ends that no client was connected to hear of.
+/// are to make room, and reports ends that no client was connected to receive.
 pub fn enforce_limits(state: &mut SchedulerState) {
     let (now, mut budget) = (state.now, MAX_EXPIRED);
     while let Some((conn, act)) = state.clients.limits.due(now, &mut budget) {
--- a/crates/platform/src/clients/mod.rs
+++ b/crates/platform/src/clients/mod.rs
@@ -57,9 +57,9 @@
     pub proven: bool,
     /// Tasks that are to be answered here.
     pub awaiting: BTreeSet<TaskId>,
-    /// Those of them that the policy is told of once everything here has been handled: the client may have
-    /// left behind them. Seen: a client that sent many requests and left during a pause of this process had
-    /// its tasks placed, as its leaving lay behind more messages than one iteration handles.
+    /// Those of them that the policy is notified of once everything here has been handled: the client may
+    /// have left behind them. Seen: a client that sent many requests and left during a pause of this process
+    /// had its tasks placed, as its leaving lay behind more messages than one iteration handles.
     pub admitted: Vec<TaskId>,
     /// Since when it is to be evicted: it is closed once an iteration has passed in which nothing of it was
     /// here to be handled. Seen: connections were closed with an unread start request on them.
@@ -87,7 +87,7 @@
     }
 }
 
-/// The end of a task that no client was connected to hear of.
+/// The end of a task that no client was connected to receive.
 #[derive(Clone, Copy, Debug)]
 pub struct UnreportedEnd {
     /// When it was to be reported.
@@ -98,7 +98,7 @@
     pub cause: Cause,
 }
 
-/// All client connections, the limits on them, and what is owed to clients. In memory only.
+/// All client connections, the limits on them, and reports that wait for a client. In memory only.
 #[derive(Debug)]
 pub struct Clients {
     /// The clients by their connections.
@@ -111,7 +111,7 @@
     eviction_candidates: Vec<ConnectionId>,
     /// Those for which there was no place, the first to come first, and until when they may send requests.
     rejected: VecDeque<(Timestamp, ConnectionId)>,
-    /// Ends of tasks that no client was connected to hear of, oldest first.
+    /// Ends of tasks that no client was connected to receive, oldest first.
     pub unreported_ends: VecDeque<UnreportedEnd>,
     name: Arc<str>,
 }
--- a/crates/platform/src/clients/reports.rs
+++ b/crates/platform/src/clients/reports.rs
@@ -7,11 +7,11 @@
 use mulleinhub_platform_protocol::{self as protocol, Cause, kind};
 use mulleinhub_sans_io::ConnectionId;
 
-/// The end of a task is kept this long where no client is connected to hear of it.
+/// The end of a task is kept this long where no client is connected to receive it.
 const REPORT_TIMEOUT: Duration = Duration::from_secs(60);
 
 impl SchedulerState {
-    /// The final answer of a task is given, or none is owed any more.
+    /// The final answer of a task is given, or nobody waits for it any more.
     pub fn mark_answered(&mut self, id: TaskId) {
         let Some(task) = self.tasks.by_id.get_mut(&id).filter(|task| task.awaits_answer()) else { return };
         task.interest = ClientInterest::AwaitsEnd;
@@ -31,7 +31,7 @@
         }
     }
 
-    /// False where no client is connected to hear of it.
+    /// False where no client is connected to receive it.
     fn try_report_end(&mut self, came_on: Option<ConnectionId>, task: TaskId, cause: Cause) -> bool {
         let Some(connection_id) = self.clients.recipient(came_on) else { return false };
         tracing::debug!(
@@ -44,7 +44,7 @@
         true
     }
 
-    /// Reports the ends that no client was connected to hear of, once one is.
+    /// Reports the ends that no client was connected to receive, once one is.
     pub fn send_unreported_ends(&mut self) {
         // After the timeout nobody waits for it.
         let now = self.now;
--- a/crates/platform/src/clients/start_requests.rs
+++ b/crates/platform/src/clients/start_requests.rs
@@ -83,7 +83,7 @@
             return refuse_invalid(state, connection_id, id, &InvalidRequest::TooManyTasks);
         }
         if !state.machines.by_id.contains_key(&machine) {
-            // Another scheduler's list may be ahead of ours. Seen: clients were told that their tasks had
+            // Another scheduler's list may be ahead of ours. Seen: clients were notified that their tasks had
             // ended.
             state.clients.greeted(connection_id);
             let deadline = state.adoptions.defer(state.now, spec, machine, connection_id);
@@ -93,7 +93,7 @@
     adopt(shared, events, spec, machine, connection_id);
 }
 
-/// Admits a task or refuses it. The policy is told of an admitted one once everything that came on this
+/// Admits a task or refuses it. The policy is notified of an admitted one once everything that came on this
 /// connection has been handled.
 fn handle_start(
     state: &mut SchedulerState,
--- a/crates/platform/src/dispatcher.rs
+++ b/crates/platform/src/dispatcher.rs
@@ -26,7 +26,7 @@
     }
 }
 
-/// Whether the client may be told that the task never ran.
+/// Whether the client may be answered that the task never ran.
 fn is_safe_to_reject(state: &SchedulerState, task: &TaskRecord) -> bool {
     match state.settings.use_cases[task.spec.use_case.0].effect {
         Idempotency::Idempotent | Idempotency::Keyed { domain: FailureDomain::All, .. } => true,
--- a/crates/platform/src/error.rs
+++ b/crates/platform/src/error.rs
@@ -22,10 +22,10 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Self::Decode(error) => error.fmt(f),
-            Self::UnexpectedType(kind) => write!(f, "a message of type {kind}"),
-            Self::DuplicateTask => f.write_str("an id that is in hand already"),
-            Self::MissingDescription => f.write_str("an answer without a description"),
-            Self::MissingCause => f.write_str("a release without a cause"),
+            Self::UnexpectedType(kind) => write!(f, "unexpected message type {kind}"),
+            Self::DuplicateTask => f.write_str("task id is already in use"),
+            Self::MissingDescription => f.write_str("acceptance without a description"),
+            Self::MissingCause => f.write_str("release without a cause"),
         }
     }
 }
@@ -63,13 +63,13 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
             Self::Malformed(error) => error.0,
-            Self::UnknownUseCase => "an unknown class",
-            Self::MissingKey => "no key in a class that has keys",
-            Self::InvalidDescription => "a description that is no text",
-            Self::TooLarge => "more than any machine takes",
-            Self::ExcessivePatience => "a wait beyond all reason",
-            Self::TooManyTasks => "one more than can be held",
-            Self::UnlistedMachine => "a machine that no list names",
+            Self::UnknownUseCase => "unknown use case",
+            Self::MissingKey => "missing idempotency key",
+            Self::InvalidDescription => "description is not UTF-8",
+            Self::TooLarge => "resource request exceeds every machine",
+            Self::ExcessivePatience => "patience exceeds every timeout",
+            Self::TooManyTasks => "too many tasks",
+            Self::UnlistedMachine => "machine is not listed",
         })
     }
 }
--- a/crates/platform/src/lib.rs
+++ b/crates/platform/src/lib.rs
@@ -1,7 +1,7 @@
 //! The scheduler as the platform's state machine, without I/O.
 //!
-//! It receives the messages of clients, machines and the discovery service, tells the placement policy what
-//! they mean, and carries out what the policy decides. It owns what stands between the messages and the
+//! It receives the messages of clients, machines and the discovery service, notifies the placement policy of
+//! what they mean, and carries out what the policy decides. It owns what stands between the messages and the
 //! decisions: connections and what their ends prove, final answers and who is to receive them, and machines
 //! that can't be reached. It makes no decision about placement, retries or rejections, and touches no
 //! sockets, clocks or files: the event loop calls it from one thread, and each call of [`StateMachine::poll`]
--- a/crates/platform/src/machines/connect.rs
+++ b/crates/platform/src/machines/connect.rs
@@ -66,7 +66,7 @@
         }
     }
 
-    /// Tells a machine to stop a task.
+    /// Orders a machine to stop a task.
     pub fn send_stop(&mut self, connection_id: ConnectionId, task: TaskId) {
         self.send(connection_id, |out| {
             protocol::write_with_cause(out, protocol::kind::RELEASE, task.0, why::CANCELLED);
--- a/crates/platform/src/machines/health.rs
+++ b/crates/platform/src/machines/health.rs
@@ -55,7 +55,7 @@
     fn needs_connection(&self, state: &SchedulerState) -> bool {
         let is_silent = self.silence >= state.machines.timeouts.probe_after;
         // Where the pool is used up, machines where tasks run are visited in turn, each well within the time
-        // in which clients must hear of an end that nobody could report.
+        // in which clients must be notified of an end that nobody could report.
         let is_due =
             if self.established == 0 { state.machines.pool.has_room() || is_silent } else { is_silent };
         !self.is_connecting && (self.has_pending_stops || (self.has_running_tasks && is_due))
--- a/crates/platform/src/machines/messages.rs
+++ b/crates/platform/src/machines/messages.rs
@@ -46,8 +46,8 @@
 ///
 /// A rejection says nothing about what runs there, nor does a health check, passed or failed. Seen: machines
 /// that had stopped passed health checks, and rejected start requests, on the connections they had left open,
-/// and clients heard of ends there too late; machines that drained failed them, and hundreds of tasks of a
-/// day were released while they ran.
+/// and clients were notified of ends there too late; machines that drained failed them, and hundreds of tasks
+/// of a day were released while they ran.
 fn record_liveness(state: &mut SchedulerState, connection_id: ConnectionId, frame: &Frame<'_>) {
     let is_sign = match frame.kind {
         kind::ANSWER | kind::NOTE => true,
--- a/crates/platform/src/machines/replies.rs
+++ b/crates/platform/src/machines/replies.rs
@@ -127,7 +127,7 @@
     if state.tasks.by_id.contains_key(&id) {
         return state.tasks.attempt(id).filter(|attempt| attempt.machine == machine);
     }
-    // A rejection is the end of an attempt only, and a client that cancelled a task is owed nothing.
+    // A rejection is the end of an attempt only, and a client that cancelled a task is not notified.
     let is_rejection = matches!(release.cause, why::FULL | why::BUSY | why::ERROR | why::MOOT);
     if !is_rejection && outcome_of_running(release) != Outcome::Cancelled {
         state.adoptions.record_end(state.now, id, machine, release.cause, state.max_tasks);
--- a/crates/platform/src/machines/timeouts.rs
+++ b/crates/platform/src/machines/timeouts.rs
@@ -2,7 +2,7 @@
 
 use mulleinhub_interface::Duration;
 
-/// A client must hear within this of the end of a task that nobody could report.
+/// A client must be notified within this of the end of a task that nobody could report.
 const MAX_NOTIFICATION_DELAY: Duration = Duration::from_secs(8);
 /// The part of that time after which a silent machine is lost. Seen: where machines were given up after half
 /// of it, a part of the cluster that was partitioned for six seconds came back to find its tasks released,
--- a/crates/platform/src/shutdown.rs
+++ b/crates/platform/src/shutdown.rs
@@ -20,7 +20,7 @@
 #[derive(Debug, Default)]
 pub struct Shutdown {
     requested_at: Option<Timestamp>,
-    /// The policy was told by when its answers are owed.
+    /// The policy was notified of the answer deadline.
     announced: bool,
 }
 
@@ -37,7 +37,7 @@
 }
 
 impl SchedulerState {
-    /// By when all answers are owed, once the shutdown has begun.
+    /// By when all answers must be given, once the shutdown has begun.
     pub fn answer_deadline(&self) -> Option<Timestamp> {
         let timeouts = self.settings.use_cases.iter().map(|use_case| use_case.client_timeout);
         let longest = timeouts.max().unwrap_or(MAX_CLIENT_TIMEOUT).min(MAX_CLIENT_TIMEOUT);
@@ -60,7 +60,7 @@
 }
 
 /// Once the shutdown has begun, cuts the deadlines of unanswered tasks and of their attempts in flight to the
-/// time that is left, and tells the policy.
+/// time that is left, and notifies the policy.
 pub fn announce(shared: &SharedState, events: &mut dyn PolicyEvents) {
     let deadline = cut_deadlines(&mut shared.borrow_mut());
     if let Some(deadline) = deadline {
--- a/crates/platform/src/state.rs
+++ b/crates/platform/src/state.rs
@@ -28,14 +28,14 @@
 
 /// The state as the handlers of a scheduling round and the policy's dispatcher share it.
 ///
-/// In a round a handler tells the policy of an event, and the policy answers it at once, before the call
+/// In a round a handler notifies the policy of an event, and the policy answers it at once, before the call
 /// returns, through the dispatcher, which writes to the same state. Neither can own it alone: the dispatcher
 /// lives as long as the round does, and so do the handlers. All of it runs on one thread, so a `RefCell`
 /// makes that safe at the cost of a flag, and each side borrows for one step only. No borrow may be held over
 /// a call of [`PolicyEvents`](mulleinhub_interface::PolicyEvents).
 pub type SharedState = RefCell<SchedulerState>;
 
-/// What the policy is yet to be told.
+/// What the policy is yet to be notified of.
 #[derive(Debug, Default)]
 pub struct PolicyQueue {
     /// Outcomes of attempts that this side found out.
@@ -67,7 +67,7 @@
     pub machines: Machines,
     /// The stream of endpoint events.
     pub endpoint_watch: EndpointWatch,
-    /// The endpoint list of the configuration; empty once the policy was told.
+    /// The endpoint list of the configuration; empty once the policy was notified.
     pub initial_endpoints: Vec<Event>,
     /// The tasks that are held.
     pub tasks: Tasks,
@@ -79,7 +79,7 @@
     pub adoptions: Adoptions,
     /// Connections with something to be handled.
     pub inbound: InboundQueue,
-    /// What the policy is yet to be told.
+    /// What the policy is yet to be notified of.
     pub policy_queue: PolicyQueue,
     /// How far a graceful shutdown has come.
     pub shutdown: Shutdown,
--- a/crates/platform/src/tasks.rs
+++ b/crates/platform/src/tasks.rs
@@ -112,9 +112,9 @@
 pub enum ClientInterest {
     /// It waits for the final answer.
     AwaitsAnswer,
-    /// It had the final answer, or none is owed, and it wants to hear of the task's end.
+    /// It had the final answer, or needs none, and it wants to be notified of the task's end.
     AwaitsEnd,
-    /// It cancelled the task or left before the answer: nothing is owed.
+    /// It cancelled the task or left before the answer: it gets no answer.
     Cancelled,
 }
 
@@ -151,7 +151,7 @@
         }
     }
 
-    /// Whether a final answer is owed.
+    /// Whether it waits for a final answer.
     pub fn awaits_answer(&self) -> bool {
         self.interest == ClientInterest::AwaitsAnswer
     }
@@ -173,7 +173,7 @@
 pub struct Tasks {
     /// The tasks by their ids.
     pub by_id: BTreeMap<TaskId, TaskRecord>,
-    /// How many of them are owed a final answer.
+    /// How many of them wait for a final answer.
     pub unanswered: usize,
 }
 
--- a/crates/platform/src/tests/harness.rs
+++ b/crates/platform/src/tests/harness.rs
@@ -104,7 +104,8 @@
 }
 
 impl Harness {
-    /// A scheduler that knows so many machines, has had its first iteration, and is connected to the discovery service.
+    /// A scheduler that knows so many machines, has had its first iteration, and is connected to the
+    /// discovery service.
     pub fn new(machines: u64) -> Self {
         Self::with_config(machines, |config_json| config_json)
     }
@@ -259,8 +260,8 @@
         self.run_until_idle();
     }
 
-    /// A connection that was held back is established: what waits for it leaves once the scheduler has had its
-    /// iteration.
+    /// A connection that was held back is established: what waits for it leaves once the scheduler has had
+    /// its iteration.
     pub fn establish(&mut self, connection_id: ConnectionId) {
         self.scheduler.on_connected(self.now, connection_id);
         self.scheduler.poll(self.now);
--- a/crates/platform/src/tests/slow_start.rs
+++ b/crates/platform/src/tests/slow_start.rs
@@ -1,7 +1,7 @@
-//! What a machine that warms up gets from all schedulers together: at most N + 2 x root of N + 2 start requests
-//! in every window of the rule, N being what the settings say that one always bears. Many schedulers over instance
-//! late endpoint list, some of which restart in the middle of it, connections that are delayed and established
-//! together, and rejections.
+//! What a machine that warms up gets from all schedulers together: at most N + 2 x root of N + 2 start
+//! requests in every window of the rule, N being what the settings say that one always bears. Many schedulers
+//! over instance late endpoint list, some of which restart in the middle of it, connections that are delayed
+//! and established together, and rejections.
 
 use super::harness::*;
 use mulleinhub::{Pcg, mix};
@@ -140,8 +140,8 @@
     }
 }
 
-/// Five seconds: new machines are listed, and schedulers hear of them late; the part `restarts` of them restarts.
-/// Returns the least number of start requests that any new machine got.
+/// Five seconds: new machines are listed, and schedulers hear of them late; the part `restarts` of them
+/// restarts. Returns the least number of start requests that any new machine got.
 fn run(schedulers: usize, limit: u64, restarts: f64, seed: u64) -> usize {
     let mut cluster = Cluster::new(schedulers, limit, seed);
     let start = START + ms(300);
--- a/crates/platform/src/timers.rs
+++ b/crates/platform/src/timers.rs
@@ -83,7 +83,7 @@
 
 fn refuse_overdue_adoptions(state: &mut SchedulerState) {
     while let Some(pending) = state.adoptions.take_overdue(state.now) {
-        // A client that cancelled the task is owed nothing.
+        // A client that cancelled the task is not notified.
         if pending.cancelled {
             continue;
         }
