--- a/crates/platform/src/attempts/mod.rs
+++ b/crates/platform/src/attempts/mod.rs
@@ -33,7 +33,7 @@
             (Idempotency::Keyed { window, .. }, Some(first)) => first + window,
             _ => never,
         };
-        let budget_end = machine.slow_start.stale_after(self.now, self.settings.slow_start.fall);
+        let budget_end = machine.slow_start.stale_after(self.now, self.settings.cold.fall);
         budget_end.map_or(window_end, |budget_end| budget_end.min(window_end))
     }
 
@@ -47,9 +47,9 @@
         let Some(connection_id) = self.connection_for(attempt.machine, id) else { return false };
         let token = self.next_token();
         if let Some(machine) = self.machines.by_id.get_mut(&attempt.machine) {
-            machine.slow_start.on_sent(now, id.0, attempt.number);
+            machine.slow_start.wrote(now, id.0, attempt.number);
         }
-        self.machines.pool.touch(now, connection_id.0);
+        self.machines.pool.used(now, connection_id.0);
         let connection = self.machines.connections.get_mut(&connection_id).expect("was chosen");
         connection.awaiting.push(id);
         connection.used_at = now;
@@ -79,25 +79,25 @@
     }
 
     /// Ends the attempt of a task from this side, unless its outcome is known already: it is withdrawn, or
-    /// given up at its machine. The policy is told what is proven, or `if_may_run` where nothing is.
+    /// given up at its machine. The policy gets the outcome that is proven, or `if_may_run` where nothing is.
     pub fn end_attempt(&mut self, id: TaskId, if_may_run: Outcome) {
         let Some(task) = self.tasks.by_id.get(&id) else { return };
         let Some(attempt) = task.attempt else { return };
-        let attempt_id = AttemptId { task: id, number: attempt.number };
+        let attempt_id = attempt.id(id);
         if self.has_pending_outcome(attempt_id) {
             return;
         }
         let effect = self.settings.use_cases[task.spec.use_case.0].effect;
         let stop_if_accepted = effect == Idempotency::Idempotent;
         let outcome = self.retract(id, attempt, stop_if_accepted).unwrap_or(if_may_run);
-        self.policy_queue.outcomes.push_back((attempt_id, outcome));
+        self.policy_queue.push_outcome(attempt_id, outcome);
     }
 
     /// Withdraws an attempt, or gives it up at its machine. Returns the outcome that proves that it never
     /// ran; none where it may have run.
     fn retract(&mut self, id: TaskId, attempt: Attempt, stop_if_accepted: bool) -> Option<Outcome> {
         let AttemptState::Sent { connection: connection_id, token } = attempt.state else {
-            let attempt_id = AttemptId { task: id, number: attempt.number };
+            let attempt_id = attempt.id(id);
             self.remove_queued(attempt.machine, attempt_id);
             return Some(Outcome::NotSent);
         };
@@ -112,7 +112,7 @@
         None
     }
 
-    /// Withdraws an attempt if not a byte of it was written; the policy is told that it was not sent.
+    /// Withdraws an attempt if not a byte of it was written; the policy is notified that it was not sent.
     pub fn withdraw_unsent(&mut self, attempt_id: AttemptId) {
         let attempt = self.tasks.attempt(attempt_id.task);
         let Some(attempt) = attempt.filter(|attempt| attempt.number == attempt_id.number) else { return };
@@ -129,7 +129,7 @@
         } else {
             self.remove_queued(attempt.machine, attempt_id);
         }
-        self.policy_queue.outcomes.push_back((attempt_id, Outcome::NotSent));
+        self.policy_queue.push_outcome(attempt_id, Outcome::NotSent);
     }
 
     fn remove_queued(&mut self, machine: MachineId, attempt: AttemptId) {
@@ -157,12 +157,12 @@
     /// Writes the start requests that were held back, as far as the slow-start gate lets them. What waited
     /// too long for a machine that warms up goes back to the policy, whose budget no longer counts it.
     pub fn release_queued(&mut self, id: MachineId) {
-        let (now, window) = (self.now, self.settings.slow_start.fall);
+        let (now, window) = (self.now, self.settings.cold.fall);
         let Some(machine) = self.machines.by_id.get_mut(&id) else { return };
         if machine.queued_attempts.is_empty() {
             return;
         }
-        let gate_opens_at = machine.slow_start.closed_until(now, window);
+        let gate_opens_at = machine.slow_start.shut_until(now, window);
         let mut still_queued = Vec::new();
         for attempt_id in std::mem::take(&mut machine.queued_attempts) {
             let attempt = self.tasks.attempt(attempt_id.task);
@@ -174,7 +174,7 @@
             let is_stale =
                 machine.slow_start.is_stale(now, window, attempt.decided_at) || attempt.write_deadline < now;
             if is_stale || machine.entry.mode != MachineState::Active {
-                self.policy_queue.outcomes.push_back((attempt_id, Outcome::NotSent));
+                self.policy_queue.push_outcome(attempt_id, Outcome::NotSent);
             } else if gate_opens_at.is_some() || attempt.deadline <= now {
                 still_queued.push(attempt_id);
             } else if !self.write_start_request(attempt_id.task) {
@@ -182,7 +182,7 @@
             }
         }
         if let Some(until) = gate_opens_at.filter(|_| !still_queued.is_empty()) {
-            self.timers.schedule(until, TimerEvent::ReleaseQueued(id));
+            self.timers.set(until, TimerEvent::ReleaseQueued(id));
         }
         self.machines.by_id.get_mut(&id).expect("is there").queued_attempts.extend(still_queued);
     }
@@ -191,7 +191,7 @@
     pub fn queue_for_slow_start(&mut self, attempt: AttemptId, id: MachineId, until: Timestamp) {
         let machine = self.machines.by_id.get_mut(&id).expect("the policy chooses listed machines");
         machine.queued_attempts.push(attempt);
-        self.timers.schedule(until, TimerEvent::ReleaseQueued(id));
+        self.timers.set(until, TimerEvent::ReleaseQueued(id));
     }
 
     /// Holds an attempt back as no connection may be opened for it: that is a limit of this process, and
@@ -199,11 +199,11 @@
     pub fn queue_for_connection(&mut self, attempt: AttemptId, id: MachineId) {
         let machine = self.machines.by_id.get_mut(&id).expect("the policy chooses listed machines");
         if machine.replaced {
-            return self.policy_queue.outcomes.push_back((attempt, Outcome::NoConnection));
+            return self.policy_queue.push_outcome(attempt, Outcome::NoConnection);
         }
         machine.queued_attempts.push(attempt);
         let retry_interval: Duration = self.machines.timeouts.connect * CONNECTION_RETRY_PART;
-        self.timers.schedule(self.now + retry_interval, TimerEvent::ReleaseQueued(id));
+        self.timers.set(self.now + retry_interval, TimerEvent::ReleaseQueued(id));
     }
 
     /// The wait for an answer has ended: the attempt is given up at its machine before another one is made.
--- a/crates/platform/src/clients/cancel.rs
+++ b/crates/platform/src/clients/cancel.rs
@@ -39,7 +39,7 @@
     state.policy_queue.cancelled.push(id);
 }
 
-/// Tells the policy of the tasks that nobody wants any more.
+/// Notifies the policy of the tasks that nobody wants any more.
 pub fn report_cancelled(shared: &SharedState, events: &mut dyn PolicyEvents) {
     let cancelled = std::mem::take(&mut shared.borrow_mut().policy_queue.cancelled);
     cancelled.into_iter().for_each(|id| events.on_client_cancelled(id));
@@ -60,6 +60,6 @@
         cancel_unanswered(state, id);
     }
     state.clients.by_connection.remove(&connection_id);
-    state.clients.limits.remove(connection_id.0);
+    state.clients.limits.forget(connection_id.0);
     state.connections.abort(connection_id);
 }
--- a/crates/platform/src/clients/start_requests.rs
+++ b/crates/platform/src/clients/start_requests.rs
@@ -83,17 +83,17 @@
             return refuse_invalid(state, connection_id, id, &InvalidRequest::TooManyTasks);
         }
         if !state.machines.by_id.contains_key(&machine) {
-            // Another scheduler's list may be ahead of ours. Seen: clients were told that their tasks had
+            // Another scheduler's list may be ahead of ours. Seen: clients were notified that their tasks had
             // ended.
             state.clients.greeted(connection_id);
             let deadline = state.adoptions.defer(state.now, spec, machine, connection_id);
-            return state.timers.schedule(deadline, TimerEvent::AdoptionDeadline);
+            return state.timers.set(deadline, TimerEvent::AdoptionDeadline);
         }
     }
     adopt(shared, events, spec, machine, connection_id);
 }
 
-/// Admits a task or refuses it. The policy is told of an admitted one once everything that came on this
+/// Admits a task or refuses it. The policy is notified of an admitted one once everything that came on this
 /// connection has been handled.
 fn handle_start(
     state: &mut SchedulerState,
@@ -152,7 +152,7 @@
     if state.tasks.by_id.len() >= state.max_tasks {
         return Err(Refusal { cause: why::BUSY, retry_after: longest });
     }
-    let admission = state.admission.try_admit(state.now, request.figures.service);
+    let admission = state.admission.ask(state.now, request.figures.service);
     admission.map_err(|retry_after| Refusal { cause: why::BUSY, retry_after })?;
     Ok(patience)
 }
@@ -181,9 +181,9 @@
     if std::str::from_utf8(request.description).is_err() {
         return Err(InvalidRequest::InvalidDescription);
     }
-    let largest = settings.machine_kinds.iter().fold(Resources::ZERO, |most, size| most.at_least(*size));
+    let largest = settings.kinds.iter().fold(Resources::ZERO, |most, size| most.at_least(*size));
     let requested = Resources::new(request.figures.cores, request.figures.memory);
-    if !(largest + settings.acceptance.beyond(largest)).fits(requested) {
+    if !(largest + settings.taking.beyond(largest)).fits(requested) {
         return Err(InvalidRequest::TooLarge);
     }
     let longest_ms = rules.client_timeout.nanos() / 1_000_000;
--- a/crates/platform/src/config.rs
+++ b/crates/platform/src/config.rs
@@ -1,7 +1,7 @@
 //! The configuration file that the platform gives a scheduler, read into typed values.
 
 use mulleinhub_platform_protocol::{Known, known};
-use mulleinhub_platform_settings::PlatformSettings;
+use mulleinhub_platform_settings::Site;
 use serde_json::Value;
 use std::fmt;
 
@@ -23,7 +23,7 @@
     /// The endpoint list as it was when the configuration was written, with its last event number.
     pub initial_endpoints: Known,
     /// Use cases, machine kinds, acceptance rules and timeouts of the platform.
-    pub settings: PlatformSettings,
+    pub settings: Site,
 }
 
 /// Why a configuration can't be used. `Display` names the key.
@@ -94,7 +94,7 @@
             discovery_address: text("bulletin")?,
             initial_endpoints: known(known_endpoints)
                 .map_err(|error| ConfigError::InvalidEndpoints(error.to_string()))?,
-            settings: PlatformSettings::from_json(settings)
+            settings: Site::read(settings)
                 .map_err(|error| ConfigError::InvalidSettings(error.to_string()))?,
         })
     }
--- a/crates/platform/src/discovery/endpoints.rs
+++ b/crates/platform/src/discovery/endpoints.rs
@@ -142,9 +142,9 @@
             index.entry(address.to_owned()).or_default().insert(id);
         }
     }
-    let warm_at = entry.since.map(|since| since + state.settings.slow_start.warm_after);
+    let warm_at = entry.since.map(|since| since + state.settings.cold.warm_after);
     if let Some(warm_at) = warm_at.filter(|warm_at| *warm_at > now) {
-        machine.slow_start.extend_slow_start(warm_at);
+        machine.slow_start.is_cold_until(warm_at);
     }
 }
 
--- a/crates/platform/src/dispatcher.rs
+++ b/crates/platform/src/dispatcher.rs
@@ -26,7 +26,7 @@
     }
 }
 
-/// Whether the client may be told that the task never ran.
+/// Whether the client may be answered that the task never ran.
 fn is_safe_to_reject(state: &SchedulerState, task: &TaskRecord) -> bool {
     match state.settings.use_cases[task.spec.use_case.0].effect {
         Idempotency::Idempotent | Idempotency::Keyed { domain: FailureDomain::All, .. } => true,
@@ -45,10 +45,10 @@
     task.attempts += 1;
     let deadline = now + timeout;
     state.counts.attempts += 1;
-    state.timers.schedule(deadline, TimerEvent::AttemptTimeout(attempt_id));
+    state.timers.set(deadline, TimerEvent::AttemptTimeout(attempt_id));
     let write_deadline = state.write_deadline(id, machine);
     if write_deadline < deadline {
-        state.timers.schedule(write_deadline, TimerEvent::WriteDeadline(attempt_id));
+        state.timers.set(write_deadline, TimerEvent::WriteDeadline(attempt_id));
     }
     let attempt = Attempt { write_deadline, ..Attempt::new(attempt_id.number, machine, now, deadline) };
     state.tasks.by_id.get_mut(&id).expect("was there").attempt = Some(attempt);
@@ -62,7 +62,7 @@
         let target = state.machines.by_id.get(&machine).expect("the policy chooses listed machines");
         let is_active = target.entry.mode == MachineState::Active;
         assert!(is_active, "task {}: an attempt to a machine that drains or was removed", task.0);
-        if let Some(until) = target.slow_start.closed_until(state.now, state.settings.slow_start.fall) {
+        if let Some(until) = target.slow_start.shut_until(state.now, state.settings.cold.fall) {
             state.queue_for_slow_start(attempt_id, machine, until);
         } else if !state.write_start_request(task) {
             state.queue_for_connection(attempt_id, machine);
@@ -104,7 +104,7 @@
     }
 
     fn wake_at(&mut self, token: u64, at: Timestamp) {
-        self.0.borrow_mut().timers.schedule(at, TimerEvent::Policy(token));
+        self.0.borrow_mut().timers.set(at, TimerEvent::Policy(token));
     }
 
     fn watch_endpoints(&mut self) {
--- a/crates/platform/src/lib.rs
+++ b/crates/platform/src/lib.rs
@@ -1,7 +1,7 @@
 //! The scheduler as the platform's state machine, without I/O.
 //!
-//! It receives the messages of clients, machines and the discovery service, tells the placement policy what
-//! they mean, and carries out what the policy decides. It owns what stands between the messages and the
+//! It receives the messages of clients, machines and the discovery service, notifies the placement policy of
+//! what they mean, and carries out what the policy decides. It owns what stands between the messages and the
 //! decisions: connections and what their ends prove, final answers and who is to receive them, and machines
 //! that can't be reached. It makes no decision about placement, retries or rejections, and touches no
 //! sockets, clocks or files: the event loop calls it from one thread, and each call of [`StateMachine::poll`]
@@ -50,7 +50,7 @@
 impl Scheduler {
     /// A scheduler that was just started. It acts from the first [`StateMachine::poll`] on.
     pub fn new(config: Config) -> Self {
-        let policy = config.settings.placement_policy(config.seed);
+        let policy = config.settings.brain(config.seed);
         Self { policy, state: RefCell::new(SchedulerState::new(config)), started: false }
     }
 
@@ -103,7 +103,7 @@
     discovery::apply_initial(shared, events);
     let state = &mut *shared.borrow_mut();
     state.connect_endpoint_watch();
-    state.timers.schedule(state.now + status::STATUS_INTERVAL, TimerEvent::LogStatus);
+    state.timers.set(state.now + status::STATUS_INTERVAL, TimerEvent::LogStatus);
 }
 
 /// Handles every connection on which something was received, in the order of receiving.
@@ -170,7 +170,7 @@
     fn on_descriptors_exhausted(&mut self, now: Timestamp) {
         let state = self.state.get_mut();
         state.now = state.now.max(now);
-        for connection in state.clients.limits.on_descriptors_exhausted(now) {
+        for connection in state.clients.limits.pinched(now) {
             state.request_eviction(ConnectionId(connection));
         }
     }
--- a/crates/platform/src/machines/mod.rs
+++ b/crates/platform/src/machines/mod.rs
@@ -19,7 +19,7 @@
 
 use crate::tasks::AttemptId;
 use mulleinhub_interface::{Duration, MachineEntry, MachineId, MachineState, TaskId, Timestamp};
-use mulleinhub_limits::{ConnectionPool, machine_connection_limit};
+use mulleinhub_limits::{Pool, connections_to_machines};
 use mulleinhub_resilience::SlowStartGate;
 use mulleinhub_sans_io::ConnectionId;
 use std::collections::BTreeMap;
@@ -85,13 +85,12 @@
         now: Timestamp,
         idle_timeout: Duration,
     ) {
-        let (established_at, seen_before) = connection.established_at;
         if connection.established
             && !connection.proved_alive
-            && now - established_at < idle_timeout
-            && self.last_seen_at == established_at
+            && now - connection.established_at < idle_timeout
+            && self.last_seen_at == connection.established_at
         {
-            self.last_seen_at = seen_before;
+            self.last_seen_at = connection.machine_seen_before;
             self.failures += 1;
         }
     }
@@ -111,7 +110,7 @@
     /// The connections by their ids.
     pub connections: BTreeMap<ConnectionId, MachineConnection>,
     /// Descriptors of connections to machines, and when each was last used.
-    pub pool: ConnectionPool,
+    pub pool: Pool,
     /// How many connections to machines may be open.
     pub max_connections: usize,
     /// Timeouts of machines and connections.
@@ -130,11 +129,11 @@
 impl Machines {
     /// No machines yet, in a process with so many descriptors.
     pub fn new(descriptors: usize, idle_timeout: Duration, connect_timeout: Duration) -> Self {
-        let max_connections = machine_connection_limit(descriptors);
+        let max_connections = connections_to_machines(descriptors);
         Self {
             by_id: BTreeMap::new(),
             connections: BTreeMap::new(),
-            pool: ConnectionPool::new(max_connections),
+            pool: Pool::new(max_connections),
             max_connections,
             timeouts: Timeouts::new(idle_timeout, connect_timeout),
         }
@@ -194,14 +193,15 @@
         let Some(connection) = self.connections.get_mut(&connection_id) else { return };
         (connection.used_at, connection.established) = (now, true);
         if let Some(machine) = self.by_id.get_mut(&connection.machine) {
-            connection.established_at = (established_at, machine.last_seen_at);
+            connection.established_at = established_at;
+            connection.machine_seen_before = machine.last_seen_at;
             machine.mark_alive(established_at);
         }
     }
 
     /// Removes a connection and frees its descriptor.
     pub fn remove_connection(&mut self, connection_id: ConnectionId) -> Option<MachineConnection> {
-        self.pool.remove(connection_id.0);
+        self.pool.over(connection_id.0);
         let connection = self.connections.remove(&connection_id)?;
         if let Some(machine) = self.by_id.get_mut(&connection.machine) {
             machine.connections.retain(|other| *other != connection_id);
--- a/crates/platform/src/machines/replies.rs
+++ b/crates/platform/src/machines/replies.rs
@@ -36,7 +36,7 @@
         return;
     }
     let client = mark_running(state, connection_id, id, attempt);
-    settle_earlier_writes(state, attempt.machine, AttemptId { task: id, number: attempt.number });
+    settle_earlier_writes(state, attempt.machine, attempt.id(id));
     if let Some(client) = client {
         proves_itself(state, client);
         state.send(client, |out| protocol::write_answer(out, id.0, description));
@@ -80,9 +80,9 @@
 
 /// A machine answered this attempt: what was written before it has arrived too.
 fn settle_earlier_writes(state: &mut SchedulerState, machine_id: MachineId, attempt: AttemptId) {
-    let (now, window) = (state.now, state.settings.slow_start.fall);
+    let (now, window) = (state.now, state.settings.cold.fall);
     if let Some(machine) = state.machines.by_id.get_mut(&machine_id) {
-        machine.slow_start.on_answered(now, window, attempt.task.0, attempt.number);
+        machine.slow_start.answered(now, window, attempt.task.0, attempt.number);
     }
     state.release_queued(machine_id);
 }
@@ -97,7 +97,7 @@
 ) {
     let attempt = attempt_released(&mut shared.borrow_mut(), connection_id, id, release);
     let Some(attempt) = attempt else { return };
-    let attempt_id = AttemptId { task: id, number: attempt.number };
+    let attempt_id = attempt.id(id);
     let is_its_connection = attempt.connection() == Some(connection_id);
     if attempt.is_running() {
         if matches!(release.cause, why::FULL | why::MOOT) && !is_its_connection {
@@ -127,7 +127,7 @@
     if state.tasks.by_id.contains_key(&id) {
         return state.tasks.attempt(id).filter(|attempt| attempt.machine == machine);
     }
-    // A rejection is the end of an attempt only, and a client that cancelled a task is owed nothing.
+    // A rejection is the end of an attempt only, and a client that cancelled a task is not notified.
     let is_rejection = matches!(release.cause, why::FULL | why::BUSY | why::ERROR | why::MOOT);
     if !is_rejection && outcome_of_running(release) != Outcome::Cancelled {
         state.adoptions.record_end(state.now, id, machine, release.cause, state.max_tasks);
--- a/crates/platform/src/shutdown.rs
+++ b/crates/platform/src/shutdown.rs
@@ -2,7 +2,6 @@
 //! exit once every admitted task has its answer.
 
 use crate::state::{SchedulerState, SharedState};
-use crate::tasks::AttemptId;
 use crate::timers::TimerEvent;
 use mulleinhub_interface::{Duration, PolicyEvents, Timestamp};
 
@@ -21,7 +20,7 @@
 #[derive(Debug, Default)]
 pub struct Shutdown {
     requested_at: Option<Timestamp>,
-    /// The policy was told by when its answers are owed.
+    /// The policy was notified of the answer deadline.
     announced: bool,
 }
 
@@ -38,7 +37,7 @@
 }
 
 impl SchedulerState {
-    /// By when all answers are owed, once the shutdown has begun.
+    /// By when all answers must be given, once the shutdown has begun.
     pub fn answer_deadline(&self) -> Option<Timestamp> {
         let timeouts = self.settings.use_cases.iter().map(|use_case| use_case.client_timeout);
         let longest = timeouts.max().unwrap_or(MAX_CLIENT_TIMEOUT).min(MAX_CLIENT_TIMEOUT);
@@ -56,12 +55,12 @@
         self.shutdown.requested_at.is_some_and(|requested_at| now - requested_at >= MIN_DURATION)
             && self.tasks.unanswered == 0
             && !self.has_unhandled_input()
-            && self.clients.by_connection.keys().all(|id| self.connections.pending_bytes(*id) == 0)
+            && self.clients.by_connection.keys().all(|id| self.connections.unwritten(*id) == 0)
     }
 }
 
 /// Once the shutdown has begun, cuts the deadlines of unanswered tasks and of their attempts in flight to the
-/// time that is left, and tells the policy.
+/// time that is left, and notifies the policy.
 pub fn announce(shared: &SharedState, events: &mut dyn PolicyEvents) {
     let deadline = cut_deadlines(&mut shared.borrow_mut());
     if let Some(deadline) = deadline {
@@ -78,8 +77,8 @@
         task.spec.deadline = task.spec.deadline.min(last);
         if let Some(attempt) = task.attempt.as_mut().filter(|attempt| attempt.deadline > last) {
             attempt.deadline = last;
-            let attempt_id = AttemptId { task: *id, number: attempt.number };
-            state.timers.schedule(last, TimerEvent::AttemptTimeout(attempt_id));
+            let attempt_id = attempt.id(*id);
+            state.timers.set(last, TimerEvent::AttemptTimeout(attempt_id));
         }
     }
     Some(last)
--- a/crates/platform/src/state.rs
+++ b/crates/platform/src/state.rs
@@ -13,10 +13,10 @@
 use crate::timers::TimerEvent;
 use mulleinhub::{Pcg, mix};
 use mulleinhub_interface::{Outcome, TaskId, Timestamp};
-use mulleinhub_limits::{AdmissionControl, max_tasks_in_flight, max_tasks_tracked};
+use mulleinhub_limits::{Admission, tasks_held, tasks_in_hand};
 use mulleinhub_platform_protocol::Event;
-use mulleinhub_platform_settings::PlatformSettings;
-use mulleinhub_resilience::{MAX_POLL_INTERVAL, PauseDetector};
+use mulleinhub_platform_settings::Site;
+use mulleinhub_resilience::{HEARTBEAT, PauseDetector};
 use mulleinhub_sans_io::{CloseReason, ConnectionId, Connections, Timers};
 use std::cell::RefCell;
 use std::collections::VecDeque;
@@ -28,14 +28,14 @@
 
 /// The state as the handlers of a scheduling round and the policy's dispatcher share it.
 ///
-/// In a round a handler tells the policy of an event, and the policy answers it at once, before the call
+/// In a round a handler notifies the policy of an event, and the policy answers it at once, before the call
 /// returns, through the dispatcher, which writes to the same state. Neither can own it alone: the dispatcher
 /// lives as long as the round does, and so do the handlers. All of it runs on one thread, so a `RefCell`
 /// makes that safe at the cost of a flag, and each side borrows for one step only. No borrow may be held over
 /// a call of [`PolicyEvents`](mulleinhub_interface::PolicyEvents).
 pub type SharedState = RefCell<SchedulerState>;
 
-/// What the policy is yet to be told.
+/// What the policy is yet to be notified of.
 #[derive(Debug, Default)]
 pub struct PolicyQueue {
     /// Outcomes of attempts that this side found out.
@@ -44,10 +44,17 @@
     pub cancelled: Vec<TaskId>,
 }
 
+impl PolicyQueue {
+    /// An attempt ended in a way that this side found out.
+    pub fn push_outcome(&mut self, attempt: AttemptId, outcome: Outcome) {
+        self.outcomes.push_back((attempt, outcome));
+    }
+}
+
 /// The state of a scheduler: connections, tasks, and what is due. In memory only; lost with the process.
 pub struct SchedulerState {
     /// Use cases, machine kinds and rules of the platform.
-    pub settings: PlatformSettings,
+    pub settings: Site,
     /// The instant of this iteration.
     pub now: Timestamp,
     /// The connections' outgoing bytes, and commands to the event loop.
@@ -60,19 +67,19 @@
     pub machines: Machines,
     /// The stream of endpoint events.
     pub endpoint_watch: EndpointWatch,
-    /// The endpoint list of the configuration; empty once the policy was told.
+    /// The endpoint list of the configuration; empty once the policy was notified.
     pub initial_endpoints: Vec<Event>,
     /// The tasks that are held.
     pub tasks: Tasks,
     /// Shares the places for unanswered tasks among services.
-    pub admission: AdmissionControl,
+    pub admission: Admission,
     /// Tasks that may be held in all.
     pub max_tasks: usize,
     /// Adoptions that wait for their machine.
     pub adoptions: Adoptions,
     /// Connections with something to be handled.
     pub inbound: InboundQueue,
-    /// What the policy is yet to be told.
+    /// What the policy is yet to be notified of.
     pub policy_queue: PolicyQueue,
     /// How far a graceful shutdown has come.
     pub shutdown: Shutdown,
@@ -96,9 +103,9 @@
         let settings = config.settings;
         Self {
             clients: Clients::new(config.descriptors),
-            machines: Machines::new(config.descriptors, settings.idle_timeout, settings.connect_timeout),
-            admission: AdmissionControl::new(max_tasks_in_flight(config.memory_mb)),
-            max_tasks: max_tasks_tracked(config.memory_mb),
+            machines: Machines::new(config.descriptors, settings.idle_after, settings.connect_within),
+            admission: Admission::new(tasks_in_hand(config.memory_mb)),
+            max_tasks: tasks_held(config.memory_mb),
             now: Timestamp::default(),
             connections: Connections::default(),
             timers: Timers::default(),
@@ -110,7 +117,7 @@
             policy_queue: PolicyQueue::default(),
             shutdown: Shutdown::default(),
             pauses: PauseDetector::default(),
-            random: Pcg::new(mix(config.seed, settings.slow_start.number.into())),
+            random: Pcg::new(mix(config.seed, settings.cold.number.into())),
             counts: Counts::default(),
             output: Vec::with_capacity(OUTPUT_CAPACITY),
             last_token: 0,
@@ -123,8 +130,8 @@
     /// An iteration begins: everything that came in before it was reported.
     pub fn begin_iteration(&mut self, now: Timestamp) {
         self.now = now;
-        if self.pauses.begin_iteration(now) {
-            self.clients.limits.on_process_resumed(now);
+        if self.pauses.begin(now) {
+            self.clients.limits.woke(now);
         }
         self.begin_inbound();
     }
@@ -138,7 +145,7 @@
                 self.on_closed(self.now, connection_id, CloseReason::Broken);
             }
         }
-        self.pauses.end_iteration(self.next_wakeup());
+        self.pauses.end(self.next_wakeup());
     }
 
     /// When the next iteration is needed at the latest.
@@ -150,16 +157,11 @@
             return Some(self.now);
         }
         let limits = &self.clients.limits;
-        let accept_resumes_at = limits.accept_paused_until().filter(|until| *until > self.now);
-        [
-            self.timers.next_wakeup(),
-            limits.next_wakeup(),
-            accept_resumes_at,
-            Some(self.now + MAX_POLL_INTERVAL),
-        ]
-        .into_iter()
-        .flatten()
-        .min()
+        let accept_resumes_at = limits.waits_until().filter(|until| *until > self.now);
+        [self.timers.next(), limits.wake(), accept_resumes_at, Some(self.now + HEARTBEAT)]
+            .into_iter()
+            .flatten()
+            .min()
     }
 
     /// Logs a fault of a peer, at a limited rate.
@@ -177,7 +179,7 @@
     /// Sends the message that was composed; one with a token can be withdrawn while it is unsent.
     pub fn send_output(&mut self, connection_id: ConnectionId, token: Option<u64>) {
         self.connections.send(connection_id, &self.output, token);
-        if self.connections.pending_bytes(connection_id) > MAX_UNSENT {
+        if self.connections.unwritten(connection_id) > MAX_UNSENT {
             self.slow_readers.push(connection_id);
         }
     }
--- a/crates/platform/src/tests/clients.rs
+++ b/crates/platform/src/tests/clients.rs
@@ -185,5 +185,5 @@
     assert_eq!((state.machines.by_id.len(), state.machines.connections.len()), (2, 0));
     assert!(state.timers.len() < 20 && state.policy_queue.outcomes.is_empty(), "{}", state.timers.len());
     assert_eq!(state.clients.limits.len(), 0);
-    assert!(state.connections.buffer_capacity() < 2_000_000);
+    assert!(state.connections.held() < 2_000_000);
 }
--- a/crates/platform/src/tests/harness.rs
+++ b/crates/platform/src/tests/harness.rs
@@ -104,7 +104,8 @@
 }
 
 impl Harness {
-    /// A scheduler that knows so many machines, has had its first iteration, and is connected to the discovery service.
+    /// A scheduler that knows so many machines, has had its first iteration, and is connected to the
+    /// discovery service.
     pub fn new(machines: u64) -> Self {
         Self::with_config(machines, |config_json| config_json)
     }
@@ -152,7 +153,7 @@
     fn transfer(&mut self) -> bool {
         let mut brought_back = false;
         loop {
-            while let Some(connection_id) = self.scheduler.connections().next_with_output() {
+            while let Some(connection_id) = self.scheduler.connections().next_dirty() {
                 self.take_output(connection_id);
             }
             let Some(command) = self.scheduler.connections().next_command() else { return brought_back };
@@ -169,7 +170,7 @@
                             let reason = if refusal == Reachability::Refuses {
                                 CloseReason::Refused
                             } else {
-                                CloseReason::NotAttempted
+                                CloseReason::Untried
                             };
                             self.scheduler.on_closed(self.now, connection_id, reason);
                         }
@@ -179,7 +180,7 @@
                     }
                     brought_back = true;
                 }
-                Command::Close { connection: connection_id, .. } => {
+                Command::End { link: connection_id, .. } => {
                     self.take_output(connection_id);
                     self.scheduler.connections().discard(connection_id);
                     self.opened.remove(&connection_id);
@@ -195,7 +196,7 @@
             return;
         }
         let bytes = self.scheduler.connections().outgoing(connection_id).to_vec();
-        self.scheduler.connections().mark_written(connection_id, bytes.len());
+        self.scheduler.connections().wrote(connection_id, bytes.len());
         if self.opened.get(&connection_id).is_some_and(|to| to.ends_with(":8500") || to.ends_with(":8501")) {
             return self.raw_bytes.entry(connection_id).or_default().extend(bytes);
         }
@@ -259,8 +260,8 @@
         self.run_until_idle();
     }
 
-    /// A connection that was held back is established: what waits for it leaves once the scheduler has had its
-    /// iteration.
+    /// A connection that was held back is established: what waits for it leaves once the scheduler has had
+    /// its iteration.
     pub fn establish(&mut self, connection_id: ConnectionId) {
         self.scheduler.on_connected(self.now, connection_id);
         self.scheduler.poll(self.now);
--- a/crates/platform/src/timers.rs
+++ b/crates/platform/src/timers.rs
@@ -44,10 +44,10 @@
 pub fn fire_due(shared: &SharedState, events: &mut dyn PolicyEvents) {
     let (now, mark) = {
         let state = shared.borrow();
-        (state.now, state.timers.last_sequence())
+        (state.now, state.timers.mark())
     };
     loop {
-        let due = shared.borrow_mut().timers.pop_due_up_to(now, mark);
+        let due = shared.borrow_mut().timers.due_of(now, mark);
         match due {
             Some(TimerEvent::Policy(token)) => events.on_timer(token),
             Some(event) => fire(&mut shared.borrow_mut(), event),
@@ -83,7 +83,7 @@
 
 fn refuse_overdue_adoptions(state: &mut SchedulerState) {
     while let Some(pending) = state.adoptions.take_overdue(state.now) {
-        // A client that cancelled the task is owed nothing.
+        // A client that cancelled the task is not notified.
         if pending.cancelled {
             continue;
         }
@@ -102,6 +102,6 @@
     if deadline <= state.now {
         state.restart_endpoint_watch();
     } else {
-        state.timers.schedule(deadline, TimerEvent::EndpointSilence(connection_id));
+        state.timers.set(deadline, TimerEvent::EndpointSilence(connection_id));
     }
 }
