--- a/crates/event-loop/src/event_loop.rs
+++ b/crates/event-loop/src/event_loop.rs
@@ -181,8 +181,8 @@
         Ok(())
     }
 
-    /// Waits for input, a timer or a signal for `max_wait` at most, hands all input to the state machine, polls
-    /// it, and executes its commands.
+    /// Waits for input, a timer or a signal for `max_wait` at most, hands all input to the state machine,
+    /// polls it, and executes its commands.
     ///
     /// # Errors
     /// If the poll itself fails. Failures of single connections are reported to the state machine.
--- a/crates/event-loop/src/event_loop/linger.rs
+++ b/crates/event-loop/src/event_loop/linger.rs
@@ -8,8 +8,8 @@
 
 /// How long a closed connection lingers.
 pub(super) const LINGER_TIMEOUT: Duration = Duration::from_millis(1000);
-/// Lingering connections at a time: one for so many descriptors of the process, and [`MAX_LINGERING`] at most.
-/// Where there are more, the oldest are dropped.
+/// Lingering connections at a time: one for so many descriptors of the process, and [`MAX_LINGERING`] at
+/// most. Where there are more, the oldest are dropped.
 const DESCRIPTORS_PER_LINGERING: usize = 64;
 const MAX_LINGERING: usize = 8;
 /// Reads of one lingering connection before others get their turn.
--- a/crates/event-loop/tests/descriptor_exhaustion.rs
+++ b/crates/event-loop/tests/descriptor_exhaustion.rs
@@ -1,5 +1,5 @@
-//! Behaviour at the hard limit of descriptors, with real sockets. A single test, because it lowers the limit of
-//! its own process.
+//! Behaviour at the hard limit of descriptors, with real sockets. A single test, because it lowers the limit
+//! of its own process.
 
 use mulleinhub_event_loop::EventLoop;
 use mulleinhub_interface::Timestamp;
--- a/crates/planner/src/daemon.rs
+++ b/crates/planner/src/daemon.rs
@@ -1,6 +1,7 @@
 //! The daemon's life: start, serve, reload on SIGHUP, drain and stop on SIGTERM.
 //!
-//! Runs in the main thread and owns the event loop. The ledger, where it is configured, has threads of its own.
+//! Runs in the main thread and owns the event loop. The ledger, where it is configured, has threads of its
+//! own.
 
 use crate::error::{Operation, PlannerError};
 use crate::logging::start_logging;
@@ -164,7 +165,8 @@
     }
 }
 
-/// A number that distinguishes this process from earlier ones of the same planner; nothing else depends on it.
+/// A number that distinguishes this process from earlier ones of the same planner; nothing else depends on
+/// it.
 fn new_incarnation() -> u64 {
     SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |since| since.as_nanos() as u64)
 }
--- a/crates/planner/src/platform.rs
+++ b/crates/planner/src/platform.rs
@@ -22,8 +22,8 @@
 const CLIENT_LISTENER: ListenerId = ListenerId(0);
 /// How long clients have to read their last answers at the shutdown.
 const SHUTDOWN_TIMEOUT: Duration = Duration::from_millis(150);
-/// Longest wait of one iteration. The event loop wakes for whatever is due; this bounds the wait for a shutdown
-/// that no event announces.
+/// Longest wait of one iteration. The event loop wakes for whatever is due; this bounds the wait for a
+/// shutdown that no event announces.
 const MAX_WAIT: Duration = Duration::from_millis(100);
 /// How long a start waits for its address, and how often it retries.
 const BIND_TIMEOUT: Duration = Duration::from_secs(5);
--- a/crates/planner/src/settings/directives.rs
+++ b/crates/planner/src/settings/directives.rs
@@ -13,9 +13,9 @@
 /// Gives the time by which tasks of a suspended account are to be finished.
 const FINISH_BY: &str = "finish-by";
 
-/// Reads a directives file: `cap TEAM NUMBER AMOUNT`, `hold ACCOUNT NUMBER [finish-by SECONDS]`, `clear ACCOUNT
-/// NUMBER`, one a line. The number is the directive's own version; amounts are micro-units, seconds are Unix
-/// time. `file` names the file in faults.
+/// Reads a directives file: `cap TEAM NUMBER AMOUNT`, `hold ACCOUNT NUMBER [finish-by SECONDS]`, `clear
+/// ACCOUNT NUMBER`, one a line. The number is the directive's own version; amounts are micro-units, seconds
+/// are Unix time. `file` names the file in faults.
 ///
 /// # Errors
 /// If there are faults.
--- /dev/null
+++ b/crates/planner/tests/harness/mod.rs
@@ -0,0 +1,531 @@
+//! Test harness for the platform mode: the built program as a process, and scripted clients, machines and
+//! list services around it, over loopback sockets.
+//!
+//! Tests force the order of events: a paused process reads nothing, and a blocked listener lets no connection
+//! be established.
+#![allow(dead_code, reason = "each test file uses its part")]
+
+pub mod fleet;
+
+use mulleinhub_platform_protocol::{Frames, code, kind, why, write_answer, write_message, write_with_cause};
+use rustix::process::{Pid, Signal, kill_process};
+use std::io::{Read, Write};
+use std::net::{SocketAddr, TcpListener, TcpStream};
+use std::path::PathBuf;
+use std::process::{Child, Command, Stdio};
+use std::time::{Duration, Instant};
+
+/// How long a test waits for anything before it fails.
+pub const TIMEOUT: Duration = Duration::from_secs(10);
+
+/// A listener on a free port of a loopback address of its own.
+pub fn listener(host: u8) -> TcpListener {
+    TcpListener::bind(("127.0.9.".to_owned() + &host.to_string(), 0)).expect("a free port")
+}
+
+pub fn address(listener: &TcpListener) -> SocketAddr {
+    listener.local_addr().expect("is bound")
+}
+
+/// One entry of the endpoint list, as JSON.
+pub fn list_entry(uid: &str, at: SocketAddr, state: &str, boot_ms: u64) -> String {
+    format!(
+        r#"{{"uid":"{uid}","endpoint":"{at}","az":"hall","model":"big","pod_group":0,"state":"{state}",{}}}"#,
+        format_args!(r#""boot_ms":{boot_ms},"room":[32.0,64.0]"#)
+    )
+}
+
+/// An event of the endpoint list, as JSON: a snapshot if `all` is set, else changes.
+pub fn list_event(number: u64, all: bool, entries: &[String]) -> String {
+    format!(r#"{{"no":{number},"roster":{{"rev":{number},"all":{all},"targets":[{}]}}}}"#, entries.join(","))
+}
+
+/// The changes as a server-sent event.
+pub fn sse_event(number: u64, entries: &[String]) -> Vec<u8> {
+    format!("id: {number}\ndata: {}\n\n", list_event(number, false, entries)).into_bytes()
+}
+
+/// A configuration with one known machine.
+pub fn config(machine: SocketAddr, list_service: SocketAddr) -> String {
+    let known = list_event(1, true, &[list_entry("s-1", machine, "in_service", 0)]);
+    format!(
+        r#"{{"name":"n0","listen":"127.0.9.1:0","seed":"8c1f30d27a5be964","bulletin":"{list_service}",
+        "limits":{{"cores":1.0,"memory_mb":32,"sockets":256}},
+        "known":{{"no":1,"items":[{known}]}},
+        "settings":{{"balancers":1,"index":0,"myZone":0,"discovery":"push","localities":["hall"],
+        "shapes":["big"],
+        "classes":[{{"name":"front","effect":"repeatable","target":1000000000,"deadline":2500000000,
+                     "gain":9}},
+                   {{"name":"batch","effect":"by_key","group":"cell","window":3000000000,
+                     "target":1000000000,"deadline":2500000000,"gain":9}},
+                   {{"name":"once","effect":"once","target":1000000000,"deadline":2500000000,"gain":9}}],
+        "limits":{{"cancel":true,"connectTimeout":250000000,"keepalive":15000000000,
+                   "maxAttempts":4}},
+        "rules":{{"askWithin":10000000000,"fall":1000000000,"warmAfter":10000000000}},
+        "specifics":{{"acceptsCores":2.0,"acceptsMemory":1.2,"kindCores":[32],"memoryByKind":[64],
+                      "precedence":[0,0,0],"yesAt":"accepted","youngLimit":40,"tellsPressure":false}},
+        "tariffs":{{}}}}}}"#
+    )
+}
+
+/// Long timeouts, so that only the test itself ends an attempt: connections may take ten seconds to be
+/// established, clients wait for a minute.
+pub fn with_long_timeouts(config: String) -> String {
+    config
+        .replace("\"connectTimeout\":250000000", "\"connectTimeout\":10000000000")
+        .replace("\"deadline\":2500000000", "\"deadline\":60000000000")
+}
+
+/// A scheduler process on the platform, and the listeners of its machine and its list service.
+pub struct Scheduler {
+    child: Child,
+    pub config: PathBuf,
+    log: PathBuf,
+    pub listen: SocketAddr,
+    pub machine: TcpListener,
+    pub list_service: TcpListener,
+    _folder: tempfile::TempDir,
+}
+
+pub fn start(config: &std::path::Path, listen: SocketAddr, log: std::fs::File) -> Child {
+    let mut command = Command::new(env!("CARGO_BIN_EXE_mulleinhub-planner"));
+    command.arg("platform");
+    start_by(command, config, listen, log)
+}
+
+fn start_by(mut command: Command, config: &std::path::Path, listen: SocketAddr, log: std::fs::File) -> Child {
+    command.env("LB_CONFIG", config).env("LB_LISTEN", listen.to_string()).env("LB_NAME", "n0");
+    command.env("RUST_LOG", "debug");
+    command.stdout(Stdio::null()).stderr(log).spawn().expect("starts")
+}
+
+impl Scheduler {
+    pub fn start() -> Self {
+        Self::with_config(|config| config)
+    }
+
+    /// With a changed configuration.
+    pub fn with_config(change: impl Fn(String) -> String) -> Self {
+        let mut command = Command::new(env!("CARGO_BIN_EXE_mulleinhub-planner"));
+        command.arg("platform");
+        Self::start_by(command, change)
+    }
+
+    /// With this descriptor limit, whatever the configuration says.
+    pub fn with_descriptors(descriptors: usize) -> Self {
+        Self::with_limits(Some(descriptors), |config| config)
+    }
+
+    /// With a descriptor limit and a changed configuration.
+    pub fn with_limits(descriptors: Option<usize>, change: impl Fn(String) -> String) -> Self {
+        let Some(descriptors) = descriptors else { return Self::with_config(change) };
+        let mut command = Command::new("sh");
+        let program = env!("CARGO_BIN_EXE_mulleinhub-planner");
+        command.args(["-c", &format!("ulimit -n {descriptors} && exec {program} platform")]);
+        Self::start_by(command, change)
+    }
+
+    /// Listens at this address.
+    pub fn listening_at(listen: SocketAddr) -> Self {
+        let mut command = Command::new(env!("CARGO_BIN_EXE_mulleinhub-planner"));
+        command.arg("platform");
+        Self::start_at(command, listen, |config| config)
+    }
+
+    /// Starts a new process at the same address, with the same configuration.
+    pub fn start_successor(&self) -> Self {
+        let mut command = Command::new(env!("CARGO_BIN_EXE_mulleinhub-planner"));
+        command.arg("platform");
+        let config = std::fs::read_to_string(&self.config).expect("is read");
+        Self::start_at(command, self.listen, |_| config.clone())
+    }
+
+    fn start_by(command: Command, change: impl Fn(String) -> String) -> Self {
+        let listen = address(&listener(1));
+        Self::start_at(command, listen, change)
+    }
+
+    fn start_at(command: Command, listen: SocketAddr, change: impl Fn(String) -> String) -> Self {
+        let folder = tempfile::tempdir().expect("a folder");
+        let (machine, list_service) = (listener(2), listener(3));
+        let path = folder.path().join("config.json");
+        std::fs::write(&path, change(config(address(&machine), address(&list_service)))).expect("is written");
+        let log = folder.path().join("log");
+        let child = start_by(command, &path, listen, std::fs::File::create(&log).expect("is made"));
+        Self { child, config: path, log, listen, machine, list_service, _folder: folder }
+    }
+
+    /// A new client connection.
+    pub fn connect(&self) -> TcpStream {
+        let started_at = Instant::now();
+        loop {
+            match TcpStream::connect(self.listen) {
+                Ok(client) => {
+                    configure(&client);
+                    return client;
+                }
+                Err(error) => assert!(started_at.elapsed() < TIMEOUT, "{error}: {}", self.log()),
+            }
+            std::thread::sleep(Duration::from_millis(5));
+        }
+    }
+
+    pub fn log(&self) -> String {
+        std::fs::read_to_string(&self.log).unwrap_or_default()
+    }
+
+    pub fn signal(&self, signal: Signal) {
+        kill_process(Pid::from_child(&self.child), signal).expect("it runs");
+    }
+
+    /// Stops the process (SIGSTOP) and waits until it stands: bytes written to it stay unread.
+    pub fn pause(&self) {
+        self.signal(Signal::STOP);
+        let stat = format!("/proc/{}/stat", self.child.id());
+        let is_stopped = || {
+            let stat = std::fs::read_to_string(&stat).expect("it is there");
+            stat.rsplit(')').next().is_some_and(|state| state.trim_start().starts_with('T'))
+        };
+        while !is_stopped() {
+            std::thread::sleep(Duration::from_millis(1));
+        }
+    }
+
+    pub fn resume(&self) {
+        self.signal(Signal::CONT);
+    }
+
+    /// Waits until the log contains this text.
+    pub fn wait_for_log(&self, text: &str) {
+        let started_at = Instant::now();
+        while !self.log().contains(text) {
+            assert!(started_at.elapsed() < TIMEOUT, "{text:?} is not in the log: {}", self.log());
+            std::thread::sleep(Duration::from_millis(5));
+        }
+    }
+
+    /// The exit status, once the process has exited in time.
+    pub fn wait_for_exit(&mut self) -> Option<i32> {
+        let started_at = Instant::now();
+        while started_at.elapsed() < TIMEOUT {
+            if let Some(status) = self.child.try_wait().expect("it can be asked") {
+                return status.code();
+            }
+            std::thread::sleep(Duration::from_millis(10));
+        }
+        None
+    }
+
+    pub fn kill(&mut self) {
+        let _ = self.child.kill();
+        let _ = self.child.wait();
+    }
+
+    /// The next connection to the machine.
+    pub fn accept_machine(&self) -> TcpStream {
+        accept_connection(&self.machine)
+    }
+
+    /// Accepts the next list watch and answers its head. Returns its connection and its last event id.
+    pub fn accept_watch(&self) -> (TcpStream, u64) {
+        let mut watch = accept_connection(&self.list_service);
+        let last = read_last_event_id(&mut watch);
+        watch
+            .write_all(b"HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\n\r\n: \n\n")
+            .expect("is sent");
+        (watch, last)
+    }
+}
+
+impl Drop for Scheduler {
+    fn drop(&mut self) {
+        self.kill();
+    }
+}
+
+/// Bytes are sent at once, also while a paused process acknowledges nothing.
+fn configure(stream: &TcpStream) {
+    stream.set_nodelay(true).expect("is set");
+    stream.set_nonblocking(false).expect("is set");
+    stream.set_read_timeout(Some(TIMEOUT)).expect("is set");
+}
+
+/// The next connection, within the timeout.
+pub fn accept_connection(listener: &TcpListener) -> TcpStream {
+    listener.set_nonblocking(true).expect("is set");
+    let started_at = Instant::now();
+    loop {
+        match listener.accept() {
+            Ok((stream, _)) => {
+                configure(&stream);
+                return stream;
+            }
+            Err(error) => assert!(started_at.elapsed() < TIMEOUT, "no connection came: {error}"),
+        }
+        std::thread::sleep(Duration::from_millis(2));
+    }
+}
+
+/// Reads the request of a list watch, and returns its last event id.
+pub fn read_last_event_id(watch: &mut TcpStream) -> u64 {
+    let mut head = Vec::new();
+    while !head.ends_with(b"\r\n\r\n") {
+        let mut byte = [0];
+        assert_eq!(watch.read(&mut byte).expect("in time"), 1, "the watch ended");
+        head.push(byte[0]);
+    }
+    let head = String::from_utf8(head).expect("text");
+    let id = head.split("Last-Event-ID: ").nth(1).expect("has a last event id");
+    id.split("\r\n").next().and_then(|number| number.parse().ok()).expect("a number")
+}
+
+/// The next message on a connection: its type, task and cause.
+pub fn next_message(stream: &mut TcpStream) -> (u8, u64, Option<u8>) {
+    let mut frames = Frames::default();
+    loop {
+        let mut byte = [0];
+        assert_eq!(stream.read(&mut byte).expect("in time"), 1, "the connection ended");
+        frames.take(&byte);
+        if let Some(frame) = frames.next_frame().expect("a valid frame") {
+            return (frame.kind, frame.task, mulleinhub_platform_protocol::cause(&frame));
+        }
+    }
+}
+
+/// All messages on a connection until its end, orderly or not.
+pub fn remaining_messages(mut stream: TcpStream) -> Vec<(u8, u64, Option<u8>)> {
+    let (mut frames, mut bytes, mut all) = (Frames::default(), [0; 4096], Vec::new());
+    while let Ok(n @ 1..) = stream.read(&mut bytes) {
+        frames.take(&bytes[..n]);
+        while let Ok(Some(frame)) = frames.next_frame() {
+            all.push((frame.kind, frame.task, mulleinhub_platform_protocol::cause(&frame)));
+        }
+    }
+    all
+}
+
+/// A start request of the usual class.
+pub fn start_request(task: u64) -> Vec<u8> {
+    start_request_of(task, "front", "")
+}
+
+/// A start request of a class; `more` is appended to the figures.
+pub fn start_request_of(task: u64, class: &str, more: &str) -> Vec<u8> {
+    let figures = format!("cores:1;memory:2;service:00000000b4d65521{more}");
+    let mut params: Vec<(u8, &[u8])> = vec![(code::CLASS, class.as_bytes()), (code::PATIENCE, b"2000")];
+    if class == "batch" {
+        params.push((code::KEY, b"5c0f6e1a2b3d4c59a8b7c6d5e4f30211"));
+    }
+    params.push((code::NAME, b"7f3a9c21e0b4d655"));
+    params.push((code::FIGURES, figures.as_bytes()));
+    params.push((code::DESCRIPTION, b"wanted"));
+    encoded(|out| write_message(out, kind::SET_UP, task, &params))
+}
+
+/// The same start request with another client timeout.
+pub fn with_client_timeout(start_request: Vec<u8>, ms: &str) -> Vec<u8> {
+    let at =
+        start_request.windows(6).position(|bytes| bytes == b"\x00\x042000").expect("it waits two seconds");
+    let length = ms.len() as u16;
+    let body =
+        [&start_request[2..at], &length.to_be_bytes(), ms.as_bytes(), &start_request[at + 6..]].concat();
+    [&(body.len() as u16).to_be_bytes()[..], &body].concat()
+}
+
+/// The bytes of a message.
+pub fn encoded(write: impl FnOnce(&mut Vec<u8>)) -> Vec<u8> {
+    let mut out = Vec::new();
+    write(&mut out);
+    out
+}
+
+pub fn release(task: u64, cause: u8) -> Vec<u8> {
+    encoded(|out| write_with_cause(out, kind::RELEASE, task, cause))
+}
+
+pub fn acceptance(task: u64) -> Vec<u8> {
+    encoded(|out| write_answer(out, task, b"made"))
+}
+
+/// Waits until all that was written on this connection before is handled, and its consequences are carried
+/// out: the second health check is answered in a later iteration than the first.
+pub fn wait_until_handled(client: &mut TcpStream) {
+    for check in [u64::MAX - 1, u64::MAX] {
+        client.write_all(&encoded(|out| write_with_cause(out, kind::TEST, check, 0))).expect("is sent");
+        assert_eq!(next_message(client), (kind::TESTED, check, Some(1)));
+    }
+}
+
+/// A machine's listener with a full backlog: no connection is established until it is opened.
+pub struct BlockedListener<'a> {
+    listener: &'a TcpListener,
+    /// Connections that fill the backlog.
+    waiting: Vec<TcpStream>,
+}
+
+impl<'a> BlockedListener<'a> {
+    pub fn new(listener: &'a TcpListener) -> Self {
+        rustix::net::listen(listener, 0).expect("is narrowed");
+        let mut waiting = Vec::new();
+        while let Ok(connection) = TcpStream::connect_timeout(&address(listener), Duration::from_millis(200))
+        {
+            waiting.push(connection);
+        }
+        Self { listener, waiting }
+    }
+
+    /// Unblocks the listener, and returns the connection that waited.
+    pub fn open(self) -> TcpStream {
+        rustix::net::listen(self.listener, 128).expect("is widened");
+        for _ in &self.waiting {
+            accept_connection(self.listener);
+        }
+        accept_connection(self.listener)
+    }
+}
+
+/// A machine that accepts every task, on any number of connections.
+pub fn accept_all_tasks(listener: TcpListener) {
+    listener.set_nonblocking(false).expect("is set");
+    while let Ok((mut machine_connection, _)) = listener.accept() {
+        std::thread::spawn(move || {
+            let (mut frames, mut bytes) = (Frames::default(), [0; 4096]);
+            while let Ok(n @ 1..) = machine_connection.read(&mut bytes) {
+                frames.take(&bytes[..n]);
+                let mut out = Vec::new();
+                while let Ok(Some(frame)) = frames.next_frame() {
+                    if frame.kind == kind::SET_UP {
+                        write_answer(&mut out, frame.task, b"made");
+                    }
+                }
+                if machine_connection.write_all(&out).is_err() {
+                    return;
+                }
+            }
+        });
+    }
+}
+
+/// The next connection to any of these machines, with the index of the machine.
+pub fn accept_from_any(listeners: &[&TcpListener]) -> (usize, TcpStream) {
+    let started_at = Instant::now();
+    loop {
+        for (at, listener) in listeners.iter().enumerate() {
+            listener.set_nonblocking(true).expect("is set");
+            if let Ok((stream, _)) = listener.accept() {
+                configure(&stream);
+                return (at, stream);
+            }
+        }
+        assert!(started_at.elapsed() < TIMEOUT, "no connection came");
+        std::thread::sleep(Duration::from_millis(2));
+    }
+}
+
+/// Tasks of start requests on connections that are still in the backlog. The process has exited.
+pub fn backlogged_start_requests(listener: &TcpListener) -> Vec<u64> {
+    listener.set_nonblocking(true).expect("is set");
+    let mut all = Vec::new();
+    while let Ok((stream, _)) = listener.accept() {
+        stream.set_nonblocking(false).expect("is set");
+        all.extend(start_requests(stream));
+    }
+    all
+}
+
+/// Tasks of the start requests on a connection up to its end.
+pub fn start_requests(stream: TcpStream) -> Vec<u64> {
+    remaining_messages(stream)
+        .into_iter()
+        .filter(|(of, ..)| *of == kind::SET_UP)
+        .map(|(_, task, _)| task)
+        .collect()
+}
+
+/// How a client disconnects or gives up its tasks.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum Disconnect {
+    Fin,
+    Rst,
+    HalfClose,
+    Cancel,
+}
+
+impl Disconnect {
+    pub const ALL: [Self; 4] = [Self::Fin, Self::Rst, Self::HalfClose, Self::Cancel];
+
+    /// Gives up these tasks, and waits until the system has delivered that to the peer, as far as the peer
+    /// accepts unread bytes. The result is to be kept until the end of the test. Seen: on a busy machine, a
+    /// paused process that was resumed read the start requests without the end that followed them.
+    pub fn perform(self, mut client: TcpStream, tasks: impl Iterator<Item = u64>) -> Option<TcpStream> {
+        let (own, peer) = (client.local_addr().expect("is bound"), client.peer_addr().expect("is up"));
+        let still_open = match self {
+            Self::Fin => {
+                drop(client);
+                None
+            }
+            Self::Rst => {
+                let socket = rustix::net::sockopt::set_socket_linger(&client, Some(Duration::ZERO));
+                socket.expect("is set");
+                drop(client);
+                None
+            }
+            Self::HalfClose => {
+                client.shutdown(std::net::Shutdown::Write).expect("is shut");
+                Some(client)
+            }
+            Self::Cancel => {
+                let all: Vec<u8> = tasks.flat_map(|task| release(task, why::ENDED)).collect();
+                client.write_all(&all).expect("is sent");
+                Some(client)
+            }
+        };
+        let is_delivered = || match (self, Socket::of(own, peer), Socket::of(peer, own)) {
+            // The peer's receive buffer is full, and the end is queued behind it.
+            (.., Some(theirs)) if theirs.unread > Socket::READ_BUFFER_LIMIT => true,
+            (Self::Cancel, ours, _) => ours.is_none_or(|ours| ours.unacknowledged == 0),
+            (.., theirs) => theirs.is_none_or(|theirs| theirs.state != Socket::ESTABLISHED),
+        };
+        let started_at = Instant::now();
+        while !is_delivered() {
+            assert!(started_at.elapsed() < TIMEOUT, "{self:?} is not delivered to the peer");
+            std::thread::sleep(Duration::from_millis(1));
+        }
+        still_open
+    }
+}
+
+/// One side of a connection in the system's table of sockets.
+struct Socket {
+    state: u8,
+    /// Bytes written that the peer's system has not acknowledged.
+    unacknowledged: u64,
+    /// Bytes received and not read.
+    unread: u64,
+}
+
+impl Socket {
+    const ESTABLISHED: u8 = 1;
+    /// With more unread bytes, the receive buffer counts as full.
+    const READ_BUFFER_LIMIT: u64 = 60_000;
+
+    fn of(local: SocketAddr, remote: SocketAddr) -> Option<Self> {
+        let in_table = |at: SocketAddr| match at {
+            SocketAddr::V4(at) => format!("{:08X}:{:04X}", u32::from_ne_bytes(at.ip().octets()), at.port()),
+            SocketAddr::V6(at) => panic!("{at}: only loopback of version 4 is used here"),
+        };
+        let (local, remote) = (in_table(local), in_table(remote));
+        let table = std::fs::read_to_string("/proc/net/tcp").expect("is read");
+        // Columns: number, local, remote, state, bytes unacknowledged and unread.
+        table.lines().map(|line| line.split_whitespace().collect::<Vec<&str>>()).find_map(|columns| {
+            let [_, of_local, of_remote, state, queues, ..] = columns[..] else { return None };
+            let (unacknowledged, unread) = queues.split_once(':')?;
+            let number = |hex| u64::from_str_radix(hex, 16).expect("a number");
+            (of_local == local && of_remote == remote).then(|| Self {
+                state: u8::from_str_radix(state, 16).expect("a number"),
+                unacknowledged: number(unacknowledged),
+                unread: number(unread),
+            })
+        })
+    }
+}
--- a/crates/planner/tests/platform.rs
+++ b/crates/planner/tests/platform.rs
@@ -1,8 +1,8 @@
-//! The built program on the platform: started by its environment, over real sockets, until its exit.
+//! The platform mode of the built program: configured by its environment, over real sockets, until its exit.
 
-mod host;
+mod harness;
 
-use host::*;
+use harness::*;
 use mulleinhub_platform_protocol::{kind, why, write_answer, write_with_cause};
 use rustix::process::Signal;
 use std::io::{Read, Write};
@@ -10,104 +10,108 @@
 use std::time::{Duration, Instant};
 
 #[test]
-fn it_serves_reads_its_configuration_again_refuses_bad_bytes_and_ends_when_told() {
-    let mut program = Program::start();
-    let mut owner = program.owner();
-    owner.write_all(&written(|out| write_with_cause(out, kind::TEST, 1, 0))).expect("is sent");
-    assert_eq!(next(&mut owner), (kind::TESTED, 1, Some(1)));
-    let (_first, _) = program.bulletin.accept().expect("it calls the bulletin");
-    // Bad bytes cost their own connection.
-    let mut bad = program.owner();
-    bad.write_all(b"GET / HTTP/1.1\r\n\r\n").expect("is sent");
-    assert!(matches!(bad.read(&mut [0; 16]), Ok(0) | Err(_)), "it is closed");
-    // One task, there and back.
-    owner.write_all(&set_up(7)).expect("is sent");
-    let (mut machine, _) = program.machine.accept().expect("it is sent to the machine");
-    machine.set_read_timeout(Some(PATIENCE)).expect("is set");
-    assert_eq!(next(&mut machine), (kind::SET_UP, 7, None));
-    machine.write_all(&written(|out| write_answer(out, 7, b"made"))).expect("is sent");
-    assert_eq!(next(&mut owner), (kind::ANSWER, 7, None));
-    // A faulty file leaves the old one in force; a good one moves the bulletin.
-    std::fs::write(&program.conf, "{\"name\":").expect("is written");
-    program.signal(Signal::HUP);
-    program.wait_for("keeping the current one");
-    let moved = listener(4);
-    std::fs::write(&program.conf, conf(address(&program.machine), address(&moved))).expect("is written");
-    program.signal(Signal::HUP);
-    let (mut second, _) = moved.accept().expect("it goes over to the new address");
-    second.set_read_timeout(Some(PATIENCE)).expect("is set");
-    let mut call = vec![0; 512];
-    let n = second.read(&mut call).expect("the call");
-    assert!(String::from_utf8_lossy(&call[..n]).contains("Last-Event-ID: 1\r\n"));
-    // What stood ends, and its owner hears of it on the connection that lived through all this.
-    machine.write_all(&written(|out| write_with_cause(out, kind::RELEASE, 7, why::ENDED))).expect("is sent");
-    assert_eq!(next(&mut owner), (kind::RELEASE, 7, Some(why::ENDED)));
-    assert_eq!(next(&mut machine).0, kind::RELEASE_HEARD);
-    // The end: tests fail, set-ups are taken a while longer, and it exits with all answered.
-    let told = Instant::now();
-    program.signal(Signal::TERM);
-    program.wait_for("health checks fail from now on");
-    owner.write_all(&written(|out| write_with_cause(out, kind::TEST, 2, 0))).expect("is sent");
-    assert_eq!(next(&mut owner), (kind::TESTED, 2, Some(0)));
-    owner.write_all(&set_up(8)).expect("is sent");
-    assert_eq!(next(&mut machine), (kind::SET_UP, 8, None));
-    program.signal(Signal::TERM);
-    machine.write_all(&written(|out| write_answer(out, 8, b"made"))).expect("is sent");
-    assert_eq!(next(&mut owner), (kind::ANSWER, 8, None));
-    assert_eq!(program.exit(), Some(0), "{}", program.log());
-    assert!(told.elapsed() >= Duration::from_millis(700), "set-ups were still coming");
+fn serves_reloads_rejects_invalid_bytes_and_stops_on_sigterm() {
+    let mut scheduler = Scheduler::start();
+    let mut client = scheduler.connect();
+    client.write_all(&encoded(|out| write_with_cause(out, kind::TEST, 1, 0))).expect("is sent");
+    assert_eq!(next_message(&mut client), (kind::TESTED, 1, Some(1)));
+    let (_first, _) = scheduler.list_service.accept().expect("it watches the list");
+    // Invalid bytes close their own connection.
+    let mut invalid = scheduler.connect();
+    invalid.write_all(b"GET / HTTP/1.1\r\n\r\n").expect("is sent");
+    assert!(matches!(invalid.read(&mut [0; 16]), Ok(0) | Err(_)), "it is closed");
+    // One task, requested and placed.
+    client.write_all(&start_request(7)).expect("is sent");
+    let (mut machine, _) = scheduler.machine.accept().expect("it is sent to the machine");
+    machine.set_read_timeout(Some(TIMEOUT)).expect("is set");
+    assert_eq!(next_message(&mut machine), (kind::SET_UP, 7, None));
+    machine.write_all(&encoded(|out| write_answer(out, 7, b"made"))).expect("is sent");
+    assert_eq!(next_message(&mut client), (kind::ANSWER, 7, None));
+    // An invalid file leaves the current configuration in force; a valid one moves the list service.
+    std::fs::write(&scheduler.config, "{\"name\":").expect("is written");
+    scheduler.signal(Signal::HUP);
+    scheduler.wait_for_log("keeping the current one");
+    let moved_service = listener(4);
+    std::fs::write(&scheduler.config, config(address(&scheduler.machine), address(&moved_service)))
+        .expect("is written");
+    scheduler.signal(Signal::HUP);
+    let (mut second, _) = moved_service.accept().expect("it watches the new address");
+    second.set_read_timeout(Some(TIMEOUT)).expect("is set");
+    let mut request = vec![0; 512];
+    let n = second.read(&mut request).expect("the request");
+    assert!(String::from_utf8_lossy(&request[..n]).contains("Last-Event-ID: 1\r\n"));
+    // The task ends, and its client is notified on the connection that lasted through all this.
+    machine.write_all(&encoded(|out| write_with_cause(out, kind::RELEASE, 7, why::ENDED))).expect("is sent");
+    assert_eq!(next_message(&mut client), (kind::RELEASE, 7, Some(why::ENDED)));
+    assert_eq!(next_message(&mut machine).0, kind::RELEASE_HEARD);
+    // Shutdown: health checks fail, requests are accepted a while longer, and it exits with all answered.
+    let signalled_at = Instant::now();
+    scheduler.signal(Signal::TERM);
+    scheduler.wait_for_log("health checks fail from now on");
+    client.write_all(&encoded(|out| write_with_cause(out, kind::TEST, 2, 0))).expect("is sent");
+    assert_eq!(next_message(&mut client), (kind::TESTED, 2, Some(0)));
+    client.write_all(&start_request(8)).expect("is sent");
+    assert_eq!(next_message(&mut machine), (kind::SET_UP, 8, None));
+    scheduler.signal(Signal::TERM);
+    machine.write_all(&encoded(|out| write_answer(out, 8, b"made"))).expect("is sent");
+    assert_eq!(next_message(&mut client), (kind::ANSWER, 8, None));
+    assert_eq!(scheduler.wait_for_exit(), Some(0), "{}", scheduler.log());
+    assert!(signalled_at.elapsed() >= Duration::from_millis(700), "requests were still accepted");
 }
 
 #[test]
-fn a_configuration_that_cannot_be_read_is_told_in_one_line_and_an_exit_status() {
+fn invalid_configuration_is_reported_in_one_line_with_exit_status() {
     let folder = tempfile::tempdir().expect("a folder");
     let (path, log) = (folder.path().join("config.json"), folder.path().join("log"));
-    for (text, word) in [(None, "config.json"), (Some("{"), "EOF"), (Some("{\"seed\":\"7\"}"), "settings")] {
+    for (text, expected) in
+        [(None, "config.json"), (Some("{"), "EOF"), (Some("{\"seed\":\"7\"}"), "settings")]
+    {
         let _ = text.map(|text| std::fs::write(&path, text).expect("is written"));
         let mut child = start(&path, address(&listener(1)), std::fs::File::create(&log).expect("is made"));
         assert_eq!(child.wait().expect("it ends").code(), Some(2));
-        let said = std::fs::read_to_string(&log).expect("is read");
-        assert!(said.lines().count() == 1 && said.contains(word), "{said}");
+        let output = std::fs::read_to_string(&log).expect("is read");
+        assert!(output.lines().count() == 1 && output.contains(expected), "{output}");
     }
 }
 
 #[test]
-fn both_signals_that_came_while_it_stood_still_are_acted_on() {
-    let mut program = Program::start();
-    let mut owner = program.owner();
-    owner.write_all(&written(|out| write_with_cause(out, kind::TEST, 1, 0))).expect("is sent");
-    assert_eq!(next(&mut owner), (kind::TESTED, 1, Some(1)));
-    let moved = listener(4);
-    std::fs::write(&program.conf, conf(address(&program.machine), address(&moved))).expect("is written");
+fn signals_received_while_paused_are_both_handled() {
+    let mut scheduler = Scheduler::start();
+    let mut client = scheduler.connect();
+    client.write_all(&encoded(|out| write_with_cause(out, kind::TEST, 1, 0))).expect("is sent");
+    assert_eq!(next_message(&mut client), (kind::TESTED, 1, Some(1)));
+    let moved_service = listener(4);
+    std::fs::write(&scheduler.config, config(address(&scheduler.machine), address(&moved_service)))
+        .expect("is written");
     for signal in [Signal::STOP, Signal::TERM, Signal::HUP, Signal::CONT] {
-        program.signal(signal);
+        scheduler.signal(signal);
     }
-    moved.accept().expect("it goes over to the new address");
-    program.wait_for("health checks fail from now on");
-    assert_eq!(program.exit(), Some(0), "{}", program.log());
+    moved_service.accept().expect("it watches the new address");
+    scheduler.wait_for_log("health checks fail from now on");
+    assert_eq!(scheduler.wait_for_exit(), Some(0), "{}", scheduler.log());
 }
 
 #[test]
-fn with_few_descriptors_every_set_up_is_answered_and_no_machine_is_called_dead() {
-    let program = Program::start_with(48);
-    let machine = program.machine.try_clone().expect("is shared");
-    std::thread::spawn(move || takes_all(machine));
-    drop(program.owner());
-    let ask = |task| {
-        let mut owner = program.owner();
-        owner.write_all(&set_up(task)).expect("is sent");
-        owner
+fn few_descriptors_answer_every_request_and_lose_no_machine() {
+    let scheduler = Scheduler::with_descriptors(48);
+    let machine = scheduler.machine.try_clone().expect("is shared");
+    std::thread::spawn(move || accept_all_tasks(machine));
+    drop(scheduler.connect());
+    let send_request = |task| {
+        let mut client = scheduler.connect();
+        client.write_all(&start_request(task)).expect("is sent");
+        client
     };
-    let owners: Vec<TcpStream> = (100..220).map(ask).collect();
-    let (mut placed, mut refused) = (0, 0);
-    for (task, mut owner) in (100..).zip(owners) {
-        match next(&mut owner) {
+    let clients: Vec<TcpStream> = (100..220).map(send_request).collect();
+    let (mut placed, mut rejected) = (0, 0);
+    for (task, mut client) in (100..).zip(clients) {
+        match next_message(&mut client) {
             (kind::ANSWER, of, None) if of == task => placed += 1,
-            (kind::RELEASE, of, Some(why::BUSY | why::FULL)) if of == task => refused += 1,
+            (kind::RELEASE, of, Some(why::BUSY | why::FULL)) if of == task => rejected += 1,
             other => panic!("task {task}: {other:?}"),
         }
     }
-    assert!(placed >= 16, "{placed} placed, {refused} refused");
-    let log = program.log();
+    assert!(placed >= 16, "{placed} placed, {rejected} rejected");
+    let log = scheduler.log();
     assert!(!log.contains("tasks are lost") && !log.contains("can't be accepted"), "{log}");
 }
