--- a/crates/planner/src/daemon.rs
+++ b/crates/planner/src/daemon.rs
@@ -12,7 +12,7 @@
 use mulleinhub_event_loop::{Clock, EventLoop, IterationOutcome, descriptor_limit};
 use mulleinhub_interface::{Timestamp, mix};
 use mulleinhub_ledger::{AdmissionHandle, Running, Start};
-use mulleinhub_replicated_log::Order;
+use mulleinhub_replicated_log::Order as OperatorDirective;
 use mulleinhub_sans_io::StateMachine;
 use signal_hook::consts::{SIGHUP, SIGINT, SIGTERM};
 use std::path::{Path, PathBuf};
@@ -218,7 +218,7 @@
 }
 
 /// The operators' directives; none without a directives file.
-fn read_directives(settings: &LedgerSettings) -> Result<Vec<Order>, PlannerError> {
+fn read_directives(settings: &LedgerSettings) -> Result<Vec<OperatorDirective>, PlannerError> {
     let Some(path) = &settings.directives_file else { return Ok(Vec::new()) };
     let text = std::fs::read_to_string(path).map_err(PlannerError::file(path))?;
     parse_operator_directives(&path.display().to_string(), &text)
--- a/crates/planner/src/main.rs
+++ b/crates/planner/src/main.rs
@@ -1,5 +1,5 @@
-//! `mulleinhub-planner SETTINGS` runs the scheduler daemon; `mulleinhub-planner platform` runs the same scheduler
-//! on the platform, which configures it by environment variables.
+//! The scheduler daemon's program. `mulleinhub-planner SETTINGS` runs it with a settings file;
+//! `mulleinhub-planner platform` runs it on the platform, which configures it by environment variables.
 //!
 //! Exit status: 0 after an orderly shutdown, 2 for wrong usage, invalid settings or a failed start.
 
--- a/crates/planner/src/settings/directives.rs
+++ b/crates/planner/src/settings/directives.rs
@@ -1,7 +1,7 @@
 //! The operators' directives file: caps of teams, and accounts that are suspended or reinstated.
 
 use crate::error::PlannerError;
-use mulleinhub_replicated_log::{Name, Order, Subject, Word};
+use mulleinhub_replicated_log::{Name, Order as OperatorDirective, Subject, Word};
 use mulleinhub_settings::{Args, Directive, Faults, Name as NameValue, parse_text};
 
 /// Sets the cap of a team.
@@ -19,10 +19,11 @@
 ///
 /// # Errors
 /// If there are faults.
-pub fn parse_operator_directives(file: &str, text: &str) -> Result<Vec<Order>, PlannerError> {
+pub fn parse_operator_directives(file: &str, text: &str) -> Result<Vec<OperatorDirective>, PlannerError> {
     let mut faults = Faults::default();
     let lines = parse_text(file, text, &mut faults);
-    let directives: Vec<Order> = lines.iter().filter_map(|line| read(line, &mut faults)).collect();
+    let directives: Vec<OperatorDirective> =
+        lines.iter().filter_map(|line| read(line, &mut faults)).collect();
     if faults.is_empty() {
         Ok(directives)
     } else {
@@ -30,7 +31,7 @@
     }
 }
 
-fn read(line: &Directive, faults: &mut Faults) -> Option<Order> {
+fn read(line: &Directive, faults: &mut Faults) -> Option<OperatorDirective> {
     let keyword = line.name.text.as_str();
     if ![CAP, SUSPEND, REINSTATE].contains(&keyword) {
         let message = format!("unknown order {keyword} ({CAP}, {SUSPEND} or {REINSTATE} is wanted)");
@@ -49,5 +50,5 @@
     let (name, number, state) = (Name::from(name?.0.as_str()), number?, state?);
     let subject =
         if matches!(state, Word::Cap { .. }) { Subject::Team(name) } else { Subject::Account(name) };
-    Some(Order { subject, number, word: state })
+    Some(OperatorDirective { subject, number, word: state })
 }
--- a/crates/planner/tests/acceptance.rs
+++ b/crates/planner/tests/acceptance.rs
@@ -81,7 +81,7 @@
             drop(stop_on_drop);
         });
         let log = scheduler.log();
-        assert!(!log.contains("can't be accepted"), "{log}");
+        assert!(!log.contains(log_lines::ACCEPT_FAILED), "{log}");
         // And once the idle clients are gone, it serves as before.
         let mut client = scheduler.connect();
         client.write_all(&start_request(9_100)).expect("is sent");
@@ -175,7 +175,7 @@
     let before = listener(22);
     let at = address(&before);
     let scheduler = Scheduler::listening_at(at);
-    scheduler.wait_for_log("starting");
+    scheduler.wait_for_log(log_lines::STARTING);
     std::thread::sleep(Duration::from_millis(300));
     drop(before);
     assert!(becomes_ready(at, Instant::now() + Duration::from_secs(4)), "{}", scheduler.log());
--- a/crates/planner/tests/fleet_faults.rs
+++ b/crates/planner/tests/fleet_faults.rs
@@ -4,7 +4,9 @@
 
 mod harness;
 
+use harness::disconnect::Disconnect;
 use harness::fleet::*;
+use harness::load::*;
 use harness::*;
 use mulleinhub_platform_protocol::{kind, why};
 use rustix::process::Signal;
@@ -55,7 +57,7 @@
         &[list_entry("s-1", first.at, "terminating", 0), list_entry("s-2", second.at, "in_service", 0)],
     );
     move_list_service(&scheduler, first.at, moved_service.at);
-    scheduler.wait_for_log("Draining");
+    scheduler.wait_for_log(log_lines::MACHINE_DRAINING);
     wait_until_handled(&mut client);
     let drained = first.start_requests().len();
     // A task there runs until its machine reports the end; then the machine dies.
--- a/crates/planner/tests/harness/mod.rs
+++ b/crates/planner/tests/harness/mod.rs
@@ -5,7 +5,13 @@
 //! be established.
 #![allow(dead_code, reason = "each test file uses its part")]
 
+pub mod disconnect;
 pub mod fleet;
+pub mod load;
+pub mod log_lines;
+mod messages;
+
+pub use messages::*;
 
 use mulleinhub_platform_protocol::{Frames, code, kind, why, write_answer, write_message, write_with_cause};
 use rustix::process::{Pid, Signal, kill_process};
@@ -279,83 +285,6 @@
     id.split("\r\n").next().and_then(|number| number.parse().ok()).expect("a number")
 }
 
-/// The next message on a connection: its type, task and cause.
-pub fn next_message(stream: &mut TcpStream) -> (u8, u64, Option<u8>) {
-    let mut frames = Frames::default();
-    loop {
-        let mut byte = [0];
-        assert_eq!(stream.read(&mut byte).expect("in time"), 1, "the connection ended");
-        frames.take(&byte);
-        if let Some(frame) = frames.next_frame().expect("a valid frame") {
-            return (frame.kind, frame.task, mulleinhub_platform_protocol::cause(&frame));
-        }
-    }
-}
-
-/// All messages on a connection until its end, orderly or not.
-pub fn remaining_messages(mut stream: TcpStream) -> Vec<(u8, u64, Option<u8>)> {
-    let (mut frames, mut bytes, mut all) = (Frames::default(), [0; 4096], Vec::new());
-    while let Ok(n @ 1..) = stream.read(&mut bytes) {
-        frames.take(&bytes[..n]);
-        while let Ok(Some(frame)) = frames.next_frame() {
-            all.push((frame.kind, frame.task, mulleinhub_platform_protocol::cause(&frame)));
-        }
-    }
-    all
-}
-
-/// A start request of the usual class.
-pub fn start_request(task: u64) -> Vec<u8> {
-    start_request_of(task, "front", "")
-}
-
-/// A start request of a class; `more` is appended to the figures.
-pub fn start_request_of(task: u64, class: &str, more: &str) -> Vec<u8> {
-    let figures = format!("cores:1;memory:2;service:00000000b4d65521{more}");
-    let mut params: Vec<(u8, &[u8])> = vec![(code::CLASS, class.as_bytes()), (code::PATIENCE, b"2000")];
-    if class == "batch" {
-        params.push((code::KEY, b"5c0f6e1a2b3d4c59a8b7c6d5e4f30211"));
-    }
-    params.push((code::NAME, b"7f3a9c21e0b4d655"));
-    params.push((code::FIGURES, figures.as_bytes()));
-    params.push((code::DESCRIPTION, b"wanted"));
-    encoded(|out| write_message(out, kind::SET_UP, task, &params))
-}
-
-/// The same start request with another client timeout.
-pub fn with_client_timeout(start_request: Vec<u8>, ms: &str) -> Vec<u8> {
-    let at =
-        start_request.windows(6).position(|bytes| bytes == b"\x00\x042000").expect("it waits two seconds");
-    let length = ms.len() as u16;
-    let body =
-        [&start_request[2..at], &length.to_be_bytes(), ms.as_bytes(), &start_request[at + 6..]].concat();
-    [&(body.len() as u16).to_be_bytes()[..], &body].concat()
-}
-
-/// The bytes of a message.
-pub fn encoded(write: impl FnOnce(&mut Vec<u8>)) -> Vec<u8> {
-    let mut out = Vec::new();
-    write(&mut out);
-    out
-}
-
-pub fn release(task: u64, cause: u8) -> Vec<u8> {
-    encoded(|out| write_with_cause(out, kind::RELEASE, task, cause))
-}
-
-pub fn acceptance(task: u64) -> Vec<u8> {
-    encoded(|out| write_answer(out, task, b"made"))
-}
-
-/// Waits until all that was written on this connection before is handled, and its consequences are carried
-/// out: the second health check is answered in a later iteration than the first.
-pub fn wait_until_handled(client: &mut TcpStream) {
-    for check in [u64::MAX - 1, u64::MAX] {
-        client.write_all(&encoded(|out| write_with_cause(out, kind::TEST, check, 0))).expect("is sent");
-        assert_eq!(next_message(client), (kind::TESTED, check, Some(1)));
-    }
-}
-
 /// A machine's listener with a full backlog: no connection is established until it is opened.
 pub struct BlockedListener<'a> {
     listener: &'a TcpListener,
@@ -421,111 +350,3 @@
         std::thread::sleep(Duration::from_millis(2));
     }
 }
-
-/// Tasks of start requests on connections that are still in the backlog. The process has exited.
-pub fn backlogged_start_requests(listener: &TcpListener) -> Vec<u64> {
-    listener.set_nonblocking(true).expect("is set");
-    let mut all = Vec::new();
-    while let Ok((stream, _)) = listener.accept() {
-        stream.set_nonblocking(false).expect("is set");
-        all.extend(start_requests(stream));
-    }
-    all
-}
-
-/// Tasks of the start requests on a connection up to its end.
-pub fn start_requests(stream: TcpStream) -> Vec<u64> {
-    remaining_messages(stream)
-        .into_iter()
-        .filter(|(of, ..)| *of == kind::SET_UP)
-        .map(|(_, task, _)| task)
-        .collect()
-}
-
-/// How a client disconnects or gives up its tasks.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Disconnect {
-    Fin,
-    Rst,
-    HalfClose,
-    Cancel,
-}
-
-impl Disconnect {
-    pub const ALL: [Self; 4] = [Self::Fin, Self::Rst, Self::HalfClose, Self::Cancel];
-
-    /// Gives up these tasks, and waits until the system has delivered that to the peer, as far as the peer
-    /// accepts unread bytes. The result is to be kept until the end of the test. Seen: on a busy machine, a
-    /// paused process that was resumed read the start requests without the end that followed them.
-    pub fn perform(self, mut client: TcpStream, tasks: impl Iterator<Item = u64>) -> Option<TcpStream> {
-        let (own, peer) = (client.local_addr().expect("is bound"), client.peer_addr().expect("is up"));
-        let still_open = match self {
-            Self::Fin => {
-                drop(client);
-                None
-            }
-            Self::Rst => {
-                let socket = rustix::net::sockopt::set_socket_linger(&client, Some(Duration::ZERO));
-                socket.expect("is set");
-                drop(client);
-                None
-            }
-            Self::HalfClose => {
-                client.shutdown(std::net::Shutdown::Write).expect("is shut");
-                Some(client)
-            }
-            Self::Cancel => {
-                let all: Vec<u8> = tasks.flat_map(|task| release(task, why::ENDED)).collect();
-                client.write_all(&all).expect("is sent");
-                Some(client)
-            }
-        };
-        let is_delivered = || match (self, Socket::of(own, peer), Socket::of(peer, own)) {
-            // The peer's receive buffer is full, and the end is queued behind it.
-            (.., Some(theirs)) if theirs.unread > Socket::READ_BUFFER_LIMIT => true,
-            (Self::Cancel, ours, _) => ours.is_none_or(|ours| ours.unacknowledged == 0),
-            (.., theirs) => theirs.is_none_or(|theirs| theirs.state != Socket::ESTABLISHED),
-        };
-        let started_at = Instant::now();
-        while !is_delivered() {
-            assert!(started_at.elapsed() < TIMEOUT, "{self:?} is not delivered to the peer");
-            std::thread::sleep(Duration::from_millis(1));
-        }
-        still_open
-    }
-}
-
-/// One side of a connection in the system's table of sockets.
-struct Socket {
-    state: u8,
-    /// Bytes written that the peer's system has not acknowledged.
-    unacknowledged: u64,
-    /// Bytes received and not read.
-    unread: u64,
-}
-
-impl Socket {
-    const ESTABLISHED: u8 = 1;
-    /// With more unread bytes, the receive buffer counts as full.
-    const READ_BUFFER_LIMIT: u64 = 60_000;
-
-    fn of(local: SocketAddr, remote: SocketAddr) -> Option<Self> {
-        let in_table = |at: SocketAddr| match at {
-            SocketAddr::V4(at) => format!("{:08X}:{:04X}", u32::from_ne_bytes(at.ip().octets()), at.port()),
-            SocketAddr::V6(at) => panic!("{at}: only loopback of version 4 is used here"),
-        };
-        let (local, remote) = (in_table(local), in_table(remote));
-        let table = std::fs::read_to_string("/proc/net/tcp").expect("is read");
-        // Columns: number, local, remote, state, bytes unacknowledged and unread.
-        table.lines().map(|line| line.split_whitespace().collect::<Vec<&str>>()).find_map(|columns| {
-            let [_, of_local, of_remote, state, queues, ..] = columns[..] else { return None };
-            let (unacknowledged, unread) = queues.split_once(':')?;
-            let number = |hex| u64::from_str_radix(hex, 16).expect("a number");
-            (of_local == local && of_remote == remote).then(|| Self {
-                state: u8::from_str_radix(state, 16).expect("a number"),
-                unacknowledged: number(unacknowledged),
-                unread: number(unread),
-            })
-        })
-    }
-}
--- a/crates/planner/tests/platform.rs
+++ b/crates/planner/tests/platform.rs
@@ -30,7 +30,7 @@
     // An invalid file leaves the current configuration in force; a valid one moves the list service.
     std::fs::write(&scheduler.config, "{\"name\":").expect("is written");
     scheduler.signal(Signal::HUP);
-    scheduler.wait_for_log("keeping the current one");
+    scheduler.wait_for_log(log_lines::CONFIGURATION_KEPT);
     let moved_service = listener(4);
     std::fs::write(&scheduler.config, config(address(&scheduler.machine), address(&moved_service)))
         .expect("is written");
@@ -47,7 +47,7 @@
     // Shutdown: health checks fail, requests are accepted a while longer, and it exits with all answered.
     let signalled_at = Instant::now();
     scheduler.signal(Signal::TERM);
-    scheduler.wait_for_log("health checks fail from now on");
+    scheduler.wait_for_log(log_lines::DRAINING_STARTED);
     client.write_all(&encoded(|out| write_with_cause(out, kind::TEST, 2, 0))).expect("is sent");
     assert_eq!(next_message(&mut client), (kind::TESTED, 2, Some(0)));
     client.write_all(&start_request(8)).expect("is sent");
@@ -87,7 +87,7 @@
         scheduler.signal(signal);
     }
     moved_service.accept().expect("it watches the new address");
-    scheduler.wait_for_log("health checks fail from now on");
+    scheduler.wait_for_log(log_lines::DRAINING_STARTED);
     assert_eq!(scheduler.wait_for_exit(), Some(0), "{}", scheduler.log());
 }
 
@@ -113,5 +113,5 @@
     }
     assert!(placed >= 16, "{placed} placed, {rejected} rejected");
     let log = scheduler.log();
-    assert!(!log.contains("tasks are lost") && !log.contains("can't be accepted"), "{log}");
+    assert!(!log.contains(log_lines::TASKS_LOST) && !log.contains(log_lines::ACCEPT_FAILED), "{log}");
 }
--- a/crates/planner/tests/races.rs
+++ b/crates/planner/tests/races.rs
@@ -3,6 +3,7 @@
 
 mod harness;
 
+use harness::disconnect::Disconnect;
 use harness::*;
 use mulleinhub_platform_protocol::{kind, why};
 use rustix::process::Signal;
@@ -224,7 +225,7 @@
         .expect("is sent");
     // The first attempt may have run.
     drop(machine_connection);
-    scheduler.wait_for_log("a connection is over");
+    scheduler.wait_for_log(log_lines::CONNECTION_CLOSED);
     wait_until_handled(&mut client);
     assert!(since.elapsed() < Duration::from_millis(2_500), "too slow a machine for this test");
     scheduler.pause();
@@ -257,7 +258,7 @@
     again.write_all(&[two, three].concat()).expect("is sent");
     // The first machine drains: all tasks go to the second.
     let mut client = scheduler.connect();
-    scheduler.wait_for_log("Draining");
+    scheduler.wait_for_log(log_lines::MACHINE_DRAINING);
     let mut machine_connections = Vec::new();
     for task in 1..=5 {
         client.write_all(&start_request(task)).expect("is sent");
@@ -277,7 +278,9 @@
     let mut watches = 0;
     let good = sse_event(3, &[list_entry("s-2", address(&second), "in_service", 0)]);
     let both = [b"id: 2\ndata: {\"no\":2,\"roster\":7}\n\n".to_vec(), good].concat();
-    while !scheduler.log().contains("Active") || !scheduler.log().contains(&address(&second).to_string()) {
+    while !scheduler.log().contains(log_lines::MACHINE_ACTIVE)
+        || !scheduler.log().contains(&address(&second).to_string())
+    {
         let (mut list_service, last) = scheduler.accept_watch();
         assert_eq!(last, 1);
         list_service.write_all(&both).expect("is sent");
@@ -501,7 +504,7 @@
         scheduler.signal(signal);
     }
     scheduler.resume();
-    scheduler.wait_for_log("health checks fail from now on");
+    scheduler.wait_for_log(log_lines::DRAINING_STARTED);
     scheduler.signal(Signal::TERM);
     partial.write_all(&start_request(1)[40..]).expect("is sent");
     for (task, client) in (100..).zip(&mut backlog) {
@@ -534,7 +537,7 @@
     client.write_all(&invalid).expect("is sent");
     wait_for_iterations(&scheduler, 100);
     scheduler.signal(Signal::TERM);
-    scheduler.wait_for_log("health checks fail from now on");
+    scheduler.wait_for_log(log_lines::DRAINING_STARTED);
     for task in 1..=2_000 {
         assert_eq!(next_message(&mut client), (kind::RELEASE, task, Some(why::ERROR)));
     }
