--- a/crates/planner/src/platform.rs
+++ b/crates/planner/src/platform.rs
@@ -116,7 +116,7 @@
                 tracing::info!(bulletin = configuration.bulletin, "configuration reloaded");
                 self.event_loop.state_machine.reload(now, configuration);
             }
-            Err(error) => tracing::error!(%error, "configuration is invalid; keeping the current one"),
+            Err(error) => tracing::error!(%error, "the configuration is faulty; the old one stays"),
         }
     }
 
--- a/crates/planner/tests/harness/log_lines.rs
+++ b/crates/planner/tests/harness/log_lines.rs
@@ -4,7 +4,7 @@
 /// Draining has begun.
 pub const DRAINING_STARTED: &str = "health checks fail from now on";
 /// A reload found an invalid configuration.
-pub const CONFIGURATION_KEPT: &str = "keeping the current one";
+pub const CONFIGURATION_KEPT: &str = "the old one stays";
 /// The process starts, and has not bound its address yet.
 pub const STARTING: &str = "starting";
 /// A machine connection was closed.
