--- a/crates/planner/src/daemon.rs
+++ b/crates/planner/src/daemon.rs
@@ -1,6 +1,7 @@
 //! The daemon's life: start, serve, reload on SIGHUP, drain and stop on SIGTERM.
 //!
-//! Runs in the main thread and owns the event loop. The ledger, where it is configured, has threads of its own.
+//! Runs in the main thread and owns the event loop. The ledger, where it is configured, has threads of its
+//! own.
 
 use crate::error::{Operation, PlannerError};
 use crate::logging::start_logging;
@@ -11,7 +12,7 @@
 use mulleinhub_event_loop::{Clock, EventLoop, IterationOutcome, descriptor_limit};
 use mulleinhub_interface::{Timestamp, mix};
 use mulleinhub_ledger::{AdmissionHandle, Running, Start};
-use mulleinhub_replicated_log::Directive;
+use mulleinhub_replicated_log::Order as OperatorDirective;
 use mulleinhub_sans_io::StateMachine;
 use signal_hook::consts::{SIGHUP, SIGINT, SIGTERM};
 use std::path::{Path, PathBuf};
@@ -164,7 +165,8 @@
     }
 }
 
-/// A number that distinguishes this process from earlier ones of the same planner; nothing else depends on it.
+/// A number that distinguishes this process from earlier ones of the same planner; nothing else depends on
+/// it.
 fn new_incarnation() -> u64 {
     SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |since| since.as_nanos() as u64)
 }
@@ -216,7 +218,7 @@
 }
 
 /// The operators' directives; none without a directives file.
-fn read_directives(settings: &LedgerSettings) -> Result<Vec<Directive>, PlannerError> {
+fn read_directives(settings: &LedgerSettings) -> Result<Vec<OperatorDirective>, PlannerError> {
     let Some(path) = &settings.directives_file else { return Ok(Vec::new()) };
     let text = std::fs::read_to_string(path).map_err(PlannerError::file(path))?;
     parse_operator_directives(&path.display().to_string(), &text)
--- a/crates/planner/src/platform.rs
+++ b/crates/planner/src/platform.rs
@@ -6,7 +6,7 @@
 use crate::settings::LogFormat;
 use mulleinhub_event_loop::{EventLoop, IterationOutcome, descriptor_limit, duration_from_std};
 use mulleinhub_interface::Timestamp;
-use mulleinhub_platform::{Config, Scheduler};
+use mulleinhub_platform::{Conf, Platform};
 use mulleinhub_sans_io::ListenerId;
 use signal_hook::consts::{SIGHUP, SIGINT, SIGTERM};
 use std::io::ErrorKind;
@@ -22,8 +22,8 @@
 const CLIENT_LISTENER: ListenerId = ListenerId(0);
 /// How long clients have to read their last answers at the shutdown.
 const SHUTDOWN_TIMEOUT: Duration = Duration::from_millis(150);
-/// Longest wait of one iteration. The event loop wakes for whatever is due; this bounds the wait for a shutdown
-/// that no event announces.
+/// Longest wait of one iteration. The event loop wakes for whatever is due; this bounds the wait for a
+/// shutdown that no event announces.
 const MAX_WAIT: Duration = Duration::from_millis(100);
 /// How long a start waits for its address, and how often it retries.
 const BIND_TIMEOUT: Duration = Duration::from_secs(5);
@@ -46,15 +46,15 @@
     PlatformDaemon::start(path, configuration, listen)?.serve()
 }
 
-fn read_configuration(path: &Path) -> Result<Config, PlannerError> {
+fn read_configuration(path: &Path) -> Result<Conf, PlannerError> {
     let text = std::fs::read_to_string(path).map_err(PlannerError::file(path))?;
-    Config::parse(&text).map_err(|reason| PlannerError::InvalidConfiguration {
+    Conf::read(&text).map_err(|reason| PlannerError::InvalidConfiguration {
         path: path.to_owned(),
         reason: reason.to_string(),
     })
 }
 
-fn listen_address(configuration: &Config) -> Result<SocketAddr, PlannerError> {
+fn listen_address(configuration: &Conf) -> Result<SocketAddr, PlannerError> {
     let value = std::env::var(LISTEN_VARIABLE).unwrap_or_else(|_| configuration.listen.clone());
     value.parse().map_err(|_| PlannerError::InvalidAddress { variable: LISTEN_VARIABLE, value })
 }
@@ -67,18 +67,18 @@
 
 /// A scheduler that runs on the platform.
 struct PlatformDaemon {
-    event_loop: EventLoop<Scheduler>,
+    event_loop: EventLoop<Platform>,
     configuration_path: PathBuf,
 }
 
 impl PlatformDaemon {
     fn start(
         configuration_path: PathBuf,
-        configuration: Config,
+        configuration: Conf,
         listen: SocketAddr,
     ) -> Result<Self, PlannerError> {
         let origin = unix_time();
-        let mut event_loop = EventLoop::new(Scheduler::new(configuration))
+        let mut event_loop = EventLoop::new(Platform::new(configuration))
             .map_err(PlannerError::system(Operation::Poll))?
             .with_origin(origin);
         event_loop
@@ -113,21 +113,21 @@
     fn reload(&mut self, now: Timestamp) {
         match read_configuration(&self.configuration_path) {
             Ok(configuration) => {
-                tracing::info!(bulletin = configuration.discovery_address, "configuration reloaded");
+                tracing::info!(bulletin = configuration.bulletin, "configuration reloaded");
                 self.event_loop.state_machine.reload(now, configuration);
             }
-            Err(error) => tracing::error!(%error, "configuration is invalid; keeping the current one"),
+            Err(error) => tracing::error!(%error, "the configuration is faulty; the old one stays"),
         }
     }
 
     fn start_draining(&mut self, now: Timestamp) {
         tracing::info!("draining: health checks fail from now on");
-        self.event_loop.state_machine.begin_shutdown(now);
+        self.event_loop.state_machine.wind_down(now);
     }
 
     /// Whether draining is complete and no input is left over.
     fn is_done(&mut self, now: Timestamp) -> bool {
-        self.event_loop.state_machine.is_shutdown_complete(now) && self.event_loop.is_idle()
+        self.event_loop.state_machine.is_done(now) && self.event_loop.is_idle()
     }
 
     fn stop(&mut self) {
@@ -137,7 +137,7 @@
 }
 
 /// Listens there; waits for an address that the previous process may still hold while it stops.
-fn listen_when_free(event_loop: &mut EventLoop<Scheduler>, address: SocketAddr) -> std::io::Result<()> {
+fn listen_when_free(event_loop: &mut EventLoop<Platform>, address: SocketAddr) -> std::io::Result<()> {
     let deadline = Instant::now() + BIND_TIMEOUT;
     loop {
         match event_loop.listen(address, CLIENT_LISTENER) {
--- a/crates/planner/src/scheduler.rs
+++ b/crates/planner/src/scheduler.rs
@@ -26,7 +26,7 @@
     fn respond(&mut self, id: ConnectionId, path: &[u8]) {
         let response = http::response(path, &self.engine);
         self.engine.connections().send(id, response.as_bytes(), None);
-        self.engine.connections().close(id);
+        self.engine.connections().end(id);
     }
 }
 
@@ -54,7 +54,7 @@
 
     fn on_closed(&mut self, now: Timestamp, id: ConnectionId, reason: CloseReason) {
         if self.http.on_closed(id) {
-            self.engine.connections().remove(id);
+            self.engine.connections().forget(id);
         } else {
             self.engine.on_closed(now, id, reason);
         }
--- a/crates/planner/src/settings.rs
+++ b/crates/planner/src/settings.rs
@@ -262,18 +262,18 @@
     let mut block = optional_block(scope, "clients", faults);
     let default = ClientLimits::default();
     let limits = ClientLimits {
-        max_connections: block.or("most", default.max_connections, faults).max(1),
-        max_per_tenant: block.or("most-of-a-tenant", default.max_per_tenant, faults).max(1),
-        max_per_name: block.or("most-of-a-name", default.max_per_name, faults).max(1),
-        max_unidentified: block.or("most-strangers", default.max_unidentified, faults).max(1),
-        max_accepts_per_iteration: block.or("opens-a-turn", default.max_accepts_per_iteration, faults).max(1),
-        greeting_timeout: block.or("greet-within", default.greeting_timeout, faults),
-        frame_timeout: block.or("frame-within", default.frame_timeout, faults),
-        keepalive_time: block.or("idle-after", default.keepalive_time, faults),
-        keepalive_timeout: block.or("sign-within", default.keepalive_timeout, faults),
-        steady_period: block.or("steady-for", default.steady_period, faults),
-        eviction_grace: default.eviction_grace,
-        max_queued_per_iteration: block.or("woken-a-turn", default.max_queued_per_iteration, faults).max(1),
+        most: block.or("most", default.most, faults).max(1),
+        most_of_a_tenant: block.or("most-of-a-tenant", default.most_of_a_tenant, faults).max(1),
+        most_of_a_name: block.or("most-of-a-name", default.most_of_a_name, faults).max(1),
+        most_strangers: block.or("most-strangers", default.most_strangers, faults).max(1),
+        opens_a_turn: block.or("opens-a-turn", default.opens_a_turn, faults).max(1),
+        greet_within: block.or("greet-within", default.greet_within, faults),
+        frame_within: block.or("frame-within", default.frame_within, faults),
+        idle_after: block.or("idle-after", default.idle_after, faults),
+        sign_within: block.or("sign-within", default.sign_within, faults),
+        steady_for: block.or("steady-for", default.steady_for, faults),
+        may_speak: default.may_speak,
+        woken_a_turn: block.or("woken-a-turn", default.woken_a_turn, faults).max(1),
     };
     block.finish(faults);
     limits
--- a/crates/planner/src/settings/ledger.rs
+++ b/crates/planner/src/settings/ledger.rs
@@ -3,7 +3,7 @@
 use mulleinhub_interface::Duration;
 use mulleinhub_ledger::Member;
 use mulleinhub_quota::{Months, Prices, Settings, Team};
-use mulleinhub_replicated_log::{Location, Name};
+use mulleinhub_replicated_log::{Name, Site};
 use mulleinhub_settings::{Args, Directive, Faults, Name as NameValue, Scope};
 use mulleinhub_workload_settings::{BooksTerms, SiteTerms, read_books};
 use std::net::SocketAddr;
@@ -115,9 +115,9 @@
     }
 }
 
-fn site_of(terms: &SiteTerms) -> Location {
+fn site_of(terms: &SiteTerms) -> Site {
     let name = |text: &Option<String>| text.as_deref().map(Name::from);
-    Location { region: name(&terms.region), zone: name(&terms.zone) }
+    Site { region: name(&terms.region), zone: name(&terms.zone) }
 }
 
 fn parse_loopback_address(text: &str) -> Option<SocketAddr> {
