--- a/crates/engine/src/dispatcher.rs
+++ b/crates/engine/src/dispatcher.rs
@@ -2,7 +2,7 @@
 
 use crate::machine::{ConnectionState, MachineSlot};
 use crate::state::SchedulerState;
-use crate::task::{Attempt, AttemptPhase, FinalAnswer};
+use crate::task::{Attempt, AttemptId, AttemptPhase, FinalAnswer};
 use crate::timer::Timer;
 use mulleinhub_interface::{
     Dispatch, Duration, FailureDomain, Idempotency, MachineId, Outcome, TaskId, Timestamp,
@@ -21,23 +21,23 @@
 impl Dispatch for Dispatcher<'_> {
     fn send(&mut self, task: TaskId, machine: MachineId, time_out: Duration) {
         let state = &mut *self.0.borrow_mut();
-        let number = start_attempt(state, task, machine, time_out);
+        let attempt = start_attempt(state, task, machine, time_out);
         let now = state.now;
         let slot = state.machines.get_mut(&machine).expect("the policy sends to listed machines");
         assert!(slot.mode == Mode::Active, "task {}: a send to a machine that drains or is gone", task.0);
         let shut_until = slot.gate.shut_until(now, state.settings.slow_start.fall);
         match (slot.connection, shut_until) {
             (ConnectionState::Ready(_), Some(until)) => {
-                slot.waiting.push((task.0, number));
+                slot.waiting.push(attempt);
                 state.timers.set(until, Timer::ReleaseOffers(machine));
             }
             (ConnectionState::Ready(connection), None) => state.write_offer(task, connection),
             // One that has not refused since it was connected last is tried at once.
             (ConnectionState::Down, _) if slot.failures > 0 && slot.retry_at > now => {
-                state.outcomes.push(task, number, Outcome::NoConnection);
+                state.outcomes.push(attempt, Outcome::NoConnection);
             }
             (ConnectionState::Down | ConnectionState::Connecting(_), _) => {
-                slot.waiting.push((task.0, number));
+                slot.waiting.push(attempt);
                 state.connect_to_machine(machine);
             }
         }
@@ -46,18 +46,19 @@
     fn cancel_attempt(&mut self, task: TaskId, number: u32) {
         let state = &mut *self.0.borrow_mut();
         let Some(attempt) = state.tasks.get(&task).and_then(|record| record.attempt) else { return };
+        let id = AttemptId { task, number };
         // The outcome of one that was cancelled in this very iteration is on its way already.
-        if attempt.number != number || attempt.phase.is_placed() || state.outcomes.contains(task, number) {
+        if attempt.number != number || attempt.phase.is_placed() || state.outcomes.contains(id) {
             return;
         }
         if state.retract_offer(task) {
-            state.outcomes.push(task, number, Outcome::NotSent);
+            state.outcomes.push(id, Outcome::NotSent);
             return;
         }
         if let Some(connection) = attempt.connection {
             state.write(connection, &Message::Recall { task: task.0, send: number });
         }
-        state.outcomes.push(task, number, Outcome::Cancelled);
+        state.outcomes.push(id, Outcome::Cancelled);
     }
 
     fn reject(&mut self, task: TaskId, stay_away: Duration) {
@@ -106,8 +107,13 @@
     }
 }
 
-/// Records a new attempt of a task and starts its timeout. Gives back its number.
-fn start_attempt(state: &mut SchedulerState, task: TaskId, machine: MachineId, time_out: Duration) -> u32 {
+/// Records a new attempt of a task and starts its timeout. Gives back its name.
+fn start_attempt(
+    state: &mut SchedulerState,
+    task: TaskId,
+    machine: MachineId,
+    time_out: Duration,
+) -> AttemptId {
     let now = state.now;
     let record = state.tasks.get_mut(&task).expect("the policy sends open tasks");
     assert!(record.attempt.is_none(), "task {}: two sends out at once", task.0);
@@ -131,6 +137,7 @@
         phase: AttemptPhase::Offered,
     });
     state.counts.attempts += 1;
-    state.timers.set(times_out_at, Timer::AttemptTimeout(task, number));
-    number
+    let attempt = AttemptId { task, number };
+    state.timers.set(times_out_at, Timer::AttemptTimeout(attempt));
+    attempt
 }
--- a/crates/engine/src/engine.rs
+++ b/crates/engine/src/engine.rs
@@ -4,7 +4,7 @@
 use crate::dispatcher::Dispatcher;
 use crate::handlers;
 use crate::settings::Settings;
-use crate::state::{SchedulerState, instance_seed};
+use crate::state::{NotReady, SchedulerState, instance_seed};
 use crate::timer::Timer;
 use mulleinhub::PlacementPolicy;
 use mulleinhub_interface::{Duration, Policy, PolicyEvents, Quota, Timestamp};
@@ -73,7 +73,7 @@
     }
 
     /// Why this scheduler is not to be given tasks now; none where it is ready for them.
-    pub fn not_ready(&self) -> Option<String> {
+    pub fn not_ready(&self) -> Option<NotReady> {
         self.state.borrow().not_ready()
     }
 
@@ -166,9 +166,7 @@
         let due = state.borrow_mut().next_due_timer(mark);
         match due {
             Some(Timer::Policy(token)) => events.on_timer(token),
-            Some(Timer::AttemptTimeout(task, attempt)) => {
-                handlers::on_attempt_timeout(state, events, task, attempt);
-            }
+            Some(Timer::AttemptTimeout(attempt)) => handlers::on_attempt_timeout(state, events, attempt),
             Some(other) => handlers::on_timer(state, events, other),
             None => break,
         }
--- a/crates/engine/src/handlers/attempt.rs
+++ b/crates/engine/src/handlers/attempt.rs
@@ -1,16 +1,16 @@
 //! An attempt is accepted, starts or ends.
 
 use crate::state::SchedulerState;
-use crate::task::{AttemptPhase, FinalAnswer, UnresolvedAttempt};
+use crate::task::{AttemptId, AttemptPhase, FinalAnswer, UnresolvedAttempt};
 use mulleinhub_interface::{
-    FailureCause, Idempotency, LoadReport, MachineId, Outcome, PolicyEvents, Rejection, TaskId,
+    FailureCause, Idempotency, LoadReport, MachineId, Outcome, PolicyEvents, Rejection,
 };
 use mulleinhub_protocol::{self as protocol, Message, Reason};
 use mulleinhub_sans_io::ConnectionId;
 use std::cell::RefCell;
 use tracing::span::EnteredSpan;
 
-/// The outcome that a machine told, as the policy knows it.
+/// The outcome that a machine reported, as the policy knows it.
 pub(super) fn policy_outcome(ending: protocol::Ending, reason: Reason) -> Outcome {
     match ending {
         protocol::Ending::Done | protocol::Ending::Stopped => Outcome::Ok,
@@ -38,18 +38,17 @@
     events: &mut dyn PolicyEvents,
     connection: ConnectionId,
     machine: MachineId,
-    id: TaskId,
-    number: u32,
+    id: AttemptId,
 ) {
     let mut borrowed = shared.borrow_mut();
     let state = &mut *borrowed;
-    state.outcomes.override_by_acceptance(id, number);
-    let Some(record) = state.tasks.get_mut(&id) else {
-        return on_accepted_late(state, connection, machine, id, number);
+    state.outcomes.override_by_acceptance(id);
+    let Some(record) = state.tasks.get_mut(&id.task) else {
+        return on_accepted_late(state, connection, machine, id);
     };
     let (cancelled, claiming, spec) = (record.cancelled, record.claiming, record.spec);
-    let Some(attempt) = record.attempt.as_mut().filter(|attempt| attempt.is(machine, number)) else {
-        return on_accepted_late(state, connection, machine, id, number);
+    let Some(attempt) = record.attempt.as_mut().filter(|attempt| attempt.is(machine, id.number)) else {
+        return on_accepted_late(state, connection, machine, id);
     };
     if attempt.phase.is_placed() {
         return;
@@ -70,27 +69,27 @@
     }
     state.send_tokens.release(token);
     if cancelled {
-        state.write(connection, &Message::Stop { task: id.0, send: number, moves: false });
+        state.write(connection, &Message::Stop { task: id.task.0, send: id.number, moves: false });
         return;
     }
-    let _task = notify_placed(state, machine, id, number);
+    let _task = notify_placed(state, machine, id);
     drop(borrowed);
-    if claiming { events.on_adopted_task(spec, machine) } else { events.on_accepted(id) }
+    if claiming { events.on_adopted_task(spec, machine) } else { events.on_accepted(id.task) }
 }
 
 /// Counts a task as placed, and tells its client. What is logged while the span is entered belongs to the
 /// task.
-fn notify_placed(state: &mut SchedulerState, machine: MachineId, id: TaskId, number: u32) -> EnteredSpan {
+fn notify_placed(state: &mut SchedulerState, machine: MachineId, id: AttemptId) -> EnteredSpan {
     state.counts.placed += 1;
-    let record = state.tasks.get_mut(&id).expect("a placed task is open");
+    let record = state.tasks.get_mut(&id.task).expect("a placed task is open");
     let (client_connection, client) = (record.client_connection, record.client.clone());
     if !std::mem::replace(&mut record.answered, true) {
         let (accepted_at, service) = (record.accepted_at, record.shape.service);
         state.settle(client_connection, accepted_at, service);
     }
-    let span = tracing::debug_span!("task", id = id.0, client).entered();
-    tracing::debug!(machine = machine.0, attempt = number, "placed");
-    state.notify_client(client_connection, &client, &Message::Placed { task: id.0, machine: machine.0 });
+    let span = tracing::debug_span!("task", id = id.task.0, client).entered();
+    tracing::debug!(machine = machine.0, attempt = id.number, "placed");
+    state.notify_client(client_connection, &client, &Message::Placed { task: id.task.0, machine: machine.0 });
     span
 }
 
@@ -99,16 +98,15 @@
     shared: &RefCell<SchedulerState>,
     events: &mut dyn PolicyEvents,
     machine: MachineId,
-    id: TaskId,
-    number: u32,
+    id: AttemptId,
 ) {
     let has_started = {
         let state = &mut *shared.borrow_mut();
-        let attempt = state.tasks.get_mut(&id).and_then(|record| record.attempt.as_mut());
-        attempt.filter(|attempt| attempt.is(machine, number)).is_some_and(|attempt| attempt.phase.start())
+        let attempt = state.tasks.get_mut(&id.task).and_then(|record| record.attempt.as_mut());
+        attempt.filter(|attempt| attempt.is(machine, id.number)).is_some_and(|attempt| attempt.phase.start())
     };
     if has_started {
-        events.on_running(id);
+        events.on_running(id.task);
     }
 }
 
@@ -119,44 +117,42 @@
     state: &mut SchedulerState,
     connection: ConnectionId,
     machine: MachineId,
-    id: TaskId,
-    number: u32,
+    id: AttemptId,
 ) {
     state.counts.late_acceptances += 1;
     // It stays known until the machine reports its end: what is written now may be lost on the way, and the
     // machine may report the copy again.
-    let Some(unresolved) = state.answers.unresolved.get(&(id, number)) else {
-        state.write(connection, &Message::Disown { task: id.0, send: number });
+    let Some(unresolved) = state.answers.unresolved.get(&id) else {
+        state.write(connection, &Message::Disown { task: id.task.0, send: id.number });
         return;
     };
     let use_case = &state.settings.use_cases[unresolved.shape.use_case as usize];
     if !unresolved.wanted || use_case.effect == Idempotency::Idempotent {
-        state.write(connection, &Message::Stop { task: id.0, send: number, moves: false });
+        state.write(connection, &Message::Stop { task: id.task.0, send: id.number, moves: false });
         return;
     }
     let (key, client) = (unresolved.shape.key, unresolved.client.clone());
-    state.write(connection, &Message::Disown { task: id.0, send: number });
+    state.write(connection, &Message::Disown { task: id.task.0, send: id.number });
     // While the task is open its next attempt, within the retry scope, takes the place of this copy.
-    if !state.tasks.contains_key(&id) {
-        let message = Message::ProvesToRun { task: id.0, key, machine: machine.0 };
+    if !state.tasks.contains_key(&id.task) {
+        let message = Message::ProvesToRun { task: id.task.0, key, machine: machine.0 };
         state.notify_client(None, &client, &message);
     }
 }
 
-/// An attempt has ended: the policy learns it, and the client where the task was placed. `told` is the end
-/// that the machine itself told, if it did.
+/// An attempt has ended: the policy learns it, and the client where the task was placed. `reported`
+/// is the end that the machine itself reported, if it did.
 pub(super) fn on_attempt_ended(
     shared: &RefCell<SchedulerState>,
     events: &mut dyn PolicyEvents,
-    id: TaskId,
-    number: u32,
+    id: AttemptId,
     outcome: Outcome,
-    told: Option<protocol::Ending>,
+    reported: Option<protocol::Ending>,
 ) {
     let mut borrowed = shared.borrow_mut();
     let state = &mut *borrowed;
-    let Some(record) = state.tasks.get_mut(&id) else { return };
-    let Some(attempt) = record.attempt.filter(|attempt| attempt.number == number) else { return };
+    let Some(record) = state.tasks.get_mut(&id.task) else { return };
+    let Some(attempt) = record.attempt.filter(|attempt| attempt.number == id.number) else { return };
     record.attempt = None;
     let never_ran = matches!(outcome, Outcome::Rejected(_) | Outcome::NoConnection | Outcome::NotSent);
     if !never_ran {
@@ -164,28 +160,28 @@
     }
     let (shape, client, client_connection) = (record.shape, record.client.clone(), record.client_connection);
     let (wanted, claiming) = (!record.cancelled, record.claiming);
-    let _task = tracing::debug_span!("task", id = id.0, client).entered();
-    tracing::debug!(machine = attempt.machine.0, attempt = number, ?outcome, "closed");
+    let _task = tracing::debug_span!("task", id = id.task.0, client).entered();
+    tracing::debug!(machine = attempt.machine.0, attempt = id.number, ?outcome, "closed");
     state.send_tokens.release(attempt.send_token);
-    state.outcomes.remove(id, number);
-    if !never_ran && told.is_none() {
+    state.outcomes.remove(id);
+    if !never_ran && reported.is_none() {
         // Not the machine's own statement: a copy may run.
         let unresolved = UnresolvedAttempt { shape, client: client.clone(), wanted };
-        state.keep_unresolved(id, number, unresolved);
+        state.keep_unresolved(id, unresolved);
     }
     if claiming {
-        state.notify_client(client_connection, &client, &Message::Unknown { task: id.0 });
-        state.tasks.remove(&id);
+        state.notify_client(client_connection, &client, &Message::Unknown { task: id.task.0 });
+        state.tasks.remove(&id.task);
         return;
     }
     let is_placed = attempt.phase.is_placed();
     if is_placed {
-        state.finish(id, FinalAnswer::Ended(told.unwrap_or(protocol::Ending::Lost)));
+        state.finish(id.task, FinalAnswer::Ended(reported.unwrap_or(protocol::Ending::Lost)));
     } else if !wanted {
-        state.finish(id, FinalAnswer::Cancelled);
+        state.finish(id.task, FinalAnswer::Cancelled);
     }
     drop(borrowed);
-    events.on_attempt_ended(id, outcome, is_placed || !wanted, LoadReport::default());
+    events.on_attempt_ended(id.task, outcome, is_placed || !wanted, LoadReport::default());
 }
 
 /// Handles the outcomes that this side has established: in the last scheduling round, or in this iteration.
@@ -193,6 +189,6 @@
     loop {
         let next = shared.borrow_mut().outcomes.pop();
         let Some(ended) = next else { return };
-        on_attempt_ended(shared, events, ended.task, ended.attempt, ended.outcome, None);
+        on_attempt_ended(shared, events, ended.attempt, ended.outcome, None);
     }
 }
--- a/crates/engine/src/handlers/client.rs
+++ b/crates/engine/src/handlers/client.rs
@@ -5,7 +5,7 @@
 use super::task::{check_use_case, new_record, task_spec};
 use crate::machine::MachineSlot;
 use crate::state::SchedulerState;
-use crate::task::{Attempt, AttemptPhase, FinalAnswer, TaskRecord};
+use crate::task::{Attempt, AttemptId, AttemptPhase, FinalAnswer, TaskRecord};
 use crate::timer::Timer;
 use mulleinhub_interface::{Duration, MachineId, Outcome, PolicyEvents, TaskId, TaskSpec, Ticket, Timestamp};
 use mulleinhub_protocol::{Bad, Message, Shape};
@@ -218,7 +218,10 @@
     let state = &mut *borrowed;
     // Copies of earlier attempts that prove to run from now on are nobody's. Seen: such a copy was disowned,
     // ran on until its machine ended it, and its client was told to come for it.
-    let earlier = state.answers.unresolved.range_mut((id, 0)..=(id, u32::MAX));
+    let earlier = state
+        .answers
+        .unresolved
+        .range_mut(AttemptId { task: id, number: 0 }..=AttemptId { task: id, number: u32::MAX });
     for (_, unresolved) in earlier {
         unresolved.wanted &= unresolved.client != name;
     }
@@ -248,7 +251,7 @@
             state.write(to, &Message::Stop { task: id.0, send, moves: false });
         }
     } else if state.retract_offer(id) {
-        state.outcomes.push(id, send, Outcome::NotSent);
+        state.outcomes.push(attempt.id(id), Outcome::NotSent);
     } else if let Some(to) = attempt.connection {
         state.write(to, &Message::Recall { task: id.0, send });
     }
--- a/crates/engine/src/handlers/disconnect.rs
+++ b/crates/engine/src/handlers/disconnect.rs
@@ -4,7 +4,7 @@
 use super::endpoint_list::on_list_disconnected;
 use crate::peer::PeerKind;
 use crate::state::{AttemptOutcome, SchedulerState};
-use crate::task::Attempt;
+use crate::task::{Attempt, AttemptId};
 use crate::timer::Timer;
 use mulleinhub_interface::{Duration, FailureCause, MachineId, Outcome, PolicyEvents, TaskId};
 use mulleinhub_resilience::backoff;
@@ -38,7 +38,7 @@
             let resolved = on_machine_disconnected(state, id, connection, reason, unsent);
             drop(borrowed);
             for ended in resolved {
-                on_attempt_ended(shared, events, ended.task, ended.attempt, ended.outcome, None);
+                on_attempt_ended(shared, events, ended.attempt, ended.outcome, None);
             }
         }
     }
@@ -50,7 +50,7 @@
     id: MachineId,
     connection: ConnectionId,
     reason: CloseReason,
-    unsent: Vec<(TaskId, u32, Unsent)>,
+    unsent: Vec<(AttemptId, Unsent)>,
 ) -> Vec<AttemptOutcome> {
     let (now, first_backoff) = (state.now, state.settings.reconnect_backoff);
     let jitter = state.random.part();
@@ -69,14 +69,15 @@
     let (retry_at, waiting) = (slot.retry_at, std::mem::take(&mut slot.waiting));
     state.timers.set(retry_at, Timer::Reconnect(id));
     state.timers.set(now + state.settings.lost_after, Timer::MachineLost(id));
-    let not_delivered = |task, attempt| AttemptOutcome::new(task, attempt, Outcome::NoConnection);
-    let never_left = unsent.into_iter().filter(|(.., how)| *how == Unsent::Whole);
-    let mut resolved: Vec<_> = never_left.map(|(task, attempt, _)| not_delivered(task, attempt)).collect();
-    resolved.extend(waiting.into_iter().map(|(task, attempt)| not_delivered(TaskId(task), attempt)));
+    let not_delivered = |attempt| AttemptOutcome { attempt, outcome: Outcome::NoConnection };
+    let never_left = unsent.into_iter().filter(|(_, how)| *how == Unsent::Whole);
+    let mut resolved: Vec<_> = never_left.map(|(attempt, _)| not_delivered(attempt)).collect();
+    resolved.extend(waiting.into_iter().map(not_delivered));
     if failed {
         // The machine can't be asked what it accepted: each of these attempts may run.
-        let may_run = |(task, attempt): (TaskId, Attempt)| {
-            AttemptOutcome::new(task, attempt.number, Outcome::Lost(FailureCause::Unspecified))
+        let may_run = |(task, attempt): (TaskId, Attempt)| AttemptOutcome {
+            attempt: attempt.id(task),
+            outcome: Outcome::Lost(FailureCause::Unspecified),
         };
         resolved.extend(unanswered.into_iter().map(may_run));
     }
--- a/crates/engine/src/handlers/endpoint_list.rs
+++ b/crates/engine/src/handlers/endpoint_list.rs
@@ -164,7 +164,7 @@
         let attempts = state.attempts_on(id);
         for (task, attempt) in attempts.into_iter().filter(|(_, attempt)| !attempt.phase.is_placed()) {
             if state.retract_offer(task) {
-                state.outcomes.push(task, attempt.number, Outcome::NotSent);
+                state.outcomes.push(attempt.id(task), Outcome::NotSent);
             }
         }
     }
--- a/crates/engine/src/handlers/greeting.rs
+++ b/crates/engine/src/handlers/greeting.rs
@@ -48,10 +48,13 @@
     }
     // Calibrates the offset of the client's clock.
     state.queueing_delay(connection, greeting.sent_at);
-    let (name, life) = (state.settings.name.clone(), state.incarnation);
+    let (name, incarnation) = (state.settings.name.clone(), state.incarnation);
     let version = protocol::VERSION.min(version);
     let silence = Some(state.client_limits.settings().idle_after.nanos());
-    state.write(connection, &Message::Welcome { version, features: 0, name: &name, life, silence });
+    state.write(
+        connection,
+        &Message::Welcome { version, features: 0, name: &name, life: incarnation, silence },
+    );
     Ok(())
 }
 
--- a/crates/engine/src/handlers/inventory.rs
+++ b/crates/engine/src/handlers/inventory.rs
@@ -4,7 +4,7 @@
 use super::attempt::{on_accepted, on_accepted_late, on_attempt_ended, on_started, policy_outcome};
 use super::task::{check_use_case, new_record, task_spec};
 use crate::state::{AttemptOutcome, SchedulerState};
-use crate::task::{Attempt, AttemptPhase, TaskRecord};
+use crate::task::{Attempt, AttemptId, AttemptPhase, TaskRecord};
 use mulleinhub_interface::{FailureCause, MachineId, Outcome, PolicyEvents, TaskId, Timestamp};
 use mulleinhub_protocol::{self as protocol, Message, Reason};
 use mulleinhub_sans_io::ConnectionId;
@@ -28,23 +28,23 @@
     machine: MachineId,
     reported: &protocol::Held<'_>,
 ) {
-    let (id, number) = (TaskId(reported.task), reported.send);
-    let known = note_reported(&mut shared.borrow_mut(), connection, machine, id, number);
+    let id = AttemptId::new(reported.task, reported.send);
+    let known = note_reported(&mut shared.borrow_mut(), connection, machine, id);
     let Some(known) = known else { return };
     if reported.ended.is_some() {
         let state = &mut *shared.borrow_mut();
-        state.write(connection, &Message::Heard { task: id.0, send: number });
-        state.answers.unresolved.remove(&(id, number));
+        state.write(connection, &Message::Heard { task: reported.task, send: reported.send });
+        state.answers.unresolved.remove(&id);
     }
     match (known.is_in_flight, reported.ended) {
         (true, Some(ending)) => {
             let outcome = policy_outcome(ending, Reason::Untold);
-            on_attempt_ended(shared, events, id, number, outcome, Some(ending));
+            on_attempt_ended(shared, events, id, outcome, Some(ending));
         }
         (true, None) => {
-            on_accepted(shared, events, connection, machine, id, number);
+            on_accepted(shared, events, connection, machine, id);
             if reported.runs {
-                on_started(shared, events, machine, id, number);
+                on_started(shared, events, machine, id);
             }
         }
         (false, Some(_)) => {}
@@ -53,7 +53,7 @@
             adopt(shared, events, connection, machine, reported);
         }
         (false, None) => {
-            on_accepted_late(&mut shared.borrow_mut(), connection, machine, id, number);
+            on_accepted_late(&mut shared.borrow_mut(), connection, machine, id);
         }
     }
 }
@@ -63,19 +63,18 @@
     state: &mut SchedulerState,
     connection: ConnectionId,
     machine: MachineId,
-    id: TaskId,
-    number: u32,
+    id: AttemptId,
 ) -> Option<Known> {
     let slot = state.machines.get_mut(&machine)?;
-    slot.reported.push((id.0, number));
+    slot.reported.push(id);
     let is_inventory_known = slot.inventory_known;
-    let attempt = state.tasks.get_mut(&id).and_then(|record| record.attempt.as_mut());
-    let attempt = attempt.filter(|attempt| attempt.is(machine, number));
+    let attempt = state.tasks.get_mut(&id.task).and_then(|record| record.attempt.as_mut());
+    let attempt = attempt.filter(|attempt| attempt.is(machine, id.number));
     let is_in_flight = attempt.is_some();
     if let Some(attempt) = attempt {
         attempt.connection = Some(connection);
     }
-    let is_known = state.tasks.contains_key(&id) || state.answers.unresolved.contains_key(&(id, number));
+    let is_known = state.tasks.contains_key(&id.task) || state.answers.unresolved.contains_key(&id);
     Some(Known { is_in_flight, is_inventory_known, is_known })
 }
 
@@ -136,7 +135,7 @@
 ) {
     let resolved = resolve(&mut shared.borrow_mut(), connection, machine);
     for ended in resolved {
-        on_attempt_ended(shared, events, ended.task, ended.attempt, ended.outcome, None);
+        on_attempt_ended(shared, events, ended.attempt, ended.outcome, None);
     }
     shared.borrow_mut().release_offers(machine);
 }
@@ -152,29 +151,30 @@
         // What waits was decided on without knowing what the machine holds. Seen when a scheduler had
         // started while a machine hung: its offers were written with the inventory, and broke the spread.
         let waiting = std::mem::take(&mut slot.waiting);
-        let not_sent = |(task, number)| AttemptOutcome::new(TaskId(task), number, Outcome::NotSent);
+        let not_sent = |attempt| AttemptOutcome { attempt, outcome: Outcome::NotSent };
         resolved.extend(waiting.into_iter().map(not_sent));
     }
     let mut stops_to_repeat = Vec::new();
-    for (id, attempt) in state.attempts_on(machine) {
-        let is_here = reported.contains(&(id.0, attempt.number));
+    for (task, attempt) in state.attempts_on(machine) {
+        let id = attempt.id(task);
+        let is_here = reported.contains(&id);
         if is_here && attempt.phase.is_stopping() {
-            stops_to_repeat.push((id, attempt.number));
+            stops_to_repeat.push(id);
         }
         // A new incarnation is dealt with by the outcomes that its welcome established.
-        let is_over = state.outcomes.contains(id, attempt.number);
+        let is_over = state.outcomes.contains(id);
         let is_older = attempt.connection.is_some_and(|offered_on| offered_on != connection);
         if !is_here && !is_over && is_older {
             let outcome = match attempt.phase.is_placed() {
                 true => Outcome::Lost(FailureCause::Unspecified),
                 false => Outcome::NotSent,
             };
-            resolved.push(AttemptOutcome::new(id, attempt.number, outcome));
+            resolved.push(AttemptOutcome { attempt: id, outcome });
         }
     }
-    for (id, number) in stops_to_repeat {
-        let moves = !state.tasks[&id].cancelled;
-        state.write(connection, &Message::Stop { task: id.0, send: number, moves });
+    for id in stops_to_repeat {
+        let moves = !state.tasks[&id.task].cancelled;
+        state.write(connection, &Message::Stop { task: id.task.0, send: id.number, moves });
     }
     resolved
 }
--- a/crates/engine/src/handlers/machine.rs
+++ b/crates/engine/src/handlers/machine.rs
@@ -4,6 +4,7 @@
 use super::attempt::{on_accepted, on_attempt_ended, on_started, policy_outcome};
 use super::inventory::{on_inventory_complete, on_reported_task};
 use crate::state::{AttemptOutcome, SchedulerState};
+use crate::task::AttemptId;
 use mulleinhub_interface::{FailureCause, LoadReport, MachineId, Outcome, PolicyEvents, Resources, TaskId};
 use mulleinhub_protocol::{self as protocol, Bad, Message, Reason};
 use mulleinhub_sans_io::ConnectionId;
@@ -28,14 +29,16 @@
             }
         }
         Message::Accepted { task, send } => {
-            shared.borrow_mut().on_offer_answered(machine, *task, *send);
-            on_accepted(shared, events, connection, machine, TaskId(*task), *send);
+            let attempt = AttemptId::new(*task, *send);
+            shared.borrow_mut().on_offer_answered(machine, attempt);
+            on_accepted(shared, events, connection, machine, attempt);
         }
-        Message::Runs { task, send } => on_started(shared, events, machine, TaskId(*task), *send),
+        Message::Runs { task, send } => on_started(shared, events, machine, AttemptId::new(*task, *send)),
         Message::Note { .. } => on_usage_note(shared, events, machine, message),
         Message::Closed { task, send, ending, reason } => {
-            let told = Told { task: TaskId(*task), attempt: *send, ending: *ending, reason: *reason };
-            on_told_end(shared, events, connection, machine, told);
+            let report =
+                EndReport { attempt: AttemptId::new(*task, *send), ending: *ending, reason: *reason };
+            on_reported_end(shared, events, connection, machine, report);
         }
         Message::Report { cores_unused, memory_unused, .. } => {
             let unused = cores_unused.zip(*memory_unused);
@@ -98,11 +101,11 @@
     // its connection is over, and this one began after it.
     let attempts = state.attempts_on(machine).into_iter();
     let lost = attempts.filter(|(_, attempt)| attempt.connection.is_some()).map(|(id, attempt)| {
-        AttemptOutcome::new(id, attempt.number, Outcome::Lost(FailureCause::Unspecified))
+        AttemptOutcome { attempt: attempt.id(id), outcome: Outcome::Lost(FailureCause::Unspecified) }
     });
     state.outcomes.extend(lost);
-    for (task, number) in waiting {
-        state.outcomes.push(TaskId(task), number, Outcome::NotSent);
+    for attempt in waiting {
+        state.outcomes.push(attempt, Outcome::NotSent);
     }
     drop(borrowed);
     events.on_machine_restarted(machine);
@@ -114,33 +117,32 @@
     attempt.is_some_and(|attempt| attempt.phase.is_placed() && attempt.machine == machine)
 }
 
-/// The end of an attempt as its machine tells it.
+/// The end of an attempt as its machine reports it.
 #[derive(Clone, Copy)]
-struct Told {
-    task: TaskId,
-    attempt: u32,
+struct EndReport {
+    attempt: AttemptId,
     ending: protocol::Ending,
     reason: Reason,
 }
 
-/// A machine told the end of an attempt, which is acknowledged whether or not it is ours.
-fn on_told_end(
+/// A machine reported the end of an attempt, which is acknowledged whether or not it is ours.
+fn on_reported_end(
     shared: &RefCell<SchedulerState>,
     events: &mut dyn PolicyEvents,
     connection: ConnectionId,
     machine: MachineId,
-    told: Told,
+    report: EndReport,
 ) {
-    let (id, number) = (told.task, told.attempt);
+    let id = report.attempt;
     let attempt = {
         let state = &mut *shared.borrow_mut();
-        state.write(connection, &Message::Heard { task: id.0, send: number });
-        state.on_offer_answered(machine, id.0, number);
-        state.answers.unresolved.remove(&(id, number));
-        state.tasks.get(&id).and_then(|record| record.attempt)
+        state.write(connection, &Message::Heard { task: id.task.0, send: id.number });
+        state.on_offer_answered(machine, id);
+        state.answers.unresolved.remove(&id);
+        state.tasks.get(&id.task).and_then(|record| record.attempt)
     };
-    if attempt.is_some_and(|attempt| attempt.is(machine, number)) {
-        let outcome = policy_outcome(told.ending, told.reason);
-        on_attempt_ended(shared, events, id, number, outcome, Some(told.ending));
+    if attempt.is_some_and(|attempt| attempt.is(machine, id.number)) {
+        let outcome = policy_outcome(report.ending, report.reason);
+        on_attempt_ended(shared, events, id, outcome, Some(report.ending));
     }
 }
--- a/crates/engine/src/handlers/timers.rs
+++ b/crates/engine/src/handlers/timers.rs
@@ -4,6 +4,7 @@
 use super::attempt::on_attempt_ended;
 use crate::machine::{ConnectionState, MachineSlot};
 use crate::state::SchedulerState;
+use crate::task::AttemptId;
 use crate::timer::Timer;
 use mulleinhub_interface::{FailureCause, MachineId, Outcome, PolicyEvents, TaskId};
 use mulleinhub_protocol::Message;
@@ -49,7 +50,7 @@
     };
     for (task, attempt) in lost {
         let outcome = Outcome::Lost(FailureCause::Unspecified);
-        on_attempt_ended(shared, events, task, attempt.number, outcome, None);
+        on_attempt_ended(shared, events, attempt.id(task), outcome, None);
     }
 }
 
@@ -80,7 +81,7 @@
         state.tasks.get(&id).filter(|record| record.claiming).and_then(|record| record.attempt)
     };
     if let Some(attempt) = claim {
-        on_attempt_ended(shared, events, id, attempt.number, Outcome::TimedOut, None);
+        on_attempt_ended(shared, events, attempt.id(id), Outcome::TimedOut, None);
     }
 }
 
@@ -89,26 +90,26 @@
 pub fn on_attempt_timeout(
     shared: &RefCell<SchedulerState>,
     events: &mut dyn PolicyEvents,
-    id: TaskId,
-    number: u32,
+    expired: AttemptId,
 ) {
+    let id = expired.task;
     let outcome = {
         let state = &mut *shared.borrow_mut();
         let record = state.tasks.get(&id).filter(|record| !record.claiming);
         let Some(attempt) = record.and_then(|record| record.attempt) else { return };
         // Seen: an offer retracted from a draining machine timed out in the same iteration, and lost its
         // proof.
-        if attempt.number != number || attempt.phase.is_placed() || state.outcomes.contains(id, number) {
+        if attempt.number != expired.number || attempt.phase.is_placed() || state.outcomes.contains(expired) {
             return;
         }
         if state.retract_offer(id) {
             Outcome::NotSent
         } else {
             if let Some(connection) = attempt.connection {
-                state.write(connection, &Message::Recall { task: id.0, send: number });
+                state.write(connection, &Message::Recall { task: id.0, send: expired.number });
             }
             Outcome::TimedOut
         }
     };
-    on_attempt_ended(shared, events, id, number, outcome, None);
+    on_attempt_ended(shared, events, expired, outcome, None);
 }
--- a/crates/engine/src/lib.rs
+++ b/crates/engine/src/lib.rs
@@ -33,3 +33,4 @@
 pub use counters::{Counts, Latencies};
 pub use engine::Engine;
 pub use settings::Settings;
+pub use state::{EndpointListFault, NotReady};
--- a/crates/engine/src/machine.rs
+++ b/crates/engine/src/machine.rs
@@ -1,5 +1,6 @@
 //! One machine from the side of its connection: when it is connected to again, closed, or given up.
 
+use crate::task::AttemptId;
 use mulleinhub_interface::{CellId, Duration, KindId, MachineId, Timestamp, ZoneId};
 use mulleinhub_protocol::{Entry, Mode};
 use mulleinhub_resilience::SlowStartGate;
@@ -51,10 +52,10 @@
     pub last_received_at: Timestamp,
     /// When it was pinged, if it has sent nothing since.
     pub pinged_at: Option<Timestamp>,
-    /// Attempts whose offers wait for the connection, as task and number.
-    pub waiting: Vec<(u64, u32)>,
-    /// The part of its inventory that has arrived, as task and attempt number.
-    pub reported: Vec<(u64, u32)>,
+    /// Attempts whose offers wait for the connection.
+    pub waiting: Vec<AttemptId>,
+    /// The part of its inventory that has arrived.
+    pub reported: Vec<AttemptId>,
     /// It has reported its inventory once to this incarnation of the scheduler.
     pub inventory_known: bool,
     /// Bounds the offers to it while it warms up.
--- a/crates/engine/src/properties/client.rs
+++ b/crates/engine/src/properties/client.rs
@@ -1,7 +1,7 @@
 //! The simulated client's side of the protocol, with the rules on final answers.
 
 use super::ANSWER_SLACK;
-use super::records::{Answer, SentAttempt};
+use super::records::Answer;
 use super::simulation::Simulation;
 use mulleinhub_protocol::{self as protocol, Conversation, Message};
 use mulleinhub_sans_io::{ConnectionId, ListenerId, StateMachine};
@@ -14,13 +14,7 @@
                 return;
             }
             Message::Placed { task, machine } => {
-                let attempts =
-                    self.tasks.get_mut(task).into_iter().flat_map(|task| task.attempts.values_mut());
-                let there =
-                    |attempt: &&mut SentAttempt| attempt.machine as u64 + 1 == *machine && !attempt.is_over;
-                attempts
-                    .filter(there)
-                    .for_each(|attempt| (attempt.accepted, attempt.disconnected) = (true, false));
+                self.mark_placed(*task, *machine as usize - 1);
                 (*task, Answer::Placed)
             }
             Message::Nacked { task, .. } => (*task, Answer::Rejected),
@@ -41,6 +35,21 @@
             }
             _ => return,
         };
+        self.check_answer(id, answer);
+    }
+
+    /// The scheduler counts on the attempt on this machine from now on, if it is not over.
+    fn mark_placed(&mut self, task: u64, index: usize) {
+        let Some(task) = self.tasks.get_mut(&task) else { return };
+        for attempt in task.attempts.values_mut() {
+            if attempt.machine == index && !attempt.is_over {
+                (attempt.accepted, attempt.disconnected) = (true, false);
+            }
+        }
+    }
+
+    /// Rules 1 and 2, at each final answer that the client receives.
+    fn check_answer(&mut self, id: u64, answer: Answer) {
         let Some(task) = self.tasks.get_mut(&id) else { return };
         let asked = task.questions > 0;
         task.questions = task.questions.saturating_sub(1);
@@ -64,12 +73,13 @@
         }
         if answer == Answer::Rejected {
             self.rejected.push(id);
-            let harmless = [0, 3].contains(&task.shape.use_case);
+            let is_idempotent = [0, 3].contains(&task.shape.use_case);
             let ran = task.attempts.values().any(|attempt| !attempt.never_ran);
-            assert!(harmless || !ran, "rule 2: task {id} is rejected though it may have run");
+            assert!(is_idempotent || !ran, "rule 2: task {id} is rejected though it may have run");
         }
     }
 
+    /// The client connects, and asks for its open tasks.
     pub(super) fn connect_client(&mut self) {
         if self.client.is_some() {
             return;
@@ -80,7 +90,7 @@
         self.engine.on_connection_accepted(now, connection, ListenerId(0));
         self.deliver(
             connection,
-            &Message::hello(Conversation::ClientPlanner, protocol::HAS_TASKS, "owner", 1, self.now),
+            &Message::hello(Conversation::ClientPlanner, protocol::HAS_TASKS, "client", 1, self.now),
         );
         let open: Vec<u64> = self
             .tasks
--- a/crates/engine/src/properties/machines.rs
+++ b/crates/engine/src/properties/machines.rs
@@ -1,7 +1,7 @@
 //! The simulated machines' side of the protocol.
 
 use super::events::Reply;
-use super::records::{HeldTask, SentAttempt, SubmittedTask};
+use super::records::{Offer, RunningTask, SentAttempt, SubmittedTask};
 use super::settings;
 use super::simulation::Simulation;
 use mulleinhub_protocol::{self as protocol, Ending, Message, Reason};
@@ -17,7 +17,8 @@
         match message {
             Message::Hello { .. } => self.complete_handshake(index, connection),
             Message::Offer { task, send, shape, time_out, .. } => {
-                self.check_offer(index, connection, *task, *send, *shape, *time_out);
+                let offer = Offer { task: *task, send: *send, shape: *shape, time_out: *time_out };
+                self.check_offer(index, connection, &offer);
             }
             Message::Recall { task, send } => {
                 self.mark_over(*task, *send);
@@ -30,40 +31,16 @@
             }
             Message::Stop { task, send, moves } => {
                 self.mark_over(*task, *send);
-                let at = self.machines[index].held.iter().position(|h| (h.task, h.send) == (*task, *send));
+                let at = self.machines[index].running.iter().position(|h| (h.task, h.send) == (*task, *send));
                 if let Some(at) = at {
                     self.end_task(index, at, if *moves { Ending::Moved } else { Ending::Stopped });
                 }
             }
             Message::Disown { task, send } => {
                 self.mark_over(*task, *send);
-                // Known for as long as answers are kept.
-                let known =
-                    |attempt: &SentAttempt| self.now < attempt.at + settings().answer_retention.nanos();
-                let is_cancelled = |task: &SubmittedTask| {
-                    task.cancellation_handled && task.attempts.get(send).is_some_and(known)
-                };
-                let is_cancelled = self.tasks.get(task).is_some_and(is_cancelled);
-                let held = &mut self.machines[index].held;
-                if let Some(held) = held.iter_mut().find(|h| (h.task, h.send) == (*task, *send)) {
-                    assert!(
-                        !is_cancelled || self.reads_delayed,
-                        "task {task}: a copy of a cancelled task is left to run"
-                    );
-                    held.disowned = true;
-                }
-            }
-            Message::Claim { task, send, key, .. } => {
-                let held = &mut self.machines[index].held;
-                match held.iter_mut().find(|held| held.disowned && held.shape.key == *key) {
-                    Some(held) => {
-                        (held.task, held.send, held.disowned) = (*task, *send, false);
-                        self.coverage.claims += 1;
-                        self.send_accepted(index, connection, *task, *send);
-                    }
-                    None => self.send_closed(index, *task, *send, Ending::Nacked, Reason::NotHere),
-                }
+                self.on_disown(index, *task, *send);
             }
+            Message::Claim { task, send, key, .. } => self.on_claim(index, connection, (*task, *send), *key),
             Message::Ping { nonce } => drop(self.deliver(connection, &Message::Pong { nonce: *nonce })),
             Message::Heard { task, send } => {
                 self.machines[index].unacknowledged.retain(|(t, s, ..)| (t, s) != (task, send));
@@ -72,6 +49,37 @@
         }
     }
 
+    /// The scheduler says that a task is nobody's. That must not happen to a task that its client cancelled.
+    fn on_disown(&mut self, index: usize, task: u64, send: u32) {
+        // Known for as long as answers are kept.
+        let known = |attempt: &SentAttempt| self.now < attempt.at + settings().answer_retention.nanos();
+        let is_cancelled =
+            |task: &SubmittedTask| task.cancellation_handled && task.attempts.get(&send).is_some_and(known);
+        let is_cancelled = self.tasks.get(&task).is_some_and(is_cancelled);
+        let mut running = self.machines[index].running.iter_mut();
+        if let Some(running) = running.find(|running| (running.task, running.send) == (task, send)) {
+            assert!(
+                !is_cancelled || self.reads_delayed,
+                "task {task}: a copy of a cancelled task is left to run"
+            );
+            running.disowned = true;
+        }
+    }
+
+    /// The scheduler asks whether the machine runs a copy with this key that nobody holds.
+    fn on_claim(&mut self, index: usize, connection: ConnectionId, (task, send): (u64, u32), key: u64) {
+        let mut running = self.machines[index].running.iter_mut();
+        match running.find(|running| running.disowned && running.shape.key == key) {
+            Some(running) => {
+                (running.task, running.send, running.disowned) = (task, send, false);
+                self.coverage.claims += 1;
+                self.send_accepted(index, connection, task, send);
+            }
+            None => self.send_closed(index, task, send, Ending::Nacked, Reason::NotHere),
+        }
+    }
+
+    /// Nobody counts on this attempt any more, as the scheduler or its machine has written.
     pub(super) fn mark_over(&mut self, task: u64, send: u32) {
         if let Some(attempt) = self.attempt(task, send) {
             attempt.is_over = true;
@@ -87,13 +95,13 @@
         if machine.up_at.is_some() {
             machine.restart_known_at.get_or_insert(self.now);
         }
-        let held = machine.held.iter().filter(|held| !held.disowned);
-        let mut tasks: Vec<protocol::Held<'_>> = held
-            .map(|held| protocol::Held {
-                task: held.task,
-                send: held.send,
-                shape: held.shape,
-                owner: "owner",
+        let running = machine.running.iter().filter(|running| !running.disowned);
+        let mut tasks: Vec<protocol::Held<'_>> = running
+            .map(|running| protocol::Held {
+                task: running.task,
+                send: running.send,
+                shape: running.shape,
+                owner: "client",
                 ended: None,
                 runs: true,
             })
@@ -102,7 +110,7 @@
             task: *task,
             send: *send,
             shape: *shape,
-            owner: "owner",
+            owner: "client",
             ended: Some(*ending),
             runs: false,
         }));
@@ -156,7 +164,7 @@
 
     /// A task that the machine holds ends; that is reported again until it was acknowledged.
     pub(super) fn end_task(&mut self, index: usize, at: usize, ending: Ending) {
-        let HeldTask { task, send, shape, .. } = self.machines[index].held.remove(at);
+        let RunningTask { task, send, shape, .. } = self.machines[index].running.remove(at);
         self.machines[index].unacknowledged.push((task, send, shape, ending));
         self.send_closed(index, task, send, ending, Reason::Untold);
     }
@@ -183,7 +191,7 @@
         let Some((task, send, shape)) = self.machines[index].queue.pop_front() else { return };
         match reply {
             Reply::Accepts => {
-                self.machines[index].held.push(HeldTask { task, send, shape, disowned: false });
+                self.machines[index].running.push(RunningTask { task, send, shape, disowned: false });
                 if let Some(attempt) = self.attempt(task, send) {
                     attempt.taken = true;
                 }
--- a/crates/engine/src/properties/oracle.rs
+++ b/crates/engine/src/properties/oracle.rs
@@ -1,10 +1,9 @@
 //! The oracle: the rules, checked by what crosses the wire.
 
-use super::records::SentAttempt;
+use super::records::{Offer, SentAttempt};
 use super::simulation::Simulation;
 use super::{ANSWER_SLACK, MS, SLOW_START_LIMIT, cell, settings};
 use mulleinhub_interface::{FailureDomain, Idempotency};
-use mulleinhub_protocol::Shape;
 use mulleinhub_sans_io::ConnectionId;
 
 impl Simulation {
@@ -16,82 +15,83 @@
         }
     }
 
-    /// Rules 1 to 5, at each offer that a machine reads.
-    pub(super) fn check_offer(
-        &mut self,
-        index: usize,
-        connection: ConnectionId,
-        id: u64,
-        send: u32,
-        shape: Shape,
-        time_out: u64,
-    ) {
-        let now = self.now;
-        let cases = settings().use_cases;
-        let case = &cases[shape.use_case as usize];
-        let task = self.tasks.get(&id).expect("a task of ours");
+    /// Rules 1 to 4, at each offer that a machine reads. Rules 2 and 5 need all offers of an exchange: see
+    /// `check_offers`.
+    pub(super) fn check_offer(&mut self, index: usize, connection: ConnectionId, offer: &Offer) {
+        let id = offer.task;
+        let task = &self.tasks[&id];
         assert!(task.answer.is_none(), "rule 1: task {id} is offered after its answer {:?}", task.answer);
         assert!(!task.cancellation_handled, "task {id} is offered after its client cancelled it");
         // After a pause a socket buffer delivers what was written before it, and the length of a pause is
         // known to a heartbeat.
         assert!(
-            now <= task.deadline + ANSWER_SLACK || self.reads_delayed,
+            self.now <= task.deadline + ANSWER_SLACK || self.reads_delayed,
             "task {id} is offered after its client timeout"
         );
-        assert!(time_out > 0, "task {id} is offered after its own timeout");
+        assert!(offer.time_out > 0, "task {id} is offered after its own timeout");
         self.coverage.retries += u64::from(!task.attempts.is_empty());
-        if let Some(first) = task.attempts.values().find(|attempt| !attempt.never_ran) {
-            match case.effect {
-                Idempotency::Idempotent => {}
-                Idempotency::NonIdempotent => {
-                    panic!("rule 2: task {id} is not idempotent and is retried: {:?}", task.attempts)
-                }
-                Idempotency::Keyed { window, .. } => {
-                    assert_eq!(
-                        cell(first.machine),
-                        cell(index),
-                        "rule 2: task {id} is retried outside of its scope"
-                    );
-                    let within = now <= first.at + window.nanos() || self.reads_delayed;
-                    assert!(within, "rule 2: task {id} is retried after its window");
-                }
-            }
-        }
+        self.check_retry(index, offer);
         assert!(
             !self.machines[index].inactive,
             "rule 3: task {id} is offered to machine {index}, which accepts nothing"
         );
-        let slow_start = settings().slow_start;
+        self.check_slow_start(index);
         let machine = &mut self.machines[index];
-        let is_cold = machine.up_at.is_some_and(|up| now < up + slow_start.warm_after.nanos());
-        if is_cold && machine.restart_known_at.is_some() {
-            self.coverage.cold_offers += 1;
-            machine.cold_offers.push_back(now);
-            machine.cold_offers.retain(|at| now - at < slow_start.fall.nanos());
-            let many = machine.cold_offers.len();
-            assert!(
-                many <= SLOW_START_LIMIT,
-                "rule 4: {many} offers reach cold machine {index} within its window"
-            );
-        }
-        machine.queue.push_back((id, send, shape));
+        machine.queue.push_back((id, offer.send, offer.shape));
         let attempt = SentAttempt {
             machine: index,
             incarnation: machine.incarnation,
             connection,
-            at: now,
-            times_out_at: now + time_out,
+            at: self.now,
+            times_out_at: self.now + offer.time_out,
             taken: false,
             accepted: false,
             is_over: false,
             disconnected: false,
             never_ran: false,
         };
-        self.tasks.get_mut(&id).expect("was there above").attempts.insert(send, attempt);
-        self.coverage.spread_attempts += u64::from(case.spread.is_some());
+        self.tasks.get_mut(&id).expect("was there above").attempts.insert(offer.send, attempt);
+        let use_case = &settings().use_cases[offer.shape.use_case as usize];
+        self.coverage.spread_attempts += u64::from(use_case.spread.is_some());
         self.offers_read.push((id, index));
     }
 
+    /// Rule 2: a task that may have run is retried only as its idempotency allows.
+    fn check_retry(&self, index: usize, offer: &Offer) {
+        let (id, attempts) = (offer.task, &self.tasks[&offer.task].attempts);
+        let Some(first) = attempts.values().find(|attempt| !attempt.never_ran) else { return };
+        match settings().use_cases[offer.shape.use_case as usize].effect {
+            Idempotency::Idempotent => {}
+            Idempotency::NonIdempotent => {
+                panic!("rule 2: task {id} is not idempotent and is retried: {attempts:?}")
+            }
+            Idempotency::Keyed { window, .. } => {
+                let (before, now) = (cell(first.machine), cell(index));
+                assert_eq!(before, now, "rule 2: task {id} is retried outside of its scope");
+                let is_within = self.now <= first.at + window.nanos() || self.reads_delayed;
+                assert!(is_within, "rule 2: task {id} is retried after its window");
+            }
+        }
+    }
+
+    /// Rule 4: a machine that warms up, as far as that is known, reads few offers within its window.
+    fn check_slow_start(&mut self, index: usize) {
+        let (now, slow_start) = (self.now, settings().slow_start);
+        let machine = &mut self.machines[index];
+        let is_cold = machine.up_at.is_some_and(|up| now < up + slow_start.warm_after.nanos());
+        if !is_cold || machine.restart_known_at.is_none() {
+            return;
+        }
+        self.coverage.cold_offers += 1;
+        machine.cold_offers.push_back(now);
+        machine.cold_offers.retain(|at| now - at < slow_start.fall.nanos());
+        let many = machine.cold_offers.len();
+        assert!(
+            many <= SLOW_START_LIMIT,
+            "rule 4: {many} offers reach cold machine {index} within its window"
+        );
+    }
+
     /// Whether the scheduler still counts on an attempt: as far as the machine reads, it was not cancelled.
     pub(super) fn is_in_flight(&self, attempt: &SentAttempt) -> bool {
         let unread = self.machines[attempt.machine].unresponsive;
@@ -128,12 +128,12 @@
                 _ => cell(attempt.machine) == cell(index),
             };
             let same = self.tasks.values().filter(|t| t.shape.service == task.shape.service);
-            let held = same
+            let in_flight = same
                 .filter(|t| t.attempts.values().filter(within).any(|attempt| self.is_in_flight(attempt)))
                 .count();
             assert!(
-                held <= most,
-                "rule 5: {held} tasks of service {} by machine {index}",
+                in_flight <= most,
+                "rule 5: {in_flight} tasks of service {} by machine {index}",
                 task.shape.service
             );
         }
--- a/crates/engine/src/properties/playback.rs
+++ b/crates/engine/src/properties/playback.rs
@@ -21,7 +21,7 @@
             }
             Event::MachineReplies(index, reply) => self.reply(*index, *reply),
             Event::TaskEnds(index, ending) => {
-                if self.machines[*index].held.first().is_some_and(|held| !held.disowned) {
+                if self.machines[*index].running.first().is_some_and(|running| !running.disowned) {
                     self.end_task(*index, 0, *ending);
                 }
             }
@@ -95,8 +95,8 @@
     }
 
     fn report_usage(&mut self, index: usize, served: u8, memory: u8) {
-        let Some(held) = self.machines[index].held.first() else { return };
-        let (task, part) = (held.task, |byte: u8| Some(f64::from(byte) / 255.0));
+        let Some(running) = self.machines[index].running.first() else { return };
+        let (task, part) = (running.task, |byte: u8| Some(f64::from(byte) / 255.0));
         let note = Message::Note {
             task,
             cores: part(served),
@@ -114,7 +114,7 @@
         (machine.up_at, machine.restart_known_at) = (Some(self.now), None);
         machine.cold_offers.clear();
         machine.queue.clear();
-        machine.held.clear();
+        machine.running.clear();
         machine.unacknowledged.clear();
         machine.last_message = None;
     }
@@ -122,7 +122,11 @@
     /// The client hands over a copy that nobody holds, where there is one, or any task.
     fn hand_over(&mut self, n: usize) {
         let disowned = self.machines.iter().enumerate().flat_map(|(index, machine)| {
-            machine.held.iter().filter(|held| held.disowned).map(move |held| (index, held.shape))
+            machine
+                .running
+                .iter()
+                .filter(|running| running.disowned)
+                .map(move |running| (index, running.shape))
         });
         let disowned: Vec<(usize, Shape)> = disowned.collect();
         let any = self.nth_task(n).map(|id| (n % MACHINES, self.tasks[&id].shape));
--- a/crates/engine/src/properties/records.rs
+++ b/crates/engine/src/properties/records.rs
@@ -66,9 +66,18 @@
     }
 }
 
+/// An offer that a machine reads.
+pub(super) struct Offer {
+    pub(super) task: u64,
+    pub(super) send: u32,
+    pub(super) shape: Shape,
+    /// Nanoseconds that its attempt has left.
+    pub(super) time_out: u64,
+}
+
 /// A task that a machine runs.
 #[derive(Debug)]
-pub(super) struct HeldTask {
+pub(super) struct RunningTask {
     pub(super) task: u64,
     pub(super) send: u32,
     pub(super) shape: Shape,
@@ -89,7 +98,7 @@
     pub(super) unresponsive: bool,
     /// Offers that it has read and not answered.
     pub(super) queue: VecDeque<(u64, u32, Shape)>,
-    pub(super) held: Vec<HeldTask>,
+    pub(super) running: Vec<RunningTask>,
     /// Ends that the scheduler has not acknowledged.
     pub(super) unacknowledged: Vec<(u64, u32, Shape, Ending)>,
     pub(super) last_message: Option<Vec<u8>>,
--- a/crates/engine/src/properties/simulation.rs
+++ b/crates/engine/src/properties/simulation.rs
@@ -1,7 +1,7 @@
 //! A scheduler among simulated machines, one client and the endpoint list.
 
 use super::events::Reply;
-use super::records::{Coverage, HeldTask, SentAttempt, SimulatedMachine, SubmittedTask};
+use super::records::{Coverage, RunningTask, SentAttempt, SimulatedMachine, SubmittedTask};
 use super::{MACHINES, MS, cell, settings};
 use crate::Engine;
 use mulleinhub_interface::{TaskId, Timestamp};
@@ -46,7 +46,7 @@
             refuses: false,
             unresponsive: false,
             queue: VecDeque::new(),
-            held: Vec::new(),
+            running: Vec::new(),
             unacknowledged: Vec::new(),
             last_message: None,
             listed_inactive: false,
@@ -325,7 +325,8 @@
             self.pass_time(500);
         }
         for machine in &self.machines {
-            let left: Vec<&HeldTask> = machine.held.iter().filter(|held| !held.disowned).collect();
+            let left: Vec<&RunningTask> =
+                machine.running.iter().filter(|running| !running.disowned).collect();
             assert!(left.is_empty(), "cancelled, and they run on: {left:?}");
         }
         // Long enough for all that is kept for late answers to expire.
--- a/crates/engine/src/state/answers.rs
+++ b/crates/engine/src/state/answers.rs
@@ -1,7 +1,7 @@
 //! Final answers: telling a client, and keeping the answer for a client that comes back.
 
 use super::SchedulerState;
-use crate::task::{FinalAnswer, UnresolvedAttempt};
+use crate::task::{AttemptId, FinalAnswer, UnresolvedAttempt};
 use crate::timer::Timer;
 use mulleinhub_interface::{TaskId, Timestamp};
 use mulleinhub_protocol::Message;
@@ -10,11 +10,11 @@
 
 /// What expires.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Kept {
+enum Expiring {
     /// The final answer to a task.
     Answer(TaskId),
-    /// An unresolved attempt, by its task and number.
-    Attempt(TaskId, u32),
+    /// An unresolved attempt.
+    Attempt(AttemptId),
 }
 
 /// Answers and unresolved attempts, kept for a time that is the same for all.
@@ -22,10 +22,10 @@
 pub struct AnswerStore {
     /// The final answer to each task, with the name of its client.
     pub answers: BTreeMap<TaskId, (FinalAnswer, String)>,
-    /// Attempts that a machine may still accept, by task and number.
-    pub unresolved: BTreeMap<(TaskId, u32), UnresolvedAttempt>,
+    /// Attempts that a machine may still accept.
+    pub unresolved: BTreeMap<AttemptId, UnresolvedAttempt>,
     /// When to drop them, oldest first.
-    expiry: VecDeque<(Timestamp, Kept)>,
+    expiry: VecDeque<(Timestamp, Expiring)>,
 }
 
 impl AnswerStore {
@@ -66,7 +66,7 @@
             self.notify_client(record.client_connection, &record.client, &answer.message(id));
         }
         self.answers.answers.insert(id, (answer, record.client));
-        self.expire_later(Kept::Answer(id));
+        self.expire_later(Expiring::Answer(id));
     }
 
     /// The final answer to a task that was accepted at this time is given: it is owed no longer.
@@ -77,30 +77,30 @@
     }
 
     /// Keeps an attempt that a machine may still accept.
-    pub fn keep_unresolved(&mut self, id: TaskId, attempt: u32, unresolved: UnresolvedAttempt) {
-        self.answers.unresolved.insert((id, attempt), unresolved);
-        self.expire_later(Kept::Attempt(id, attempt));
+    pub fn keep_unresolved(&mut self, attempt: AttemptId, unresolved: UnresolvedAttempt) {
+        self.answers.unresolved.insert(attempt, unresolved);
+        self.expire_later(Expiring::Attempt(attempt));
     }
 
-    fn expire_later(&mut self, kept: Kept) {
+    fn expire_later(&mut self, what: Expiring) {
         let at = self.now + self.settings.answer_retention;
         if self.answers.expiry.is_empty() {
             self.timers.set(at, Timer::ExpireAnswers);
         }
-        self.answers.expiry.push_back((at, kept));
+        self.answers.expiry.push_back((at, what));
     }
 
     /// Drops what nobody may come back for any more.
     pub fn expire_answers(&mut self) {
-        while let Some((at, kept)) = self.answers.expiry.front().copied() {
+        while let Some((at, what)) = self.answers.expiry.front().copied() {
             if at > self.now {
                 self.timers.set(at, Timer::ExpireAnswers);
                 return;
             }
             self.answers.expiry.pop_front();
-            match kept {
-                Kept::Attempt(id, attempt) => drop(self.answers.unresolved.remove(&(id, attempt))),
-                Kept::Answer(id) => drop(self.answers.answers.remove(&id)),
+            match what {
+                Expiring::Attempt(attempt) => drop(self.answers.unresolved.remove(&attempt)),
+                Expiring::Answer(id) => drop(self.answers.answers.remove(&id)),
             }
         }
     }
--- a/crates/engine/src/state/endpoint_list.rs
+++ b/crates/engine/src/state/endpoint_list.rs
@@ -23,6 +23,50 @@
     }
 }
 
+/// Why a scheduler is not to be given tasks.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub enum NotReady {
+    /// It is shutting down, and accepts nothing new.
+    ShuttingDown,
+    /// There is no endpoint list, and the last one could not be used.
+    NoList(EndpointListFault),
+    /// There is an endpoint list, and a newer one can't be read.
+    OutdatedList {
+        /// What is wrong with the newer list.
+        fault: EndpointListFault,
+        /// The version of the list in use.
+        version: u64,
+    },
+    /// No endpoint list has arrived yet.
+    AwaitingList,
+    /// A part of the first endpoint list has arrived.
+    PartialList {
+        /// The version of the list.
+        version: u64,
+        /// How many of its pieces have arrived.
+        pieces: u32,
+    },
+    /// Machines have not reported their tasks yet.
+    AwaitingInventories,
+}
+
+impl std::fmt::Display for NotReady {
+    fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
+        match self {
+            Self::ShuttingDown => write!(f, "it ends and takes nothing new"),
+            Self::NoList(fault) => write!(f, "{fault}; no list is known"),
+            Self::OutdatedList { fault, version } => {
+                write!(f, "{fault}; the last one, version {version}, is used")
+            }
+            Self::AwaitingList => write!(f, "no list has come yet"),
+            Self::PartialList { version, pieces } => {
+                write!(f, "{pieces} pieces of list version {version} came")
+            }
+            Self::AwaitingInventories => write!(f, "machines are asked what they hold"),
+        }
+    }
+}
+
 /// The endpoint list and its connection. The machines that it names are in `SchedulerState::machines`.
 #[derive(Debug)]
 pub struct EndpointList {
@@ -61,15 +105,15 @@
 
 impl EndpointList {
     /// Why machines of the list can't be used now; none where they can.
-    fn not_ready(&self) -> Option<String> {
+    fn not_ready(&self) -> Option<NotReady> {
         match (&self.fault, self.known) {
-            (Some(fault), false) => Some(format!("{fault}; no list is known")),
+            (Some(fault), false) => Some(NotReady::NoList(fault.clone())),
             (Some(fault @ EndpointListFault::Unreadable(_)), true) => {
-                Some(format!("{fault}; the last one, version {}, is used", self.version))
+                Some(NotReady::OutdatedList { fault: fault.clone(), version: self.version })
             }
             (None, false) => match self.reader.coming() {
-                Some((version, pieces)) => Some(format!("{pieces} pieces of list version {version} came")),
-                None => Some("no list has come yet".to_owned()),
+                Some((version, pieces)) => Some(NotReady::PartialList { version, pieces }),
+                None => Some(NotReady::AwaitingList),
             },
             (_, true) => None,
         }
@@ -78,11 +122,11 @@
 
 impl SchedulerState {
     /// Why this scheduler is not to be given tasks now; none where it is ready for them.
-    pub fn not_ready(&self) -> Option<String> {
+    pub fn not_ready(&self) -> Option<NotReady> {
         if self.shutting_down {
-            return Some("it ends and takes nothing new".to_owned());
+            return Some(NotReady::ShuttingDown);
         }
-        let starting = || (!self.serves_clients).then(|| "machines are asked what they hold".to_owned());
+        let starting = || (!self.serves_clients).then_some(NotReady::AwaitingInventories);
         self.endpoint_list.not_ready().or_else(starting)
     }
 
--- a/crates/engine/src/state/mod.rs
+++ b/crates/engine/src/state/mod.rs
@@ -21,7 +21,7 @@
 mod send_tokens;
 
 pub use answers::AnswerStore;
-pub use endpoint_list::{EndpointList, EndpointListFault};
+pub use endpoint_list::{EndpointList, EndpointListFault, NotReady};
 pub use outcomes::{AttemptOutcome, PendingOutcomes};
 pub use send_tokens::SendTokens;
 
--- a/crates/engine/src/state/offers.rs
+++ b/crates/engine/src/state/offers.rs
@@ -3,7 +3,7 @@
 use super::SchedulerState;
 use crate::machine::ConnectionState;
 use crate::peer::PeerKind;
-use crate::task::{Attempt, TaskRecord};
+use crate::task::{Attempt, AttemptId, TaskRecord};
 use crate::timer::Timer;
 use mulleinhub_interface::{Idempotency, MachineId, Outcome, TaskId};
 use mulleinhub_protocol::{Message, Mode};
@@ -44,13 +44,19 @@
         let attempt = record.attempt.as_mut().expect("an attempt is in flight");
         (attempt.connection, attempt.send_token) = (Some(connection), token);
         let time_out = attempt.times_out_at - now;
-        let (machine, send, shape) = (attempt.machine, attempt.number, record.shape);
+        let (machine, attempt_id, shape) = (attempt.machine, attempt.id(id), record.shape);
         let client = std::mem::take(&mut record.client);
         if let Some(slot) = self.machines.get_mut(&machine) {
-            slot.gate.wrote(now, id.0, send);
+            slot.gate.wrote(now, id.0, attempt_id.number);
         }
-        self.send_tokens.assign(token, id, send);
-        let offer = Message::Offer { task: id.0, send, shape, time_out: time_out.nanos(), owner: &client };
+        self.send_tokens.assign(token, attempt_id);
+        let offer = Message::Offer {
+            task: id.0,
+            send: attempt_id.number,
+            shape,
+            time_out: time_out.nanos(),
+            owner: &client,
+        };
         self.write_with_token(connection, &offer, Some(token));
         self.tasks.get_mut(&id).expect("was open above").client = client;
     }
@@ -63,19 +69,20 @@
         let Some(connection) = slot.ready().filter(|_| !slot.waiting.is_empty()) else { return };
         let shut_until = slot.gate.shut_until(now, fall);
         let mut still_waiting = Vec::new();
-        for (task, number) in std::mem::take(&mut slot.waiting) {
-            let id = TaskId(task);
+        for waiting in std::mem::take(&mut slot.waiting) {
+            let id = waiting.task;
             let Some(record) = self.tasks.get(&id) else { continue };
-            let waits = |attempt: &Attempt| attempt.is(machine, number) && attempt.connection.is_none();
+            let waits =
+                |attempt: &Attempt| attempt.is(machine, waiting.number) && attempt.connection.is_none();
             let Some(attempt) = record.attempt.filter(waits) else { continue };
             if self.is_past_idempotency_window(record)
                 || self.machines[&machine].gate.is_stale(now, fall, attempt.decided_at)
             {
-                self.outcomes.push(id, number, Outcome::NotSent);
+                self.outcomes.push(waiting, Outcome::NotSent);
             } else if shut_until.is_some() || attempt.times_out_at <= now {
                 // Its timeout is about to take it back. Seen after a pause: it was written in an early
                 // iteration, with no time left, and may have run.
-                still_waiting.push((task, number));
+                still_waiting.push(waiting);
             } else {
                 self.write_offer(id, connection);
             }
@@ -87,10 +94,10 @@
     }
 
     /// A machine answered an offer: its slow-start gate may let another one through.
-    pub fn on_offer_answered(&mut self, machine: MachineId, task: u64, attempt: u32) {
+    pub fn on_offer_answered(&mut self, machine: MachineId, attempt: AttemptId) {
         let (now, fall) = (self.now, self.settings.slow_start.fall);
         if let Some(slot) = self.machines.get_mut(&machine) {
-            slot.gate.answered(now, fall, task, attempt);
+            slot.gate.answered(now, fall, attempt.task.0, attempt.number);
         }
         self.release_offers(machine);
     }
@@ -110,7 +117,7 @@
     /// ran. False where it may have left.
     pub fn retract_offer(&mut self, id: TaskId) -> bool {
         let Some(attempt) = self.tasks.get(&id).and_then(|record| record.attempt) else { return false };
-        let waits = (id.0, attempt.number);
+        let waits = attempt.id(id);
         let retracted = match attempt.connection {
             Some(connection) => self.connections.retract(connection, attempt.send_token),
             None => self.machines.get(&attempt.machine).is_some_and(|slot| slot.waiting.contains(&waits)),
@@ -122,11 +129,9 @@
     }
 
     /// Drops a closed connection, and gives back the attempts whose offers were not completely sent.
-    pub fn unsent_offers(&mut self, connection: ConnectionId) -> Vec<(TaskId, u32, Unsent)> {
+    pub fn unsent_offers(&mut self, connection: ConnectionId) -> Vec<(AttemptId, Unsent)> {
         let unsent = self.connections.abort(connection);
-        let attempt = |(token, how): (u64, Unsent)| {
-            self.send_tokens.attempt(token).map(|(id, attempt)| (id, attempt, how))
-        };
+        let attempt = |(token, how): (u64, Unsent)| self.send_tokens.attempt(token).map(|id| (id, how));
         unsent.into_iter().filter_map(attempt).collect()
     }
 }
--- a/crates/engine/src/state/send_tokens.rs
+++ b/crates/engine/src/state/send_tokens.rs
@@ -1,12 +1,12 @@
 //! Which attempt an unsent frame carries.
 
-use mulleinhub_interface::TaskId;
+use crate::task::AttemptId;
 use std::collections::BTreeMap;
 
 /// Names the offers that may not have left this process. A token names one offer and is never used again.
 #[derive(Debug, Default)]
 pub struct SendTokens {
-    attempts: BTreeMap<u64, (TaskId, u32)>,
+    attempts: BTreeMap<u64, AttemptId>,
     last: u64,
 }
 
@@ -18,12 +18,12 @@
     }
 
     /// This token names this attempt from now on.
-    pub fn assign(&mut self, token: u64, id: TaskId, attempt: u32) {
-        self.attempts.insert(token, (id, attempt));
+    pub fn assign(&mut self, token: u64, attempt: AttemptId) {
+        self.attempts.insert(token, attempt);
     }
 
     /// The attempt that this token names, until it is released.
-    pub fn attempt(&self, token: u64) -> Option<(TaskId, u32)> {
+    pub fn attempt(&self, token: u64) -> Option<AttemptId> {
         self.attempts.get(&token).copied()
     }
 
--- a/crates/engine/src/task.rs
+++ b/crates/engine/src/task.rs
@@ -4,6 +4,22 @@
 use mulleinhub_protocol::{self as protocol, Message, Shape};
 use mulleinhub_sans_io::ConnectionId;
 
+/// Names one attempt of a task.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+pub struct AttemptId {
+    /// The task.
+    pub task: TaskId,
+    /// The number of the attempt among those of its task, from 0.
+    pub number: u32,
+}
+
+impl AttemptId {
+    /// The attempt of this number, as messages name it.
+    pub fn new(task: u64, number: u32) -> Self {
+        Self { task: TaskId(task), number }
+    }
+}
+
 /// How far an attempt has come.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AttemptPhase {
@@ -65,6 +81,11 @@
 }
 
 impl Attempt {
+    /// Its name, as an attempt of this task.
+    pub fn id(&self, task: TaskId) -> AttemptId {
+        AttemptId { task, number: self.number }
+    }
+
     /// Whether this is the attempt of this number on this machine.
     pub fn is(&self, machine: MachineId, number: u32) -> bool {
         self.machine == machine && self.number == number
--- a/crates/engine/src/timer.rs
+++ b/crates/engine/src/timer.rs
@@ -1,5 +1,6 @@
 //! What a timer of the scheduler stands for.
 
+use crate::task::AttemptId;
 use mulleinhub_interface::{MachineId, TaskId};
 use mulleinhub_sans_io::ConnectionId;
 
@@ -9,8 +10,8 @@
 pub enum Timer {
     /// A timer of the policy, by the policy's own token.
     Policy(u64),
-    /// The timeout of an attempt, by its task and number.
-    AttemptTimeout(TaskId, u32),
+    /// The timeout of an attempt.
+    AttemptTimeout(AttemptId),
     /// A machine may be connected to again.
     Reconnect(MachineId),
     /// A machine has been unreachable for so long that its tasks are lost.
--- a/crates/engine/tests/scenarios/answers.rs
+++ b/crates/engine/tests/scenarios/answers.rs
@@ -8,14 +8,14 @@
 fn newest_connection_of_client_receives_answer() {
     let (mut harness, client, machine) = with_offer(IDEMPOTENT);
     harness.close(client, CloseReason::Broken);
-    let back = harness.connect_client("owner");
-    assert!(has_message(&harness.send(back, &[Message::Learn { task: 1 }]), "owner", "taken 1"));
+    let back = harness.connect_client("client");
+    assert!(has_message(&harness.send(back, &[Message::Learn { task: 1 }]), "client", "taken 1"));
     let output = harness.send_from_machine(machine, Message::Accepted { task: 1, send: 0 });
-    assert!(has_message(&output, "owner", "placed 1"));
+    assert!(has_message(&output, "client", "placed 1"));
     // Submitted again, on a third connection: the same answer, and the task is not accepted twice.
-    let third = harness.connect_client("owner");
+    let third = harness.connect_client("client");
     let output = harness.submit(third, 1, IDEMPOTENT);
-    assert!(has_message(&output, "owner", "placed 1") && offered(&output, 1).is_none(), "{output:?}");
+    assert!(has_message(&output, "client", "placed 1") && offered(&output, 1).is_none(), "{output:?}");
     assert_eq!(harness.engine.counts().taken, 1);
 }
 
@@ -38,27 +38,27 @@
     harness.close(client, CloseReason::Closed);
     let nack = Message::Closed { task: 1, send: 0, ending: Ending::Errored, reason: Reason::Untold };
     harness.send_from_machine(machine, nack);
-    let back = harness.connect_client("owner");
-    assert!(has_message(&harness.send(back, &[Message::Learn { task: 1 }]), "owner", "errored 1"));
-    assert!(has_message(&harness.send(back, &[Message::Learn { task: 2 }]), "owner", "unknown 2"));
+    let back = harness.connect_client("client");
+    assert!(has_message(&harness.send(back, &[Message::Learn { task: 1 }]), "client", "errored 1"));
+    assert!(has_message(&harness.send(back, &[Message::Learn { task: 2 }]), "client", "unknown 2"));
 }
 
 #[test]
 fn queueing_delay_shortens_deadline() {
     let mut harness = Harness::with_machines(4);
-    let client = harness.connect_client("owner");
+    let client = harness.connect_client("client");
     let late = submission(1, IDEMPOTENT, harness.now);
     let too_late = submission(2, IDEMPOTENT, harness.now);
     harness.advance(7_900);
     let output = harness.send(client, &[late]);
     assert!(
-        has_message(&output, "owner", "taken 1") && has_message(&output, "owner", "nacked 1"),
+        has_message(&output, "client", "taken 1") && has_message(&output, "client", "nacked 1"),
         "{output:?}"
     );
     harness.advance(200);
     let output = harness.send(client, &[too_late]);
     assert!(
-        has_message(&output, "owner", "nacked 2") && !has_message(&output, "owner", "taken 2"),
+        has_message(&output, "client", "nacked 2") && !has_message(&output, "client", "taken 2"),
         "{output:?}"
     );
 }
@@ -75,15 +75,15 @@
 fn late_acceptance_is_disowned_and_can_be_handed_over() {
     let (mut harness, client, machine) = with_offer(NON_IDEMPOTENT);
     let output = harness.advance(6_100);
-    assert!(has_message(&output, "owner", "errored 1"), "{output:?}");
+    assert!(has_message(&output, "client", "errored 1"), "{output:?}");
     let output = harness.send_from_machine(machine, Message::Accepted { task: 1, send: 0 });
     assert!(has_message(&output, &format!("m{machine}"), "disown 1.0"), "{output:?}");
-    assert!(has_message(&output, "owner", &format!("proves 1 on {machine}")), "{output:?}");
+    assert!(has_message(&output, "client", &format!("proves 1 on {machine}")), "{output:?}");
     let hand_over = Message::HandOver { task: 2, shape: shape(1, NON_IDEMPOTENT), machine };
     let output = harness.send(client, &[hand_over]);
     assert!(has_message(&output, &format!("m{machine}"), "claim 2.0"), "{output:?}");
     let output = harness.send_from_machine(machine, Message::Accepted { task: 2, send: 0 });
-    assert!(has_message(&output, "owner", &format!("placed 2 on {machine}")), "{output:?}");
+    assert!(has_message(&output, "client", &format!("placed 2 on {machine}")), "{output:?}");
 }
 
 #[test]
@@ -105,12 +105,12 @@
 #[test]
 fn copy_that_no_machine_holds_cannot_be_handed_over() {
     let mut harness = Harness::with_machines(2);
-    let client = harness.connect_client("owner");
+    let client = harness.connect_client("client");
     harness.send(client, &[Message::HandOver { task: 2, shape: shape(1, NON_IDEMPOTENT), machine: 1 }]);
     let gone = Message::Closed { task: 2, send: 0, ending: Ending::Nacked, reason: Reason::NotHere };
-    assert!(has_message(&harness.send_from_machine(1, gone), "owner", "unknown 2"));
+    assert!(has_message(&harness.send_from_machine(1, gone), "client", "unknown 2"));
     let output = harness.send(client, &[Message::HandOver { task: 3, shape: shape(1, 2), machine: 77 }]);
-    assert!(has_message(&output, "owner", "unknown 3"), "no such machine: {output:?}");
+    assert!(has_message(&output, "client", "unknown 3"), "no such machine: {output:?}");
 }
 
 #[test]
@@ -120,7 +120,7 @@
     assert!(has_message(&output, &format!("m{machine}"), "recall 1.0"), "{output:?}");
     let output = harness.send_from_machine(machine, Message::Accepted { task: 1, send: 0 });
     assert!(
-        has_message(&output, &format!("m{machine}"), "stop 1.0") && !has_message(&output, "owner", "placed"),
+        has_message(&output, &format!("m{machine}"), "stop 1.0") && !has_message(&output, "client", "placed"),
         "{output:?}"
     );
     let stopped = Message::Closed { task: 1, send: 0, ending: Ending::Stopped, reason: Reason::Untold };
--- a/crates/engine/tests/scenarios/backpressure.rs
+++ b/crates/engine/tests/scenarios/backpressure.rs
@@ -7,7 +7,7 @@
 #[test]
 fn unsent_offer_is_retracted_at_timeout_and_retried_elsewhere() {
     let mut harness = Harness::with_machines(2);
-    let client = harness.connect_client("owner");
+    let client = harness.connect_client("client");
     let connections = [harness.connection_to("m1"), harness.connection_to("m2")];
     harness.blocked.extend(connections);
     harness.submit(client, 1, NON_IDEMPOTENT);
@@ -44,7 +44,7 @@
 #[test]
 fn unsent_offer_is_retracted_when_machine_drains() {
     let mut harness = Harness::with_machines(2);
-    let client = harness.connect_client("owner");
+    let client = harness.connect_client("client");
     let connections = [harness.connection_to("m1"), harness.connection_to("m2")];
     harness.blocked.extend(connections);
     harness.submit(client, 1, NON_IDEMPOTENT);
@@ -64,16 +64,16 @@
     harness.poll();
     harness.accept_connection("list");
     harness.send_list(&[]);
-    let client = harness.connect_client("owner");
+    let client = harness.connect_client("client");
     for task in 0..100 {
-        assert!(has_message(&harness.submit(client, task, IDEMPOTENT), "owner", "taken"));
+        assert!(has_message(&harness.submit(client, task, IDEMPOTENT), "client", "taken"));
     }
-    assert!(has_message(&harness.submit(client, 100, IDEMPOTENT), "owner", "nacked 100"));
+    assert!(has_message(&harness.submit(client, 100, IDEMPOTENT), "client", "nacked 100"));
     harness.engine.begin_shutdown();
     assert!(!harness.engine.is_idle());
     for _ in 0..100 {
         harness.advance(100);
     }
     assert!(harness.engine.is_idle(), "all in hand have had their answer");
-    assert!(has_message(&harness.submit(client, 101, IDEMPOTENT), "owner", "nacked 101"));
+    assert!(has_message(&harness.submit(client, 101, IDEMPOTENT), "client", "nacked 101"));
 }
--- a/crates/engine/tests/scenarios/endpoint_list.rs
+++ b/crates/engine/tests/scenarios/endpoint_list.rs
@@ -58,7 +58,7 @@
 
 /// A client submits a task, and the machine that it is offered to accepts it.
 fn place_task(harness: &mut Harness, task: u64) -> Vec<Output> {
-    let client = harness.connect_client("owner");
+    let client = harness.connect_client("client");
     let output = harness.submit(client, task, IDEMPOTENT);
     let (machine, send) = offered(&output, task).expect("there is capacity");
     harness.send_from_machine(machine, Message::Accepted { task, send })
@@ -79,7 +79,7 @@
     }
     assert_eq!((harness.engine.not_ready(), harness.engine.counts().machines_ready), (None, FLEET as usize));
     let output = place_task(&mut harness, 1);
-    assert!(has_message(&output, "owner", "placed 1"), "{output:?}");
+    assert!(has_message(&output, "client", "placed 1"), "{output:?}");
     let cached = harness.engine.state_to_persist().expect("the list changed");
     let whole = protocol::decode_list(&cached).expect("is a list");
     assert_eq!((whole.version, whole.entries().len()), (5, FLEET as usize));
@@ -92,7 +92,7 @@
         next.connect_machine(id, 100 + id, Vec::new());
     }
     let output = place_task(&mut next, 1);
-    assert!(has_message(&output, "owner", "placed 1"), "{output:?}");
+    assert!(has_message(&output, "client", "placed 1"), "{output:?}");
 }
 
 #[test]
@@ -123,7 +123,7 @@
     let list = list_frames(ListKind::Whole, 5, FLEET);
     receive_in_parts(&mut harness, connection, &list[..list.len() - 1]);
     assert_eq!((harness.engine.counts().machines, harness.engine.state_to_persist()), (0, None));
-    let why = harness.engine.not_ready().expect("no list is whole");
+    let why = harness.engine.not_ready().expect("no list is complete").to_string();
     assert!(why.ends_with("pieces of list version 5 came"), "{why}");
     assert!(harness.engine.status().contains(&format!("not ready: {why}")));
     receive_in_parts(&mut harness, connection, &list[list.len() - 1..]);
@@ -164,17 +164,17 @@
 #[test]
 fn unreadable_list_is_reported_and_tasks_are_rejected() {
     let (mut harness, connection) = watching_list(None);
-    let client = harness.connect_client("owner");
+    let client = harness.connect_client("client");
     harness.run_for(1_000);
     let output = harness.send(connection, &[piece(5, 1, 1, false)]);
     let why = "piece 1 of list version 5 without those before it";
     assert!(has_message(&output, "list", &format!("bye {why}")), "{output:?}");
     assert!(harness.closed.contains(&connection), "this connection alone");
-    let reason = harness.engine.not_ready().expect("no list");
+    let reason = harness.engine.not_ready().expect("no list").to_string();
     assert_eq!(reason, format!("the list can't be read: {why}; no list is known"));
     assert!(harness.engine.status().contains(&reason) && harness.engine.counts().protocol_errors == 1);
     let output = harness.submit(client, 1, IDEMPOTENT);
-    assert_eq!(output, [("owner".to_owned(), "nacked 1".to_owned())], "not at its deadline");
+    assert_eq!(output, [("client".to_owned(), "nacked 1".to_owned())], "not at its deadline");
 
     // The list service is asked again, and its next list is used.
     harness.run_for(5_000);
@@ -184,7 +184,7 @@
     harness.run_for(1_000);
     harness.connect_machine(1, 101, Vec::new());
     assert_eq!(harness.engine.not_ready(), None);
-    assert!(has_message(&place_task(&mut harness, 2), "owner", "placed 2"));
+    assert!(has_message(&place_task(&mut harness, 2), "client", "placed 2"));
 }
 
 #[test]
@@ -194,7 +194,7 @@
     let output = harness.send(connection, &[Message::List { kind: ListKind::Whole, version: 1, entries }]);
     let why = "2500 machines in one message, 2000 at most";
     assert!(has_message(&output, "list", &format!("bye {why}")), "{output:?}");
-    assert!(harness.engine.not_ready().is_some_and(|reason| reason.contains(why)));
+    assert!(harness.engine.not_ready().is_some_and(|reason| reason.to_string().contains(why)));
 }
 
 #[test]
@@ -205,24 +205,24 @@
     }
     assert_eq!(harness.engine.not_ready(), None);
     harness.send(connection, &[piece(5, 0, 1, false), piece(5, 2, 2, true)]);
-    let reason = harness.engine.not_ready().expect("the newer list can't be read");
+    let reason = harness.engine.not_ready().expect("the newer list can't be read").to_string();
     assert!(
         reason.ends_with("piece 2 of list version 5 where 1 comes next; the last one, version 4, is used")
     );
     assert_eq!(harness.engine.counts().machines, 2);
-    assert!(has_message(&place_task(&mut harness, 1), "owner", "placed 1"));
+    assert!(has_message(&place_task(&mut harness, 1), "client", "placed 1"));
 }
 
 #[test]
 fn refusal_by_list_service_is_reported_and_retried() {
     let (mut harness, connection) = watching_list(None);
-    let client = harness.connect_client("owner");
+    let client = harness.connect_client("client");
     harness.run_for(1_000);
     harness.send(connection, &[Message::Bye { words: "the list has 2500 machines" }]);
     harness.close(connection, CloseReason::Closed);
-    let reason = harness.engine.not_ready().expect("no list");
+    let reason = harness.engine.not_ready().expect("no list").to_string();
     assert_eq!(reason, "the list service refuses: the list has 2500 machines; no list is known");
-    assert!(has_message(&harness.submit(client, 1, IDEMPOTENT), "owner", "nacked 1"));
+    assert!(has_message(&harness.submit(client, 1, IDEMPOTENT), "client", "nacked 1"));
     let before = harness.opened.len();
     harness.run_for(5_000);
     assert!(harness.opened[before..].iter().any(|(_, to)| to == "list"));
@@ -253,12 +253,12 @@
     for id in 1..=FLEET {
         let tasks = (0..RUNNING).filter(|task| task % FLEET + 1 == id).map(|task| {
             let shape = shape(task, IDEMPOTENT);
-            protocol::Held { task, send: 0, shape, owner: "owner", ended: None, runs: true }
+            protocol::Held { task, send: 0, shape, owner: "client", ended: None, runs: true }
         });
         harness.connect_machine(id, 100 + id, tasks.collect());
     }
     let counts = harness.engine.counts();
     assert_eq!((counts.running, counts.machines_ready), (RUNNING as usize, FLEET as usize));
-    assert!(has_message(&place_task(&mut harness, RUNNING), "owner", &format!("placed {RUNNING}")));
+    assert!(has_message(&place_task(&mut harness, RUNNING), "client", &format!("placed {RUNNING}")));
     assert!(harness.engine.status().contains("in hand pending 0 sent 0 placed 39001"));
 }
--- a/crates/engine/tests/scenarios/harness.rs
+++ b/crates/engine/tests/scenarios/harness.rs
@@ -345,7 +345,7 @@
 /// A scheduler with machines, its client, and the machine that a task of this use case was offered to.
 pub fn with_offer(use_case: u32) -> (Harness, ConnectionId, u64) {
     let mut harness = Harness::with_machines(4);
-    let client = harness.connect_client("owner");
+    let client = harness.connect_client("client");
     let output = harness.submit(client, 1, use_case);
     let (machine, _) = offered(&output, 1).expect("there is capacity");
     (harness, client, machine)
@@ -361,7 +361,7 @@
 /// The first attempt of a task, as its machine reports it in its inventory.
 pub fn running_task(task: u64, use_case: u32) -> protocol::Held<'static> {
     let shape = shape(task, use_case);
-    protocol::Held { task, send: 0, shape, owner: "owner", ended: None, runs: true }
+    protocol::Held { task, send: 0, shape, owner: "client", ended: None, runs: true }
 }
 
 /// How many offers the scheduler wrote.
--- a/crates/engine/tests/scenarios/invalid_input.rs
+++ b/crates/engine/tests/scenarios/invalid_input.rs
@@ -71,13 +71,13 @@
 #[test]
 fn extreme_ids_and_times_are_harmless() {
     let mut harness = Harness::with_machines(2);
-    let client = harness.connect_client("owner");
+    let client = harness.connect_client("client");
     let largest =
         Message::Ask { task: u64::MAX, shape: shape(u64::MAX, 0), patience: u64::MAX, clock: u64::MAX };
     let output = harness.send(client, &[largest]);
-    assert!(has_message(&output, "owner", &format!("taken {}", u64::MAX)), "{output:?}");
+    assert!(has_message(&output, "client", &format!("taken {}", u64::MAX)), "{output:?}");
     let none = Message::Ask { task: 0, shape: shape(0, 0), patience: 0, clock: 0 };
-    assert!(has_message(&harness.send(client, &[none]), "owner", "nacked 0"));
+    assert!(has_message(&harness.send(client, &[none]), "client", "nacked 0"));
     harness.now = Timestamp::from_nanos(u64::MAX);
     harness.poll();
 }
--- a/crates/engine/tests/scenarios/lost_connections.rs
+++ b/crates/engine/tests/scenarios/lost_connections.rs
@@ -8,11 +8,11 @@
 fn accepted_task_is_offered_placed_and_ended() {
     let (mut harness, _, machine) = with_offer(IDEMPOTENT);
     let output = harness.send_from_machine(machine, Message::Accepted { task: 1, send: 0 });
-    assert_eq!(output, [("owner".to_owned(), format!("placed 1 on {machine}"))]);
+    assert_eq!(output, [("client".to_owned(), format!("placed 1 on {machine}"))]);
     let done = Message::Closed { task: 1, send: 0, ending: Ending::Done, reason: Reason::Untold };
     let output = harness.send_from_machine(machine, done);
     assert!(
-        has_message(&output, "owner", "ended 1 Done")
+        has_message(&output, "client", "ended 1 Done")
             && has_message(&output, &format!("m{machine}"), "heard 1.0")
     );
 }
@@ -20,7 +20,7 @@
 #[test]
 fn unsent_offer_is_retried_elsewhere_even_if_not_idempotent() {
     let mut harness = Harness::with_machines(4);
-    let client = harness.connect_client("owner");
+    let client = harness.connect_client("client");
     let connections: Vec<_> = (1..=4).map(|id| harness.connection_to(&format!("m{id}"))).collect();
     harness.blocked.clone_from(&connections);
     harness.submit(client, 1, NON_IDEMPOTENT);
@@ -36,7 +36,7 @@
 #[test]
 fn partly_sent_offer_may_have_run() {
     let mut harness = Harness::with_machines(4);
-    let client = harness.connect_client("owner");
+    let client = harness.connect_client("client");
     let connections: Vec<_> = (1..=4).map(|id| harness.connection_to(&format!("m{id}"))).collect();
     harness.blocked.clone_from(&connections);
     harness.submit(client, 1, NON_IDEMPOTENT);
@@ -50,7 +50,7 @@
     harness.close(stuck, CloseReason::Broken);
     let again = harness.connection_to(&address);
     let output = harness.close(again, CloseReason::Refused);
-    assert!(has_message(&output, "owner", "errored 1") && offered(&output, 1).is_none(), "{output:?}");
+    assert!(has_message(&output, "client", "errored 1") && offered(&output, 1).is_none(), "{output:?}");
 }
 
 #[test]
@@ -69,7 +69,7 @@
     let connection = harness.connection_to(&format!("m{machine}"));
     harness.close(connection, CloseReason::Broken);
     let output = harness.connect_machine(machine, 100 + machine, vec![running_task(1, NON_IDEMPOTENT)]);
-    assert!(has_message(&output, "owner", &format!("placed 1 on {machine}")), "{output:?}");
+    assert!(has_message(&output, "client", &format!("placed 1 on {machine}")), "{output:?}");
 }
 
 #[test]
@@ -78,7 +78,7 @@
     let connection = harness.connection_to(&format!("m{machine}"));
     harness.close(connection, CloseReason::Broken);
     let output = harness.connect_machine(machine, 999, vec![]);
-    assert!(has_message(&output, "owner", "errored 1") && offered(&output, 1).is_none(), "{output:?}");
+    assert!(has_message(&output, "client", "errored 1") && offered(&output, 1).is_none(), "{output:?}");
 }
 
 #[test]
@@ -91,7 +91,7 @@
         let (life, tasks) =
             if lost { (life, vec![]) } else { (100 + machine, vec![running_task(1, IDEMPOTENT)]) };
         let output = harness.connect_machine(machine, life, tasks);
-        assert_eq!(has_message(&output, "owner", "ended 1 Lost"), lost, "{output:?}");
+        assert_eq!(has_message(&output, "client", "ended 1 Lost"), lost, "{output:?}");
     }
 }
 
@@ -108,7 +108,7 @@
         for (connection, _) in attempts {
             harness.engine.on_closed(harness.now, connection, CloseReason::Refused);
         }
-        if has_message(&harness.advance(100), "owner", "ended 1 Lost") {
+        if has_message(&harness.advance(100), "client", "ended 1 Lost") {
             lost_after.get_or_insert(ms);
         }
     }
--- a/crates/engine/tests/scenarios/quota.rs
+++ b/crates/engine/tests/scenarios/quota.rs
@@ -76,11 +76,17 @@
     harness.accept_connection("list");
     harness.send_list(&(1..=4).map(|id| (id, mulleinhub_protocol::Mode::Active)).collect::<Vec<_>>());
     for id in 1..=4 {
-        let held =
-            Held { task: 50, send: 0, shape: shape(50, IDEMPOTENT), owner: "owner", ended: None, runs: true };
+        let held = Held {
+            task: 50,
+            send: 0,
+            shape: shape(50, IDEMPOTENT),
+            owner: "client",
+            ended: None,
+            runs: true,
+        };
         harness.connect_machine(id, 100 + id, if id == 4 { vec![held] } else { vec![] });
     }
-    let client = harness.connect_client("owner");
+    let client = harness.connect_client("client");
     (harness, records, client)
 }
 
@@ -114,7 +120,7 @@
     let (mut harness, records, client) = with_quota_recorder();
     recorded(&records);
     let output = harness.submit(client, 100, IDEMPOTENT);
-    assert_eq!(output, [("owner".to_owned(), "nacked 100".to_owned())]);
+    assert_eq!(output, [("client".to_owned(), "nacked 100".to_owned())]);
     assert_eq!((recorded(&records), harness.engine.counts().taken), (vec!["ask 100".to_owned()], 0));
     assert!(harness.engine.status().contains("books are kept"));
 }
@@ -149,6 +155,6 @@
     harness.close(connection, CloseReason::Broken);
     let again = harness.connection_to(&format!("m{machine}"));
     let output = harness.close(again, CloseReason::Refused);
-    assert!(has_message(&output, "owner", "errored 2"), "{output:?}");
+    assert!(has_message(&output, "client", "errored 2"), "{output:?}");
     assert_eq!(recorded(&records), ["ask 2", "may run 2"]);
 }
--- a/crates/engine/tests/scenarios/restarts_and_pauses.rs
+++ b/crates/engine/tests/scenarios/restarts_and_pauses.rs
@@ -11,13 +11,13 @@
     let cached = harness.engine.state_to_persist().expect("the list changed");
     let mut harness = Harness::new(settings(), 2, Some(cached));
     harness.poll();
-    let client = harness.open_client("owner");
-    harness.deliver(client, &[hello("owner", harness.now), Message::Learn { task: 9 }]);
-    assert!(!has_message(&harness.poll(), "owner", "Welcome"), "machines have not told yet");
+    let client = harness.open_client("client");
+    harness.deliver(client, &[hello("client", harness.now), Message::Learn { task: 9 }]);
+    assert!(!has_message(&harness.poll(), "client", "Welcome"), "machines have not told yet");
     harness.connect_machine(1, 101, vec![Held { send: 1, ..running_task(9, IDEMPOTENT) }]);
     let output = harness.connect_machine(2, 102, vec![]);
     assert!(
-        has_message(&output, "owner", "Welcome") && has_message(&output, "owner", "placed 9 on 1"),
+        has_message(&output, "client", "Welcome") && has_message(&output, "client", "placed 9 on 1"),
         "{output:?}"
     );
 }
@@ -28,10 +28,10 @@
     let cached = harness.engine.state_to_persist().expect("the list changed");
     let mut harness = Harness::new(settings(), 2, Some(cached));
     harness.poll();
-    let client = harness.open_client("owner");
-    harness.deliver(client, &[hello("owner", harness.now)]);
-    assert!(!has_message(&harness.advance(900), "owner", "Welcome"));
-    assert!(has_message(&harness.advance(100), "owner", "Welcome"));
+    let client = harness.open_client("client");
+    harness.deliver(client, &[hello("client", harness.now)]);
+    assert!(!has_message(&harness.advance(900), "client", "Welcome"));
+    assert!(has_message(&harness.advance(100), "client", "Welcome"));
 }
 
 #[test]
@@ -43,7 +43,7 @@
     let mut harness = Harness::new(limited, 2, Some(cached));
     harness.poll();
     harness.advance(1_000);
-    let client = harness.connect_client("owner");
+    let client = harness.connect_client("client");
     let output = harness.submit(client, 1, IDEMPOTENT);
     assert!(offered(&output, 1).is_none(), "both machines are silent: {output:?}");
     // Whichever machine it waits for: each holds one task of the service, so neither may get another.
@@ -66,7 +66,7 @@
     let (mut harness, _, machine) = with_offer(NON_IDEMPOTENT);
     harness.now = harness.now + Duration::from_secs(7);
     let output = harness.send_from_machine(machine, Message::Accepted { task: 1, send: 0 });
-    assert!(has_message(&output, "owner", &format!("placed 1 on {machine}")), "{output:?}");
+    assert!(has_message(&output, "client", &format!("placed 1 on {machine}")), "{output:?}");
     assert!(!output.iter().any(|(_, message)| message.starts_with("recall")), "{output:?}");
 }
 
@@ -87,7 +87,7 @@
 #[test]
 fn expired_offer_is_not_sent_after_pause() {
     let mut harness = Harness::with_machines(1);
-    let client = harness.connect_client("owner");
+    let client = harness.connect_client("client");
     harness.close(harness.connection_to("m1"), CloseReason::Broken);
     let output = harness.submit(client, 1, NON_IDEMPOTENT);
     assert!(offered(&output, 1).is_none(), "it waits for the connection: {output:?}");
@@ -104,14 +104,14 @@
 #[test]
 fn retracted_offer_never_ran_even_if_it_times_out_at_once() {
     let mut harness = Harness::with_machines(1);
-    let client = harness.connect_client("owner");
+    let client = harness.connect_client("client");
     harness.blocked.push(harness.connection_to("m1"));
     harness.submit(client, 1, NON_IDEMPOTENT);
     harness.now = harness.now + Duration::from_secs(7);
     harness.send_list(&[(1, Mode::Leaving)]);
     harness.run_for(1_000);
     let output = harness.send(client, &[Message::Learn { task: 1 }]);
-    assert!(has_message(&output, "owner", "nacked 1"), "not a byte of it left: {output:?}");
+    assert!(has_message(&output, "client", "nacked 1"), "not a byte of it left: {output:?}");
 }
 
 #[test]
@@ -148,7 +148,7 @@
 #[test]
 fn waiting_offer_is_not_sent_after_idempotency_window() {
     let mut harness = without_cancellation(2);
-    let client = harness.connect_client("owner");
+    let client = harness.connect_client("client");
     let (first, _) = offered(&harness.submit(client, 1, KEYED), 1).expect("there is capacity");
     let other = if first % 2 == 1 { first + 1 } else { first - 1 };
     harness.advance(3_400);
--- a/crates/engine/tests/scenarios/slow_start.rs
+++ b/crates/engine/tests/scenarios/slow_start.rs
@@ -10,7 +10,7 @@
     harness.close(connection, CloseReason::Broken);
     harness.connect_machine(1, 999, vec![]);
     harness.advance(12_000 - 3_000);
-    let client = harness.connect_client("owner");
+    let client = harness.connect_client("client");
     let mut output = harness.submit(client, 1, IDEMPOTENT);
     for _ in 0..40 {
         output.extend(harness.advance(50));
@@ -23,7 +23,7 @@
 #[test]
 fn machine_with_new_incarnation_is_cold_before_list_update() {
     let mut harness = Harness::with_machines(1);
-    let client = harness.connect_client("owner");
+    let client = harness.connect_client("client");
     harness.close(harness.connection_to("m1"), CloseReason::Broken);
     for task in 1..=12 {
         harness.submit(client, task, IDEMPOTENT);
@@ -43,7 +43,7 @@
     let mut harness = Harness::new(settings(), 2, Some(cached));
     harness.poll();
     harness.connect_machine(1, 999, vec![]);
-    let client = harness.connect_client("owner");
+    let client = harness.connect_client("client");
     let mut output = Vec::new();
     for task in 1..=24 {
         output.extend(harness.submit(client, task, IDEMPOTENT));
@@ -55,7 +55,7 @@
 #[test]
 fn waiting_offers_do_not_reach_cold_machine_together() {
     let mut harness = without_cancellation(1);
-    let client = harness.connect_client("owner");
+    let client = harness.connect_client("client");
     harness.close(harness.connection_to("m1"), CloseReason::Broken);
     harness.connect_machine(1, 999, vec![]);
     harness.close(harness.connection_to("m1"), CloseReason::Broken);
--- a/crates/engine/tests/scenarios/thundering_herd.rs
+++ b/crates/engine/tests/scenarios/thundering_herd.rs
@@ -136,7 +136,7 @@
 fn offers_after_cool_down_are_spread() {
     let mut offers = Vec::new();
     for mut harness in schedulers(false) {
-        let client = harness.connect_client("owner");
+        let client = harness.connect_client("client");
         harness.submit(client, 1, IDEMPOTENT);
         harness.send_from_machine(
             1,
