--- a/crates/engine/tests/scenarios/answers.rs
+++ b/crates/engine/tests/scenarios/answers.rs
@@ -8,8 +8,8 @@
 fn newest_connection_of_client_receives_answer() {
     let (mut harness, client, machine) = with_offer(IDEMPOTENT);
     harness.close(client, CloseReason::Broken);
-    let back = harness.connect_client("client");
-    assert!(has_message(&harness.send(back, &[Message::Learn { task: 1 }]), "client", "taken 1"));
+    let returned = harness.connect_client("client");
+    assert!(has_message(&harness.send(returned, &[Message::Learn { task: 1 }]), "client", "taken 1"));
     let output = harness.send_from_machine(machine, Message::Accepted { task: 1, send: 0 });
     assert!(has_message(&output, "client", "placed 1"));
     // Submitted again, on a third connection: the same answer, and the task is not accepted twice.
@@ -38,9 +38,9 @@
     harness.close(client, CloseReason::Closed);
     let nack = Message::Closed { task: 1, send: 0, ending: Ending::Errored, reason: Reason::Untold };
     harness.send_from_machine(machine, nack);
-    let back = harness.connect_client("client");
-    assert!(has_message(&harness.send(back, &[Message::Learn { task: 1 }]), "client", "errored 1"));
-    assert!(has_message(&harness.send(back, &[Message::Learn { task: 2 }]), "client", "unknown 2"));
+    let returned = harness.connect_client("client");
+    assert!(has_message(&harness.send(returned, &[Message::Learn { task: 1 }]), "client", "errored 1"));
+    assert!(has_message(&harness.send(returned, &[Message::Learn { task: 2 }]), "client", "unknown 2"));
 }
 
 #[test]
@@ -91,8 +91,8 @@
     let (mut harness, _, machine) = with_offer(KEYED);
     let connection = harness.connection_to(&format!("m{machine}"));
     harness.close(connection, CloseReason::Broken);
-    let again = harness.connection_to(&format!("m{machine}"));
-    let mut output = harness.close(again, CloseReason::Refused);
+    let reconnected = harness.connection_to(&format!("m{machine}"));
+    let mut output = harness.close(reconnected, CloseReason::Refused);
     output.extend(harness.advance(100));
     let (other, send) = offered(&output, 1).expect("its neighbour has room");
     assert_eq!(
@@ -107,8 +107,8 @@
     let mut harness = Harness::with_machines(2);
     let client = harness.connect_client("client");
     harness.send(client, &[Message::HandOver { task: 2, shape: shape(1, NON_IDEMPOTENT), machine: 1 }]);
-    let gone = Message::Closed { task: 2, send: 0, ending: Ending::Nacked, reason: Reason::NotHere };
-    assert!(has_message(&harness.send_from_machine(1, gone), "client", "unknown 2"));
+    let not_here = Message::Closed { task: 2, send: 0, ending: Ending::Nacked, reason: Reason::NotHere };
+    assert!(has_message(&harness.send_from_machine(1, not_here), "client", "unknown 2"));
     let output = harness.send(client, &[Message::HandOver { task: 3, shape: shape(1, 2), machine: 77 }]);
     assert!(has_message(&output, "client", "unknown 3"), "no such machine: {output:?}");
 }
--- a/crates/engine/tests/scenarios/backpressure.rs
+++ b/crates/engine/tests/scenarios/backpressure.rs
@@ -29,16 +29,16 @@
 #[test]
 fn peer_that_does_not_read_is_closed_alone() {
     let mut harness = Harness::with_machines(2);
-    let (deaf, fine) = (harness.connect_client("deaf"), harness.connect_client("fine"));
-    harness.blocked.push(deaf);
+    let (blocked, other) = (harness.connect_client("deaf"), harness.connect_client("fine"));
+    harness.blocked.push(blocked);
     for task in 0..20_000 {
-        harness.deliver(deaf, &[Message::Learn { task }]);
+        harness.deliver(blocked, &[Message::Learn { task }]);
     }
     for _ in 0..200 {
         harness.poll();
     }
-    assert!(harness.closed.contains(&deaf));
-    assert!(has_message(&harness.submit(fine, 70_000, IDEMPOTENT), "fine", "taken 70000"));
+    assert!(harness.closed.contains(&blocked));
+    assert!(has_message(&harness.submit(other, 70_000, IDEMPOTENT), "fine", "taken 70000"));
 }
 
 #[test]
--- a/crates/engine/tests/scenarios/client_limits.rs
+++ b/crates/engine/tests/scenarios/client_limits.rs
@@ -3,7 +3,7 @@
 use crate::harness::*;
 use mulleinhub_interface::Duration;
 use mulleinhub_protocol::{HAS_TASKS, Message};
-use mulleinhub_sans_io::StateMachine;
+use mulleinhub_sans_io::{ListenerId, StateMachine};
 
 #[test]
 fn longest_idle_client_is_evicted_at_connection_limit() {
@@ -31,21 +31,21 @@
         "{output:?}"
     );
     assert_eq!(harness.engine.counts().taken, 0);
-    let back = harness.connect_client("idle");
+    let returned = harness.connect_client("idle");
     assert!(
-        has_message(&harness.submit(back, 1, IDEMPOTENT), "idle", "taken 1"),
-        "it can be asked for again"
+        has_message(&harness.submit(returned, 1, IDEMPOTENT), "idle", "taken 1"),
+        "it can be submitted again"
     );
 }
 
 #[test]
 fn silent_peers_time_out_unless_they_answer_pings() {
     let mut harness = limited(|_| ());
-    let stranger = harness.engine.connections().register();
-    harness.engine.on_connection_accepted(harness.now, stranger, mulleinhub_sans_io::ListenerId(0));
+    let unidentified = harness.engine.connections().register();
+    harness.engine.on_connection_accepted(harness.now, unidentified, ListenerId(0));
     let client = harness.connect_client("quiet");
     harness.run_for(5_200);
-    assert!(harness.closed.contains(&stranger) && !harness.closed.contains(&client));
+    assert!(harness.closed.contains(&unidentified) && !harness.closed.contains(&client));
     harness.run_for(55_200);
     harness.send(client, &[Message::Pong { nonce: 0 }]);
     harness.run_for(10_200);
@@ -69,7 +69,8 @@
     }
     harness.deliver(steady, &[submission(1, IDEMPOTENT, harness.now)]);
     let output = harness.poll();
-    let taken = |output: &[Output]| output.iter().filter(|(_, message)| message.starts_with("taken")).count();
+    let taken =
+        |output: &[Written]| output.iter().filter(|written| written.message.starts_with("taken")).count();
     assert!(has_message(&output, "steady", "taken 1") && taken(&output) == 11, "{}", taken(&output));
     let mut all = taken(&output);
     for _ in 0..4 {
@@ -123,9 +124,9 @@
     let mut order = Vec::new();
     for _ in 0..10 {
         let output = harness.poll();
-        order.extend(output.into_iter().map(|(who, _)| who).filter(|who| who.starts_with("back")));
+        order.extend(output.into_iter().map(|written| written.to).filter(|to| to.starts_with("back")));
     }
-    let last = order.iter().rposition(|who| who.as_str() >= "back30" && who.len() == 6);
+    let last = order.iter().rposition(|to| to.as_str() >= "back30" && to.len() == 6);
     assert!(order.len() == 40 && last.is_some_and(|last| last < 16), "{order:?}");
 }
 
@@ -134,12 +135,12 @@
     let mut harness = limited(|_| ());
     let (greedy, other) = (harness.connect_client("greedy"), harness.connect_client("other"));
     let now = harness.now;
-    let asks: Vec<_> = (0..90).map(|n| submission(n, IDEMPOTENT, now)).collect();
-    harness.deliver(greedy, &asks);
+    let submissions: Vec<_> = (0..90).map(|n| submission(n, IDEMPOTENT, now)).collect();
+    harness.deliver(greedy, &submissions);
     harness.deliver(other, &[submission(1_000, IDEMPOTENT, now)]);
     let output = harness.poll();
-    let of = |output: &[Output]| {
-        output.iter().filter(|(who, message)| who == "greedy" && message.contains("aken")).count()
+    let of = |output: &[Written]| {
+        output.iter().filter(|written| written.to == "greedy" && written.message.contains("aken")).count()
     };
     assert!(has_message(&output, "other", "taken 1000") && of(&output) == 64, "{}", of(&output));
     assert_eq!(of(&harness.poll()), 26, "the rest is heard next");
@@ -176,22 +177,22 @@
     harness.engine.on_descriptors_exhausted(now);
     let output = harness.poll();
     assert!(has_message(&output, "idle0", "bye room was needed"), "{output:?}");
-    let gone = idle.iter().filter(|connection| harness.closed.contains(connection)).count();
-    assert!(gone == 16 && !harness.closed.contains(&busy));
+    let evicted = idle.iter().filter(|connection| harness.closed.contains(connection)).count();
+    assert!(evicted == 16 && !harness.closed.contains(&busy));
 }
 
 #[test]
 fn slow_frame_times_out_but_slow_client_does_not() {
     let mut harness = limited(|_| ());
-    let (slow, fine) = (harness.connect_client("slow"), harness.connect_client("fine"));
+    let (slow, prompt) = (harness.connect_client("slow"), harness.connect_client("fine"));
     let mut bytes = Vec::new();
     mulleinhub_protocol::encode(&Message::Learn { task: u64::MAX }, &mut bytes);
     for byte in bytes.iter().take(12) {
         harness.engine.on_data(harness.now, slow, &[*byte]);
-        harness.deliver(fine, &[Message::Learn { task: 1 }]);
+        harness.deliver(prompt, &[Message::Learn { task: 1 }]);
         harness.run_for(1_000);
     }
-    assert!(harness.closed.contains(&slow) && !harness.closed.contains(&fine));
+    assert!(harness.closed.contains(&slow) && !harness.closed.contains(&prompt));
 }
 
 #[test]
@@ -202,14 +203,14 @@
         harness.run_for(1_000);
         harness.send(steady, &[Message::Pong { nonce: 0 }]);
     }
-    let (_, stranger) = (harness.submit(steady, 1, IDEMPOTENT), harness.open_client("stranger"));
+    let (_, unidentified) = (harness.submit(steady, 1, IDEMPOTENT), harness.open_client("stranger"));
     harness.poll();
     // The process is paused; then so much is unread that the steady client is answered in between.
     harness.now = harness.now + Duration::from_secs(2);
     harness.deliver(steady, &[submission(2, IDEMPOTENT, harness.now)]);
     harness.engine.poll_early(harness.now);
-    assert!(harness.engine.counts().taken == 2 && !harness.closed.contains(&stranger));
-    harness.deliver(stranger, &[hello("stranger", harness.now)]);
+    assert!(harness.engine.counts().taken == 2 && !harness.closed.contains(&unidentified));
+    harness.deliver(unidentified, &[hello("stranger", harness.now)]);
     harness.poll();
-    assert!(!harness.closed.contains(&stranger), "its greeting lay here");
+    assert!(!harness.closed.contains(&unidentified), "its greeting lay here");
 }
--- a/crates/engine/tests/scenarios/endpoint_list.rs
+++ b/crates/engine/tests/scenarios/endpoint_list.rs
@@ -47,7 +47,7 @@
 }
 
 /// Bytes arrive on a connection, in parts as a network may cut them.
-fn receive_in_parts(harness: &mut Harness, connection: ConnectionId, bytes: &[u8]) -> Vec<Output> {
+fn receive_in_parts(harness: &mut Harness, connection: ConnectionId, bytes: &[u8]) -> Vec<Written> {
     let mut output = Vec::new();
     for part in bytes.chunks(50_000) {
         harness.engine.on_data(harness.now, connection, part);
@@ -57,7 +57,7 @@
 }
 
 /// A client submits a task, and the machine that it is offered to accepts it.
-fn place_task(harness: &mut Harness, task: u64) -> Vec<Output> {
+fn place_task(harness: &mut Harness, task: u64) -> Vec<Written> {
     let client = harness.connect_client("client");
     let output = harness.submit(client, task, IDEMPOTENT);
     let (machine, send) = offered(&output, task).expect("there is capacity");
@@ -123,9 +123,9 @@
     let list = list_frames(ListKind::Whole, 5, FLEET);
     receive_in_parts(&mut harness, connection, &list[..list.len() - 1]);
     assert_eq!((harness.engine.counts().machines, harness.engine.state_to_persist()), (0, None));
-    let why = harness.engine.not_ready().expect("no list is complete").to_string();
-    assert!(why.ends_with("pieces of list version 5 came"), "{why}");
-    assert!(harness.engine.status().contains(&format!("not ready: {why}")));
+    let fault = harness.engine.not_ready().expect("no list is complete").to_string();
+    assert!(fault.ends_with("pieces of list version 5 came"), "{fault}");
+    assert!(harness.engine.status().contains(&format!("not ready: {fault}")));
     receive_in_parts(&mut harness, connection, &list[list.len() - 1..]);
     assert_eq!(harness.engine.counts().machines, FLEET as usize);
 }
@@ -167,14 +167,14 @@
     let client = harness.connect_client("client");
     harness.run_for(1_000);
     let output = harness.send(connection, &[piece(5, 1, 1, false)]);
-    let why = "piece 1 of list version 5 without those before it";
-    assert!(has_message(&output, "list", &format!("bye {why}")), "{output:?}");
+    let fault = "piece 1 of list version 5 without those before it";
+    assert!(has_message(&output, "list", &format!("bye {fault}")), "{output:?}");
     assert!(harness.closed.contains(&connection), "this connection alone");
     let reason = harness.engine.not_ready().expect("no list").to_string();
-    assert_eq!(reason, format!("the list can't be read: {why}; no list is known"));
+    assert_eq!(reason, format!("the list can't be read: {fault}; no list is known"));
     assert!(harness.engine.status().contains(&reason) && harness.engine.counts().protocol_errors == 1);
     let output = harness.submit(client, 1, IDEMPOTENT);
-    assert_eq!(output, [("client".to_owned(), "nacked 1".to_owned())], "not at its deadline");
+    assert_eq!(output, [written("client", "nacked 1")], "not at its deadline");
 
     // The list service is asked again, and its next list is used.
     harness.run_for(5_000);
@@ -192,9 +192,9 @@
     let (mut harness, connection) = watching_list(None);
     let entries: Vec<Entry<'_>> = (1..=2_500).map(|id| entry(id, "m")).collect();
     let output = harness.send(connection, &[Message::List { kind: ListKind::Whole, version: 1, entries }]);
-    let why = "2500 machines in one message, 2000 at most";
-    assert!(has_message(&output, "list", &format!("bye {why}")), "{output:?}");
-    assert!(harness.engine.not_ready().is_some_and(|reason| reason.to_string().contains(why)));
+    let fault = "2500 machines in one message, 2000 at most";
+    assert!(has_message(&output, "list", &format!("bye {fault}")), "{output:?}");
+    assert!(harness.engine.not_ready().is_some_and(|reason| reason.to_string().contains(fault)));
 }
 
 #[test]
--- a/crates/engine/tests/scenarios/harness.rs
+++ b/crates/engine/tests/scenarios/harness.rs
@@ -61,8 +61,19 @@
     }
 }
 
-/// A message that the scheduler wrote: its receiver, and the message as text that a test can compare.
-pub type Output = (String, String);
+/// A message that the scheduler wrote, as text that a test can compare.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct Written {
+    /// The receiver: the address of a machine, `list`, or the name of a client.
+    pub to: String,
+    /// The message, as `describe` puts it.
+    pub message: String,
+}
+
+/// This message to this receiver.
+pub fn written(to: &str, message: impl Into<String>) -> Written {
+    Written { to: to.to_owned(), message: message.into() }
+}
 
 /// A scheduler and what it has written.
 pub struct Harness {
@@ -111,18 +122,18 @@
     }
 
     /// A full iteration.
-    pub fn poll(&mut self) -> Vec<Output> {
+    pub fn poll(&mut self) -> Vec<Written> {
         self.engine.poll(self.now);
         self.exchange()
     }
 
     /// An early iteration: more is unread than is delivered before it.
-    pub fn poll_early(&mut self) -> Vec<Output> {
+    pub fn poll_early(&mut self) -> Vec<Written> {
         self.engine.poll_early(self.now);
         self.exchange()
     }
 
-    fn exchange(&mut self) -> Vec<Output> {
+    fn exchange(&mut self) -> Vec<Written> {
         let mut output = Vec::new();
         loop {
             let connections = self.engine.connections();
@@ -148,9 +159,9 @@
     }
 
     /// Reads so many bytes of what waits on a connection.
-    pub fn read(&mut self, connection: ConnectionId, most: usize, output: &mut Vec<Output>) {
-        let waits = self.engine.connections().outgoing(connection);
-        let bytes = waits[..waits.len().min(most)].to_vec();
+    pub fn read(&mut self, connection: ConnectionId, max_bytes: usize, output: &mut Vec<Written>) {
+        let unsent = self.engine.connections().outgoing(connection);
+        let bytes = unsent[..unsent.len().min(max_bytes)].to_vec();
         self.engine.connections().wrote(connection, bytes.len());
         let frames = self.frames.entry(connection).or_default();
         frames.take(&bytes);
@@ -160,13 +171,13 @@
             if matches!(message, Message::Ping { .. }) {
                 self.pings.push(self.now);
             } else {
-                output.push((who.clone(), describe(&message)));
+                output.push(written(&who, describe(&message)));
             }
         }
     }
 
     /// So many milliseconds pass, then there is one iteration.
-    pub fn advance(&mut self, ms: u64) -> Vec<Output> {
+    pub fn advance(&mut self, ms: u64) -> Vec<Written> {
         self.now = self.now + Duration::from_nanos(ms * 1_000_000);
         self.poll()
     }
@@ -178,7 +189,7 @@
     }
 
     /// An iteration whenever the scheduler wants one until then; `each` sees the output of each.
-    pub fn run_until(&mut self, until: Timestamp, mut each: impl FnMut(&mut Self, Vec<Output>)) {
+    pub fn run_until(&mut self, until: Timestamp, mut each: impl FnMut(&mut Self, Vec<Written>)) {
         while let Some(at) = self.engine.next_wakeup().filter(|at| *at <= until) {
             self.now = self.now.max(at);
             let output = self.poll();
@@ -198,7 +209,7 @@
     }
 
     /// The connection to this address is established, and greeted.
-    pub fn accept_connection(&mut self, address: &str) -> Vec<Output> {
+    pub fn accept_connection(&mut self, address: &str) -> Vec<Written> {
         let connection = self.connection_to(address);
         self.engine.on_connected(self.now, connection);
         let mut output = self.poll();
@@ -210,7 +221,7 @@
     }
 
     /// The endpoint list tells the states of these machines.
-    pub fn send_list(&mut self, machines: &[(u64, Mode)]) -> Vec<Output> {
+    pub fn send_list(&mut self, machines: &[(u64, Mode)]) -> Vec<Written> {
         let addresses: Vec<String> = machines.iter().map(|(id, _)| format!("m{id}")).collect();
         let entries = machines
             .iter()
@@ -233,7 +244,12 @@
     }
 
     /// A machine answers the scheduler's greeting and reports its inventory.
-    pub fn connect_machine(&mut self, id: u64, life: u64, tasks: Vec<protocol::Held<'_>>) -> Vec<Output> {
+    pub fn connect_machine(
+        &mut self,
+        id: u64,
+        incarnation: u64,
+        tasks: Vec<protocol::Held<'_>>,
+    ) -> Vec<Written> {
         let address = format!("m{id}");
         if self.closed.contains(&self.connection_to(&address)) {
             // It is connected to again after a part of the first backoff.
@@ -243,19 +259,20 @@
         self.engine.on_connected(self.now, connection);
         let mut output = self.poll();
         let name = format!("machine-{id}");
-        let welcome = Message::Welcome { version: 1, features: 0, name: &name, life, silence: None };
+        let welcome =
+            Message::Welcome { version: 1, features: 0, name: &name, life: incarnation, silence: None };
         output.extend(self.send(connection, &[welcome, Message::Holds { tasks, last: true }]));
         output
     }
 
     /// A message of a machine arrives, and the scheduler has an iteration.
-    pub fn send_from_machine(&mut self, id: u64, message: Message<'_>) -> Vec<Output> {
+    pub fn send_from_machine(&mut self, id: u64, message: Message<'_>) -> Vec<Written> {
         let connection = self.connection_to(&format!("m{id}"));
         self.send(connection, &[message])
     }
 
     /// Messages arrive on a connection, and the scheduler has an iteration.
-    pub fn send(&mut self, connection: ConnectionId, messages: &[Message<'_>]) -> Vec<Output> {
+    pub fn send(&mut self, connection: ConnectionId, messages: &[Message<'_>]) -> Vec<Written> {
         self.deliver(connection, messages);
         self.poll()
     }
@@ -284,13 +301,13 @@
     }
 
     /// A client submits a task.
-    pub fn submit(&mut self, client: ConnectionId, task: u64, use_case: u32) -> Vec<Output> {
+    pub fn submit(&mut self, client: ConnectionId, task: u64, use_case: u32) -> Vec<Written> {
         let message = submission(task, use_case, self.now);
         self.send(client, &[message])
     }
 
     /// The peer closes a connection.
-    pub fn close(&mut self, connection: ConnectionId, end: CloseReason) -> Vec<Output> {
+    pub fn close(&mut self, connection: ConnectionId, end: CloseReason) -> Vec<Written> {
         self.engine.on_closed(self.now, connection, end);
         self.poll()
     }
@@ -330,16 +347,16 @@
 }
 
 /// The machine that a task was offered to, and the number of the attempt.
-pub fn offered(output: &[Output], task: u64) -> Option<(u64, u32)> {
-    output.iter().find_map(|(who, message)| {
-        let send = message.strip_prefix(&format!("offer {task}."))?;
-        Some((who.strip_prefix('m')?.parse().ok()?, send.parse().ok()?))
+pub fn offered(output: &[Written], task: u64) -> Option<(u64, u32)> {
+    output.iter().find_map(|written| {
+        let send = written.message.strip_prefix(&format!("offer {task}."))?;
+        Some((written.to.strip_prefix('m')?.parse().ok()?, send.parse().ok()?))
     })
 }
 
 /// Whether the scheduler wrote a message to this receiver that begins so.
-pub fn has_message(output: &[Output], who: &str, prefix: &str) -> bool {
-    output.iter().any(|(to, message)| to == who && message.starts_with(prefix))
+pub fn has_message(output: &[Written], who: &str, prefix: &str) -> bool {
+    output.iter().any(|written| written.to == who && written.message.starts_with(prefix))
 }
 
 /// A scheduler with machines, its client, and the machine that a task of this use case was offered to.
@@ -365,8 +382,8 @@
 }
 
 /// How many offers the scheduler wrote.
-pub fn offers(output: &[Output]) -> usize {
-    output.iter().filter(|(_, message)| message.starts_with("offer ")).count()
+pub fn offers(output: &[Written]) -> usize {
+    output.iter().filter(|written| written.message.starts_with("offer ")).count()
 }
 
 /// A scheduler with one machine, and with changed limits on clients.
--- a/crates/engine/tests/scenarios/invalid_input.rs
+++ b/crates/engine/tests/scenarios/invalid_input.rs
@@ -8,8 +8,8 @@
 #[test]
 fn invalid_frame_closes_its_connection_alone_with_reason() {
     let mut harness = Harness::with_machines(2);
-    let fine = harness.connect_client("fine");
-    harness.submit(fine, 1, IDEMPOTENT);
+    let other = harness.connect_client("fine");
+    harness.submit(other, 1, IDEMPOTENT);
     let old = Message::Hello {
         conversation: Conversation::ClientPlanner,
         version: 0,
@@ -28,7 +28,7 @@
         life: 1,
         clock: 0,
     };
-    for (first, why) in [
+    for (first, reason) in [
         (old, "bye versions 0 to 0 are spoken"),
         (machine, "bye a hello for PlannerMachine"),
         (submission(5, 0, harness.now), "bye a message before the greeting"),
@@ -39,10 +39,10 @@
     ] {
         let connection = harness.open_client("bad");
         let output = harness.send(connection, &[first]);
-        assert!(has_message(&output, "bad", why), "{why}: {output:?}");
+        assert!(has_message(&output, "bad", reason), "{reason}: {output:?}");
         assert!(harness.closed.contains(&connection));
     }
-    for (bytes, why) in [
+    for (bytes, reason) in [
         (&[0xff, 0xff, 0xff, 0xff, 1][..], "bye byte 0: a frame of 4294967295 bytes"),
         (&[0, 0, 0, 0][..], "bye byte 0: a frame of 0 bytes"),
         (&[0, 0, 0, 2, 0xff, 0xff][..], "bye byte"),
@@ -50,12 +50,12 @@
         let connection = harness.open_client("bad");
         harness.engine.on_data(harness.now, connection, bytes);
         let output = harness.poll();
-        assert!(has_message(&output, "bad", why), "{why}: {output:?}");
+        assert!(has_message(&output, "bad", reason), "{reason}: {output:?}");
     }
     let wrong_case = harness.connect_client("bad");
     assert!(has_message(&harness.submit(wrong_case, 8, 9), "bad", "bye use case 9 of 3"));
     assert_eq!(harness.engine.counts().protocol_errors, 8);
-    assert!(has_message(&harness.submit(fine, 2, IDEMPOTENT), "fine", "taken 2"), "the others are unharmed");
+    assert!(has_message(&harness.submit(other, 2, IDEMPOTENT), "fine", "taken 2"), "the others are unharmed");
 }
 
 #[test]
--- a/crates/engine/tests/scenarios/lost_connections.rs
+++ b/crates/engine/tests/scenarios/lost_connections.rs
@@ -1,4 +1,4 @@
-//! What a lost connection proves about the attempts that it carried.
+//! What a restarted connection proves about the attempts that it carried.
 
 use crate::harness::*;
 use mulleinhub_protocol::{Ending, Message, Reason};
@@ -8,7 +8,7 @@
 fn accepted_task_is_offered_placed_and_ended() {
     let (mut harness, _, machine) = with_offer(IDEMPOTENT);
     let output = harness.send_from_machine(machine, Message::Accepted { task: 1, send: 0 });
-    assert_eq!(output, [("client".to_owned(), format!("placed 1 on {machine}"))]);
+    assert_eq!(output, [written("client", format!("placed 1 on {machine}"))]);
     let done = Message::Closed { task: 1, send: 0, ending: Ending::Done, reason: Reason::Untold };
     let output = harness.send_from_machine(machine, done);
     assert!(
@@ -24,12 +24,12 @@
     let connections: Vec<_> = (1..=4).map(|id| harness.connection_to(&format!("m{id}"))).collect();
     harness.blocked.clone_from(&connections);
     harness.submit(client, 1, NON_IDEMPOTENT);
-    let stuck = connections
+    let stalled = connections
         .into_iter()
         .find(|connection| harness.engine.connections().unwritten(*connection) > 0)
         .expect("is offered");
     harness.blocked.clear();
-    let output = harness.close(stuck, CloseReason::Broken);
+    let output = harness.close(stalled, CloseReason::Broken);
     assert!(offered(&output, 1).is_some_and(|(_, send)| send == 1), "{output:?}");
 }
 
@@ -40,16 +40,16 @@
     let connections: Vec<_> = (1..=4).map(|id| harness.connection_to(&format!("m{id}"))).collect();
     harness.blocked.clone_from(&connections);
     harness.submit(client, 1, NON_IDEMPOTENT);
-    let stuck = connections
+    let stalled = connections
         .into_iter()
         .find(|connection| harness.engine.connections().unwritten(*connection) > 0)
         .expect("is offered");
-    harness.read(stuck, 5, &mut Vec::new());
+    harness.read(stalled, 5, &mut Vec::new());
     harness.blocked.clear();
-    let address = harness.names[&stuck].clone();
-    harness.close(stuck, CloseReason::Broken);
-    let again = harness.connection_to(&address);
-    let output = harness.close(again, CloseReason::Refused);
+    let address = harness.names[&stalled].clone();
+    harness.close(stalled, CloseReason::Broken);
+    let reconnected = harness.connection_to(&address);
+    let output = harness.close(reconnected, CloseReason::Refused);
     assert!(has_message(&output, "client", "errored 1") && offered(&output, 1).is_none(), "{output:?}");
 }
 
@@ -83,15 +83,18 @@
 
 #[test]
 fn tasks_are_lost_with_a_restart_not_with_a_reconnect() {
-    for (life, lost) in [(0, false), (999, true)] {
+    for (incarnation, restarted) in [(0, false), (999, true)] {
         let (mut harness, _, machine) = with_offer(IDEMPOTENT);
         harness.send_from_machine(machine, Message::Accepted { task: 1, send: 0 });
         let connection = harness.connection_to(&format!("m{machine}"));
         harness.close(connection, CloseReason::Broken);
-        let (life, tasks) =
-            if lost { (life, vec![]) } else { (100 + machine, vec![running_task(1, IDEMPOTENT)]) };
-        let output = harness.connect_machine(machine, life, tasks);
-        assert_eq!(has_message(&output, "client", "ended 1 Lost"), lost, "{output:?}");
+        let (incarnation, tasks) = if restarted {
+            (incarnation, vec![])
+        } else {
+            (100 + machine, vec![running_task(1, IDEMPOTENT)])
+        };
+        let output = harness.connect_machine(machine, incarnation, tasks);
+        assert_eq!(has_message(&output, "client", "ended 1 Lost"), restarted, "{output:?}");
     }
 }
 
--- a/crates/engine/tests/scenarios/partial_messages.rs
+++ b/crates/engine/tests/scenarios/partial_messages.rs
@@ -12,7 +12,7 @@
     bytes
 }
 
-fn receive(harness: &mut Harness, connection: ConnectionId, bytes: &[u8]) -> Vec<Output> {
+fn receive(harness: &mut Harness, connection: ConnectionId, bytes: &[u8]) -> Vec<Written> {
     harness.engine.on_data(harness.now, connection, bytes);
     harness.poll()
 }
--- a/crates/engine/tests/scenarios/quota.rs
+++ b/crates/engine/tests/scenarios/quota.rs
@@ -76,7 +76,7 @@
     harness.accept_connection("list");
     harness.send_list(&(1..=4).map(|id| (id, mulleinhub_protocol::Mode::Active)).collect::<Vec<_>>());
     for id in 1..=4 {
-        let held = Held {
+        let running = Held {
             task: 50,
             send: 0,
             shape: shape(50, IDEMPOTENT),
@@ -84,7 +84,7 @@
             ended: None,
             runs: true,
         };
-        harness.connect_machine(id, 100 + id, if id == 4 { vec![held] } else { vec![] });
+        harness.connect_machine(id, 100 + id, if id == 4 { vec![running] } else { vec![] });
     }
     let client = harness.connect_client("client");
     (harness, records, client)
@@ -120,7 +120,7 @@
     let (mut harness, records, client) = with_quota_recorder();
     recorded(&records);
     let output = harness.submit(client, 100, IDEMPOTENT);
-    assert_eq!(output, [("client".to_owned(), "nacked 100".to_owned())]);
+    assert_eq!(output, [written("client", "nacked 100")]);
     assert_eq!((recorded(&records), harness.engine.counts().taken), (vec!["ask 100".to_owned()], 0));
     assert!(harness.engine.status().contains("books are kept"));
 }
@@ -153,8 +153,8 @@
     let (machine, _) = offered(&harness.submit(client, 2, NON_IDEMPOTENT), 2).expect("there is capacity");
     let connection = harness.connection_to(&format!("m{machine}"));
     harness.close(connection, CloseReason::Broken);
-    let again = harness.connection_to(&format!("m{machine}"));
-    let output = harness.close(again, CloseReason::Refused);
+    let reconnected = harness.connection_to(&format!("m{machine}"));
+    let output = harness.close(reconnected, CloseReason::Refused);
     assert!(has_message(&output, "client", "errored 2"), "{output:?}");
     assert_eq!(recorded(&records), ["ask 2", "may run 2"]);
 }
--- a/crates/engine/tests/scenarios/restarts_and_pauses.rs
+++ b/crates/engine/tests/scenarios/restarts_and_pauses.rs
@@ -50,8 +50,8 @@
     let mut output = Vec::new();
     for machine in 1..=2 {
         let shape = Shape { service: 1, ..shape(8 + machine, 0) };
-        let held = Held { shape, ..running_task(8 + machine, IDEMPOTENT) };
-        output.extend(harness.connect_machine(machine, 100 + machine, vec![held]));
+        let running = Held { shape, ..running_task(8 + machine, IDEMPOTENT) };
+        output.extend(harness.connect_machine(machine, 100 + machine, vec![running]));
     }
     output.extend(harness.advance(100));
     assert!(offered(&output, 1).is_none(), "{output:?}");
@@ -67,7 +67,7 @@
     harness.now = harness.now + Duration::from_secs(7);
     let output = harness.send_from_machine(machine, Message::Accepted { task: 1, send: 0 });
     assert!(has_message(&output, "client", &format!("placed 1 on {machine}")), "{output:?}");
-    assert!(!output.iter().any(|(_, message)| message.starts_with("recall")), "{output:?}");
+    assert!(!output.iter().any(|written| written.message.starts_with("recall")), "{output:?}");
 }
 
 #[test]
@@ -134,13 +134,13 @@
 fn pause_before_first_client_shortens_deadline() {
     let mut harness = Harness::with_machines(1);
     harness.run_for(300);
-    let asked_at = harness.now + Duration::from_nanos(100_000_000);
+    let submitted_at = harness.now + Duration::from_nanos(100_000_000);
     // The process is paused while the first client connects and submits, and resumes a second later.
-    harness.now = asked_at + Duration::from_secs(1);
+    harness.now = submitted_at + Duration::from_secs(1);
     let first = harness.open_client("first");
-    let (shape, clock) = (shape(1, IDEMPOTENT), asked_at.nanos());
-    let ask = Message::Ask { task: 1, shape, patience: 800_000_000, clock };
-    harness.deliver(first, &[hello("first", asked_at), ask]);
+    let (shape, clock) = (shape(1, IDEMPOTENT), submitted_at.nanos());
+    let submission = Message::Ask { task: 1, shape, patience: 800_000_000, clock };
+    harness.deliver(first, &[hello("first", submitted_at), submission]);
     let output = harness.poll();
     assert!(has_message(&output, "first", "nacked 1"), "its client timeout is over: {output:?}");
 }
@@ -165,12 +165,12 @@
 fn pause_shortens_deadline_of_queued_submissions() {
     let mut harness = limited(|clients| clients.woken_a_turn = 2);
     harness.run_for(300);
-    let asked_at = harness.now + Duration::from_nanos(100_000_000);
-    harness.now = asked_at + Duration::from_secs(9);
+    let submitted_at = harness.now + Duration::from_nanos(100_000_000);
+    harness.now = submitted_at + Duration::from_secs(9);
     for n in 1..=4 {
         let name = format!("late{n}");
         let connection = harness.open_client(&name);
-        harness.deliver(connection, &[hello(&name, asked_at), submission(n, IDEMPOTENT, asked_at)]);
+        harness.deliver(connection, &[hello(&name, submitted_at), submission(n, IDEMPOTENT, submitted_at)]);
     }
     let mut output = harness.poll();
     output.extend(harness.poll());
