--- a/crates/engine/examples/idle.rs
+++ b/crates/engine/examples/idle.rs
@@ -185,13 +185,13 @@
     /// A steady client submits a task; how long until it is accepted, within so many iterations.
     fn submit(&mut self, client: ConnectionId, task: u64, iterations: u32) -> StdDuration {
         let shape = Shape { key: task, use_case: 0, service: 1, cores: 1.0, memory: 1.0, again: false };
-        let before = self.engine.counts().taken;
+        let before = self.engine.counts().accepted;
         let began = Instant::now();
         let clock = self.now.nanos();
         self.deliver(client, &Message::Ask { task, shape, patience: 3_600_000_000_000, clock });
         for _ in 0..iterations {
             self.iterate();
-            if self.engine.counts().taken > before {
+            if self.engine.counts().accepted > before {
                 let elapsed = began.elapsed();
                 // Tasks that wait cost the policy's time, which is not what is measured here.
                 self.deliver(client, &Message::Withdraw { task });
--- a/crates/engine/src/counters.rs
+++ b/crates/engine/src/counters.rs
@@ -6,7 +6,7 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Counts {
     /// Tasks accepted from clients since the start.
-    pub taken: u64,
+    pub accepted: u64,
     /// Tasks placed on a machine since the start.
     pub placed: u64,
     /// Tasks rejected since the start, after they had been accepted.
--- a/crates/engine/src/handlers/client.rs
+++ b/crates/engine/src/handlers/client.rs
@@ -170,7 +170,7 @@
     };
     let record = new_record(spec, *shape, client.name, client.connection, state.now);
     state.tasks.insert(id, TaskRecord { ticket, ..record });
-    state.counts.taken += 1;
+    state.counts.accepted += 1;
     state.count_open_task(Some(client.connection), true);
     state.write(client.connection, &Message::Taken { task: id.0 });
     Ok(Some(spec))
--- a/crates/engine/src/handlers/status.rs
+++ b/crates/engine/src/handlers/status.rs
@@ -17,7 +17,7 @@
         format!("planner {} life {}", state.settings.name, state.incarnation),
         format!(
             "tasks taken {} placed {} nacked {} errored {}",
-            counts.taken, counts.placed, counts.rejected, counts.failed
+            counts.accepted, counts.placed, counts.rejected, counts.failed
         ),
         format!("in hand pending {} sent {} placed {}", counts.pending, counts.in_flight, counts.running),
         format!(
--- a/crates/engine/tests/scenarios/answers.rs
+++ b/crates/engine/tests/scenarios/answers.rs
@@ -16,7 +16,7 @@
     let third = harness.connect_client("client");
     let output = harness.submit(third, 1, IDEMPOTENT);
     assert!(has_message(&output, "client", "placed 1") && offered(&output, 1).is_none(), "{output:?}");
-    assert_eq!(harness.engine.counts().taken, 1);
+    assert_eq!(harness.engine.counts().accepted, 1);
 }
 
 #[test]
--- a/crates/engine/tests/scenarios/client_limits.rs
+++ b/crates/engine/tests/scenarios/client_limits.rs
@@ -30,7 +30,7 @@
         has_message(&output, "idle", "bye room was needed") && !has_message(&output, "idle", "taken"),
         "{output:?}"
     );
-    assert_eq!(harness.engine.counts().taken, 0);
+    assert_eq!(harness.engine.counts().accepted, 0);
     let returned = harness.connect_client("idle");
     assert!(
         has_message(&harness.submit(returned, 1, IDEMPOTENT), "idle", "taken 1"),
@@ -209,7 +209,7 @@
     harness.now = harness.now + Duration::from_secs(2);
     harness.deliver(steady, &[submission(2, IDEMPOTENT, harness.now)]);
     harness.engine.poll_early(harness.now);
-    assert!(harness.engine.counts().taken == 2 && !harness.closed.contains(&unidentified));
+    assert!(harness.engine.counts().accepted == 2 && !harness.closed.contains(&unidentified));
     harness.deliver(unidentified, &[hello("stranger", harness.now)]);
     harness.poll();
     assert!(!harness.closed.contains(&unidentified), "its greeting lay here");
--- a/crates/engine/tests/scenarios/quota.rs
+++ b/crates/engine/tests/scenarios/quota.rs
@@ -121,7 +121,7 @@
     recorded(&records);
     let output = harness.submit(client, 100, IDEMPOTENT);
     assert_eq!(output, [written("client", "nacked 100")]);
-    assert_eq!((recorded(&records), harness.engine.counts().taken), (vec!["ask 100".to_owned()], 0));
+    assert_eq!((recorded(&records), harness.engine.counts().accepted), (vec!["ask 100".to_owned()], 0));
     assert!(harness.engine.status().contains("books are kept"));
 }
 
--- a/crates/planner/src/daemon.rs
+++ b/crates/planner/src/daemon.rs
@@ -287,7 +287,7 @@
         let engine = &shell.party.engine;
         let done = || engine.is_idle() && engine.is_flushed();
         if ending.is_some_and(|since| done() || since.elapsed() > longest) {
-            let taken = shell.party.engine.counts().taken;
+            let taken = shell.party.engine.counts().accepted;
             tracing::info!(system_calls = shell.calls, taken, "ended");
             return Ok(());
         }
--- a/crates/planner/src/metrics.rs
+++ b/crates/planner/src/metrics.rs
@@ -47,7 +47,7 @@
         let (open, deadlines) = engine.open_clients();
         let mut registry = Registry::with_prefix("mulleinhub");
         let figures = [
-            ("tasks_taken", "Tasks taken since the start", counts.taken),
+            ("tasks_taken", "Tasks taken since the start", counts.accepted),
             ("tasks_placed", "Tasks placed since the start", counts.placed),
             ("tasks_nacked", "Tasks nacked since the start", counts.rejected),
             ("tasks_errored", "Tasks errored since the start", counts.failed),
--- a/crates/scale/tests/planners.rs
+++ b/crates/scale/tests/planners.rs
@@ -56,8 +56,8 @@
     for (traffic, counts) in measured.total.iter().zip(counts) {
         let kinds = traffic.kinds;
         assert!(kinds.asks > 0);
-        assert_eq!(kinds.asks, counts.taken);
-        assert_eq!(kinds.taken, counts.taken);
+        assert_eq!(kinds.asks, counts.accepted);
+        assert_eq!(kinds.taken, counts.accepted);
         assert_eq!(kinds.offers, counts.attempts);
         assert_eq!(kinds.accepted, counts.placed);
         assert_eq!(kinds.placed, counts.placed);
--- a/crates/simulation/src/lib.rs
+++ b/crates/simulation/src/lib.rs
@@ -494,7 +494,7 @@
 }
 
 fn add(sum: &mut Counts, counts: &Counts) {
-    sum.taken += counts.taken;
+    sum.accepted += counts.accepted;
     sum.placed += counts.placed;
     sum.rejected += counts.rejected;
     sum.failed += counts.failed;
--- a/crates/simulation/tests/days.rs
+++ b/crates/simulation/tests/days.rs
@@ -100,7 +100,7 @@
     let (score, counts, capture) = Runner::new(day, Vec::new()).play(|_, _| ()).expect("a vector takes all");
     let verdict = judge(&capture[..]).expect("is whole");
     assert!(verdict.rules.iter().all(|rule| rule.breaches.is_empty()));
-    assert!(counts.taken > 150 && counts.placed == counts.taken, "{counts:?}");
+    assert!(counts.accepted > 150 && counts.placed == counts.accepted, "{counts:?}");
     assert_eq!((counts.protocol_errors, score.owners.nacked, score.owners.errored), (0, 0, 0));
 }
 
