--- a/crates/engine/src/engine.rs
+++ b/crates/engine/src/engine.rs
@@ -95,14 +95,14 @@
         settings.client_limits = new.client_limits.clone();
         settings.max_open_tasks = new.max_open_tasks;
         settings.max_unsent_bytes = new.max_unsent_bytes;
-        state.client_limits.change(new.client_limits.clone());
-        state.admission.change(new.max_open_tasks);
+        state.clients.limits.change(new.client_limits.clone());
+        state.clients.admission.change(new.max_open_tasks);
         fixed_directives(&state.settings, new)
     }
 
     /// Clients' connections that were closed or refused by limits, by reason.
     pub fn closed_clients(&self) -> Vec<(&'static str, u64)> {
-        let closed = &self.state.borrow().client_limits.ended;
+        let closed = &self.state.borrow().clients.limits.ended;
         Why::ALL.into_iter().map(|why| (why.name(), closed.get(&why).copied().unwrap_or(0))).collect()
     }
 
@@ -116,29 +116,29 @@
     /// How long the last iteration took, from whoever has a clock: where iterations take long, fewer
     /// connections are allowed.
     pub fn on_iteration_time(&mut self, now: Timestamp, took: Duration) {
-        self.state.get_mut().client_limits.turn_took(now, took);
+        self.state.get_mut().clients.limits.turn_took(now, took);
     }
 
     /// How many descriptors this process may have: clients get what machines and the endpoint list leave.
     pub fn set_descriptor_limit(&mut self, limit: usize) {
-        self.state.get_mut().client_limits.descriptors(limit);
+        self.state.get_mut().clients.limits.descriptors(limit);
     }
 
     /// Clients' connections that are open, and deadlines that are held for them.
     pub fn open_clients(&self) -> (usize, usize) {
         let state = self.state.borrow();
-        (state.client_limits.len(), state.client_limits.timers())
+        (state.clients.limits.len(), state.clients.limits.timers())
     }
 
     /// Nothing waits to be sent to clients.
     pub fn is_flushed(&self) -> bool {
         let state = self.state.borrow();
-        state.clients.values().all(|connection| state.connections.unwritten(*connection) == 0)
+        state.clients.newest.values().all(|connection| state.connections.unwritten(*connection) == 0)
     }
 
     /// Every task that was accepted has its final answer.
     pub fn is_idle(&self) -> bool {
-        self.state.borrow().admission.in_hand() == 0
+        self.state.borrow().clients.admission.in_hand() == 0
     }
 }
 
@@ -238,7 +238,7 @@
     }
 
     fn accept_budget(&self, _: ListenerId) -> usize {
-        self.state.borrow().client_limits.takes()
+        self.state.borrow().clients.limits.takes()
     }
 
     fn on_descriptors_exhausted(&mut self, now: Timestamp) {
--- a/crates/engine/src/handlers/arrivals.rs
+++ b/crates/engine/src/handlers/arrivals.rs
@@ -31,7 +31,7 @@
     let is_settled = |slot: &MachineSlot| {
         slot.mode != protocol::Mode::Active || slot.ready().is_some() || slot.failures > 0
     };
-    if state.serves_clients || !state.endpoint_list.known || !state.machines.values().all(is_settled) {
+    if state.clients.are_served || !state.endpoint_list.known || !state.machines.values().all(is_settled) {
         return false;
     }
     state.serve_clients();
@@ -68,7 +68,7 @@
     connection: ConnectionId,
     frames: &mut Frames,
 ) -> Option<Batch> {
-    let mut budget = shared.borrow().client_limits.frames_a_turn();
+    let mut budget = shared.borrow().clients.limits.frames_a_turn();
     let mut handled_any = false;
     while budget > 0 {
         let handled = match frames.next_frame() {
@@ -103,7 +103,7 @@
     peer.frames = frames;
     let closed = peer.closed;
     if batch.handled_any {
-        state.client_limits.frame_heard(connection.0);
+        state.clients.limits.frame_heard(connection.0);
     }
     if batch.is_used_up && is_partial && peer.frames.peek().is_some() {
         state.defer(connection);
@@ -111,7 +111,7 @@
     }
     if peer.kind.is_inbound() {
         state.connections.pause(connection, false);
-        state.client_limits.read(state.now, connection.0, is_partial);
+        state.clients.limits.read(state.now, connection.0, is_partial);
     }
     closed
 }
--- a/crates/engine/src/handlers/client.rs
+++ b/crates/engine/src/handlers/client.rs
@@ -198,7 +198,7 @@
         Some(quota) => quota.ask(state.now, name, spec.key, spec.ask, state.random.part())?,
         None => None,
     };
-    let admitted = state.admission.ask(state.now, shape.service);
+    let admitted = state.clients.admission.ask(state.now, shape.service);
     if admitted.is_err()
         && let (Some(quota), Some(ticket)) = (&mut state.quota, ticket)
     {
--- a/crates/engine/src/handlers/endpoint_list.rs
+++ b/crates/engine/src/handlers/endpoint_list.rs
@@ -142,7 +142,7 @@
     if entry.mode != protocol::Mode::Active || !is_down || slot.retry_at > now {
         return;
     }
-    if state.serves_clients {
+    if state.clients.are_served {
         // Many schedulers read this at one instant; whoever sends an attempt to the machine does not wait.
         let at = now + backoff::after_end(state.settings.reconnect_backoff, state.random.part());
         state.timers.set(at, Timer::Reconnect(id));
--- a/crates/engine/src/handlers/greeting.rs
+++ b/crates/engine/src/handlers/greeting.rs
@@ -38,11 +38,11 @@
     }
     let Some(peer) = state.peers.get_mut(&connection) else { return Ok(()) };
     // One copy of the name serves all that know it.
-    let known = state.clients.get_key_value(greeting.name);
+    let known = state.clients.newest.get_key_value(greeting.name);
     let name: Arc<str> = known.map_or_else(|| greeting.name.into(), |(name, _)| name.clone());
     (peer.kind, peer.greeted) = (PeerKind::Client(name.clone()), true);
-    state.clients.insert(name.clone(), connection);
-    if let Err(why) = state.client_limits.greeted(connection.0, &name) {
+    state.clients.newest.insert(name.clone(), connection);
+    if let Err(why) = state.clients.limits.greeted(connection.0, &name) {
         state.close_client(connection, why.words());
         return Ok(());
     }
@@ -50,7 +50,7 @@
     state.queueing_delay(connection, greeting.sent_at);
     let (name, incarnation) = (state.settings.name.clone(), state.incarnation);
     let version = protocol::VERSION.min(version);
-    let silence = Some(state.client_limits.settings().idle_after.nanos());
+    let silence = Some(state.clients.limits.settings().idle_after.nanos());
     state.write(
         connection,
         &Message::Welcome { version, features: 0, name: &name, life: incarnation, silence },
--- a/crates/engine/src/handlers/status.rs
+++ b/crates/engine/src/handlers/status.rs
@@ -26,9 +26,9 @@
         ),
         format!(
             "clients' connections {} of {} allowed, deadlines held {}",
-            state.client_limits.len(),
-            state.client_limits.allowed(),
-            state.client_limits.timers()
+            state.clients.limits.len(),
+            state.clients.limits.allowed(),
+            state.clients.limits.timers()
         ),
         format!(
             "machines {} of {} ready, list version {}",
--- a/crates/engine/src/properties/oracle.rs
+++ b/crates/engine/src/properties/oracle.rs
@@ -143,7 +143,7 @@
     pub(super) fn check_no_state_left(&self) {
         let state = self.engine.state.borrow();
         assert!(state.tasks.is_empty(), "open tasks: {:?}", state.tasks);
-        assert_eq!(state.admission.in_hand(), 0, "admitted tasks");
+        assert_eq!(state.clients.admission.in_hand(), 0, "admitted tasks");
         let kept = (state.answers.unresolved.len(), state.answers.answers.len(), state.answers.expiries());
         assert_eq!(kept, (0, 0, 0), "kept answers");
         assert_eq!((state.send_tokens.len(), state.outcomes.len()), (0, 0), "send tokens and outcomes");
--- a/crates/engine/src/state/answers.rs
+++ b/crates/engine/src/state/answers.rs
@@ -40,7 +40,7 @@
     /// Tells the client of a task: on the connection that asked last, else on the client's newest.
     pub fn notify_client(&mut self, connection: Option<ConnectionId>, client: &str, message: &Message<'_>) {
         let open = connection.filter(|connection| self.peers.contains_key(connection));
-        let open = open.or_else(|| self.clients.get(client).copied());
+        let open = open.or_else(|| self.clients.newest.get(client).copied());
         if let Some(connection) = open {
             self.write(connection, message);
         }
@@ -71,7 +71,7 @@
 
     /// The final answer to a task that was accepted at this time is given: it is owed no longer.
     pub fn settle(&mut self, connection: Option<ConnectionId>, accepted_at: Timestamp, service: u64) {
-        self.admission.done(self.now, service);
+        self.clients.admission.done(self.now, service);
         self.count_open_task(connection, false);
         self.latencies.to_answer.saturating_record((self.now - accepted_at).nanos() / 1000);
     }
--- a/crates/engine/src/state/clients.rs
+++ b/crates/engine/src/state/clients.rs
@@ -2,22 +2,49 @@
 
 use super::SchedulerState;
 use crate::peer::PeerKind;
+use crate::settings::Settings;
 use mulleinhub_interface::{Duration, Timestamp};
-use mulleinhub_limits::{Act, Why};
+use mulleinhub_limits::{Act, Admission, Limits, Why};
 use mulleinhub_protocol::Message;
 use mulleinhub_sans_io::ConnectionId;
+use std::collections::BTreeMap;
+use std::sync::Arc;
 
 /// Deadlines of clients that are acted on in one iteration. Seen in the p99 of busy clients: the pings of one
 /// tick of the timer wheel, written together.
 const DEADLINES_PER_ITERATION: usize = 16;
 
+/// The clients, their limits, and whether they are served.
+#[derive(Debug)]
+pub struct ClientTable {
+    /// The newest connection of each client, by its name.
+    pub newest: BTreeMap<Arc<str>, ConnectionId>,
+    /// The limits on clients' connections, and the order in which clients are handled.
+    pub limits: Limits,
+    /// Bounds the open tasks without a final answer, by service.
+    pub admission: Admission,
+    /// Clients are served: the machines have reported their tasks, or were waited for long enough.
+    pub are_served: bool,
+}
+
+impl ClientTable {
+    pub(super) fn new(settings: &Settings) -> Self {
+        Self {
+            newest: BTreeMap::new(),
+            limits: Limits::new(settings.client_limits.clone()),
+            admission: Admission::new(settings.max_open_tasks),
+            are_served: false,
+        }
+    }
+}
+
 impl SchedulerState {
     /// Somebody has connected. Where there is no room, the connection that was idle longest is closed, or
     /// this one.
     pub fn on_client_connected(&mut self, now: Timestamp, connection: ConnectionId) {
         self.now = self.now.max(now);
         self.add_peer(connection, PeerKind::Unidentified);
-        match self.client_limits.opened(self.now, connection.0) {
+        match self.clients.limits.opened(self.now, connection.0) {
             Ok(None) => {}
             Ok(Some(idle)) => self.close_client(ConnectionId(idle), Why::MadeRoom.words()),
             Err(why) => self.close_client(connection, why.words()),
@@ -36,11 +63,11 @@
     /// A client's connection is over. Its tasks stay open, and their answers wait for the client to come
     /// back. They still name the connection, whose number is never used again: `notify_client` checks.
     pub fn forget_client(&mut self, connection: ConnectionId) {
-        self.client_limits.forget(connection.0);
+        self.clients.limits.forget(connection.0);
         if let Some(PeerKind::Client(name)) = self.peers.get(&connection).map(|peer| &peer.kind)
-            && self.clients.get(name) == Some(&connection)
+            && self.clients.newest.get(name) == Some(&connection)
         {
-            self.clients.remove(name);
+            self.clients.newest.remove(name);
         }
     }
 
@@ -49,13 +76,13 @@
         let Some(connection) = connection else { return };
         let Some(peer) = self.peers.get_mut(&connection) else { return };
         peer.open_tasks = if more { peer.open_tasks + 1 } else { peer.open_tasks.saturating_sub(1) };
-        self.client_limits.in_hand(connection.0, peer.open_tasks);
+        self.clients.limits.in_hand(connection.0, peer.open_tasks);
     }
 
     /// Acts on the deadlines of clients' connections that have passed, a bounded number of them.
     pub fn enforce_client_deadlines(&mut self) {
         let mut budget = DEADLINES_PER_ITERATION;
-        while let Some((id, act)) = self.client_limits.due(self.now, &mut budget) {
+        while let Some((id, act)) = self.clients.limits.due(self.now, &mut budget) {
             match act {
                 Act::AskForSign => self.write(ConnectionId(id), &Message::Ping { nonce: id }),
                 Act::End(why) => self.close_client(ConnectionId(id), why.words()),
@@ -66,7 +93,7 @@
     /// The process is out of descriptors: idle clients are closed, with a reason.
     pub fn on_descriptors_exhausted(&mut self, now: Timestamp) {
         self.now = self.now.max(now);
-        for id in self.client_limits.pinched(self.now) {
+        for id in self.clients.limits.pinched(self.now) {
             self.close_client(ConnectionId(id), Why::MadeRoom.words());
         }
     }
@@ -82,7 +109,7 @@
     /// Serves clients from now on: all machines of the first list have reported their tasks, or can't be
     /// reached.
     pub fn serve_clients(&mut self) {
-        if !std::mem::replace(&mut self.serves_clients, true)
+        if !std::mem::replace(&mut self.clients.are_served, true)
             && let Some(quota) = &mut self.quota
         {
             quota.all_told(self.now);
--- a/crates/engine/src/state/connections.rs
+++ b/crates/engine/src/state/connections.rs
@@ -51,7 +51,7 @@
             peer.first_unread = (now, self.pauses.turns());
         }
         // Who sends more than is handled in an iteration waits until that was handled.
-        if peer.kind.is_inbound() && self.client_limits.slows(peer.frames.kept()) {
+        if peer.kind.is_inbound() && self.clients.limits.slows(peer.frames.kept()) {
             self.connections.pause(connection, true);
         }
         match peer.kind {
@@ -61,7 +61,7 @@
                 }
             }
             // Noted at once, so that no deadline passes over bytes that are here.
-            PeerKind::Unidentified | PeerKind::Client(_) => self.client_limits.heard(now, connection.0),
+            PeerKind::Unidentified | PeerKind::Client(_) => self.clients.limits.heard(now, connection.0),
             PeerKind::EndpointList => {}
         }
         self.enqueue(connection);
@@ -82,15 +82,15 @@
         }
         let is_ready = match peer.kind {
             PeerKind::Machine(_) | PeerKind::EndpointList => true,
-            PeerKind::Client(_) if self.serves_clients => {
-                self.client_limits.speaks(self.now, connection.0, peer.open_tasks > 0)
+            PeerKind::Client(_) if self.clients.are_served => {
+                self.clients.limits.speaks(self.now, connection.0, peer.open_tasks > 0)
             }
             // A client that comes back with open tasks says so in its greeting.
             PeerKind::Unidentified | PeerKind::Client(_) => {
                 let greeting = peer.frames.peek().and_then(|frame| protocol::decode(frame).ok());
                 let returns = matches!(greeting, Some(Message::Hello { features, .. })
                     if features & protocol::HAS_TASKS != 0);
-                self.client_limits.stands_in_line(connection.0, returns);
+                self.clients.limits.stands_in_line(connection.0, returns);
                 false
             }
         };
@@ -112,7 +112,7 @@
         let connection = match self.read_queue.ready.pop_front() {
             Some(connection) => connection,
             // Those that were silent before are handled after all others, a bounded number in one iteration.
-            None if self.serves_clients => ConnectionId(self.client_limits.next_heard()?),
+            None if self.clients.are_served => ConnectionId(self.clients.limits.next_heard()?),
             None => return None,
         };
         if let Some(peer) = self.peers.get_mut(&connection) {
@@ -127,7 +127,7 @@
         match self.peers.get(&connection).map(|peer| &peer.kind) {
             None | Some(PeerKind::Unidentified) => false,
             Some(PeerKind::Machine(_) | PeerKind::EndpointList) => true,
-            Some(PeerKind::Client(_)) => self.client_limits.is_steady(self.now, connection.0),
+            Some(PeerKind::Client(_)) => self.clients.limits.is_steady(self.now, connection.0),
         }
     }
 
--- a/crates/engine/src/state/endpoint_list.rs
+++ b/crates/engine/src/state/endpoint_list.rs
@@ -126,7 +126,7 @@
         if self.shutting_down {
             return Some(NotReady::ShuttingDown);
         }
-        let starting = || (!self.serves_clients).then_some(NotReady::AwaitingInventories);
+        let starting = || (!self.clients.are_served).then_some(NotReady::AwaitingInventories);
         self.endpoint_list.not_ready().or_else(starting)
     }
 
--- a/crates/engine/src/state/mod.rs
+++ b/crates/engine/src/state/mod.rs
@@ -21,6 +21,7 @@
 mod send_tokens;
 
 pub use answers::AnswerStore;
+pub use clients::ClientTable;
 pub use endpoint_list::{EndpointList, EndpointListFault, NotReady};
 pub use outcomes::{AttemptOutcome, PendingOutcomes};
 pub use send_tokens::SendTokens;
@@ -34,12 +35,10 @@
 use connections::ReadQueue;
 use mulleinhub::{Pcg, mix};
 use mulleinhub_interface::{MachineId, Quota, TaskId, Timestamp};
-use mulleinhub_limits::{Admission, Limits};
 use mulleinhub_protocol::Spare;
 use mulleinhub_resilience::{HEARTBEAT, PauseDetector};
 use mulleinhub_sans_io::{ConnectionId, Connections, Timers};
 use std::collections::BTreeMap;
-use std::sync::Arc;
 
 /// The state of a scheduler beside its policy.
 pub struct SchedulerState {
@@ -71,19 +70,13 @@
     pub timers: Timers<Timer>,
     /// The attempts whose offers may be unsent.
     pub send_tokens: SendTokens,
-    /// The newest connection of each client, by its name.
-    pub clients: BTreeMap<Arc<str>, ConnectionId>,
+    /// The clients, their limits, and whether they are served.
+    pub clients: ClientTable,
     /// Connections to be closed after the scheduling round, and why.
     to_abort: Vec<(ConnectionId, &'static str)>,
-    /// The limits on clients' connections.
-    pub client_limits: Limits,
-    /// Bounds the open tasks without a final answer, by service.
-    pub admission: Admission,
     /// Counts what tenants use; none where the settings keep no quotas.
     pub quota: Option<Box<dyn Quota>>,
     pauses: PauseDetector,
-    /// Clients are served: the machines have reported their tasks, or were waited for long enough.
-    pub serves_clients: bool,
     /// Nothing new is accepted.
     pub shutting_down: bool,
     /// The counters since the start; gauges in it are not kept up to date, `counts` computes them.
@@ -106,8 +99,7 @@
     /// The state at a start, before the first iteration.
     pub fn new(settings: Settings, incarnation: u64) -> Self {
         let random = Pcg::new(instance_seed(&settings, !incarnation));
-        let client_limits = Limits::new(settings.client_limits.clone());
-        let admission = Admission::new(settings.max_open_tasks);
+        let clients = ClientTable::new(&settings);
         Self {
             settings,
             incarnation,
@@ -123,13 +115,10 @@
             outcomes: PendingOutcomes::default(),
             timers: Timers::default(),
             send_tokens: SendTokens::default(),
-            clients: BTreeMap::new(),
+            clients,
             to_abort: Vec::new(),
-            client_limits,
-            admission,
             quota: None,
             pauses: PauseDetector::default(),
-            serves_clients: false,
             shutting_down: false,
             counts: Counts::default(),
             latencies: Latencies::default(),
@@ -175,9 +164,9 @@
     /// Whether an iteration would have anything to do.
     pub fn has_work(&self) -> bool {
         !self.read_queue.ready.is_empty()
-            || self.client_limits.any_in_line()
+            || self.clients.limits.any_in_line()
             || !self.read_queue.deferred.is_empty()
-            || self.client_limits.wake().is_some_and(|at| at <= self.now)
+            || self.clients.limits.wake().is_some_and(|at| at <= self.now)
             || !self.outcomes.is_empty()
             || self.timers.next().is_some_and(|at| at <= self.now)
     }
@@ -189,19 +178,19 @@
 
     /// When the next iteration is due at the latest.
     pub fn next_wakeup(&self) -> Option<Timestamp> {
-        let clients_wait = self.client_limits.any_in_line() || !self.read_queue.deferred.is_empty();
-        if !self.outcomes.is_empty() || (self.serves_clients && clients_wait) {
+        let clients_wait = self.clients.limits.any_in_line() || !self.read_queue.deferred.is_empty();
+        if !self.outcomes.is_empty() || (self.clients.are_served && clients_wait) {
             return Some(self.now);
         }
         // Where clients are served there is an iteration at least so often: its lateness tells a pause of
         // this process. Seen: without it, the first client's submission waited in a pause that went unnoticed.
-        let heartbeat = self.serves_clients.then_some(self.now + HEARTBEAT);
-        [self.timers.next(), self.client_limits.wake(), heartbeat].into_iter().flatten().min()
+        let heartbeat = self.clients.are_served.then_some(self.now + HEARTBEAT);
+        [self.timers.next(), self.clients.limits.wake(), heartbeat].into_iter().flatten().min()
     }
 
     fn detect_pause(&mut self, now: Timestamp) {
         if self.pauses.begin(now) {
-            self.client_limits.woke(now);
+            self.clients.limits.woke(now);
         }
     }
 
@@ -209,10 +198,10 @@
     pub fn begin_iteration(&mut self, now: Timestamp) {
         self.now = now;
         self.detect_pause(now);
-        self.client_limits.begin_turn(self.machines.len());
+        self.clients.limits.begin_turn(self.machines.len());
         for connection in std::mem::take(&mut self.read_queue.deferred) {
             let returns = self.peers.get(&connection).is_some_and(|peer| peer.open_tasks > 0);
-            self.client_limits.stands_in_line(connection.0, returns);
+            self.clients.limits.stands_in_line(connection.0, returns);
         }
     }
 
