--- a/crates/engine/examples/idle.rs
+++ b/crates/engine/examples/idle.rs
@@ -2,9 +2,9 @@
 //! `cargo run --release -p mulleinhub-engine --example idle -- CONNECTIONS`.
 //!
 //! Opens so many, each with a name of its own, and lets sixty virtual seconds of silence pass, in which every
-//! ping is answered. Then a steady client submits tasks while all are silent, and while all speak at once; then
-//! all disconnect and come back. Prints bytes a connection by the allocator's own count, CPU, iterations and
-//! latencies.
+//! ping is answered. Then a steady client submits tasks while all are silent, and while all speak at once;
+//! then all disconnect and come back. Prints bytes a connection by the allocator's own count, CPU, iterations
+//! and latencies.
 
 use hdrhistogram::Histogram;
 use mulleinhub_engine::{Engine, Settings};
--- a/crates/engine/examples/ordinary_path.rs
+++ b/crates/engine/examples/ordinary_path.rs
@@ -1,8 +1,8 @@
 //! What one ordinary task costs: `cargo run --release -p mulleinhub-engine --example ordinary_path -- TASKS
 //! IN_HAND [MACHINES]`.
 //!
-//! Drives one engine without sockets through tasks that are submitted, accepted, run and end, with so many open
-//! at a time, and prints allocations, bytes and CPU time a task, after a warm-up that isn't counted.
+//! Drives one engine without sockets through tasks that are submitted, accepted, run and end, with so many
+//! open at a time, and prints allocations, bytes and CPU time a task, after a warm-up that isn't counted.
 
 use mulleinhub_engine::{Engine, Settings};
 use mulleinhub_interface::*;
--- a/crates/engine/src/handlers/client.rs
+++ b/crates/engine/src/handlers/client.rs
@@ -176,8 +176,8 @@
     Ok(Some(spec))
 }
 
-/// Whether a task can be accepted: a list of machines is known or on its way, and there is capacity within the
-/// quota of its tenant and within the limit of open tasks.
+/// Whether a task can be accepted: a list of machines is known or on its way, and there is capacity within
+/// the quota of its tenant and within the limit of open tasks.
 ///
 /// # Errors
 /// For how long its client is to stay away.
--- a/crates/engine/src/handlers/machine.rs
+++ b/crates/engine/src/handlers/machine.rs
@@ -73,8 +73,8 @@
     }
 }
 
-/// A machine answered our greeting. In another incarnation than the last it holds nothing that the earlier one
-/// was sent.
+/// A machine answered our greeting. In another incarnation than the last it holds nothing that the earlier
+/// one was sent.
 fn on_welcome(
     shared: &RefCell<SchedulerState>,
     events: &mut dyn PolicyEvents,
--- a/crates/engine/src/handlers/mod.rs
+++ b/crates/engine/src/handlers/mod.rs
@@ -6,8 +6,8 @@
 //! - the same incarnation of the machine, connected again, doesn't hold the attempt: a new handshake ends the
 //!   old connection for the machine, so what it had not accepted by then it never will.
 //!
-//! Everything else may have run: offers sent in part or as a whole whose machine can't be asked, timeouts, and
-//! whatever an earlier incarnation of the machine was sent.
+//! Everything else may have run: offers sent in part or as a whole whose machine can't be asked, timeouts,
+//! and whatever an earlier incarnation of the machine was sent.
 //!
 //! - `arrivals`: frames of the connections that have any, a bounded number of them in one iteration
 //! - `dispatch`: which message belongs to which conversation, and who handles it
@@ -20,8 +20,8 @@
 //! - `endpoint_list`: the list of machines
 //! - `status`: lines for the operators
 //!
-//! The policy calls the handlers within its scheduling round. They borrow the state for a moment at a time and
-//! never across a call of the policy, which may call the dispatcher.
+//! The policy calls the handlers within its scheduling round. They borrow the state for a moment at a time
+//! and never across a call of the policy, which may call the dispatcher.
 
 mod arrivals;
 mod attempt;
--- a/crates/engine/src/lib.rs
+++ b/crates/engine/src/lib.rs
@@ -1,7 +1,8 @@
 //! The scheduler without I/O.
 //!
-//! It handles what clients, machines and the endpoint list service send, reports it to the policy, and carries
-//! out what the policy decides. One iteration of the event loop is one scheduling round of the policy.
+//! It handles what clients, machines and the endpoint list service send, reports it to the policy, and
+//! carries out what the policy decides. One iteration of the event loop is one scheduling round of the
+//! policy.
 //!
 //! In here: connections and what their end proves, attempts and the proofs that they never ran, final answers
 //! and who is to receive them, copies of tasks that nobody holds.
--- a/crates/engine/src/properties/mod.rs
+++ b/crates/engine/src/properties/mod.rs
@@ -1,8 +1,8 @@
 //! The scheduler's five rules as properties of the whole engine.
 //!
 //! The real engine and placement policy stand among random events: submissions, cancellations at every stage,
-//! odd, late and repeated answers, closed connections, restarts of machines, drains and returns, pauses of the
-//! process. The oracle knows the rules and what crossed the wire, nothing of the code. After each run all
+//! odd, late and repeated answers, closed connections, restarts of machines, drains and returns, pauses of
+//! the process. The oracle knows the rules and what crossed the wire, nothing of the code. After each run all
 //! settles, and no state may be left. Seeds are fixed; a failure shrinks, and prints its events.
 //!
 //! - `events`: the events, and how they are generated
--- a/crates/engine/src/properties/oracle.rs
+++ b/crates/engine/src/properties/oracle.rs
@@ -101,8 +101,8 @@
             && (attempt.accepted || self.now < attempt.times_out_at)
     }
 
-    /// Rules 2 and 5. What was written together is checked together, since a cancellation may be read after the
-    /// next offer.
+    /// Rules 2 and 5. What was written together is checked together, since a cancellation may be read after
+    /// the next offer.
     pub(super) fn check_offers(&mut self) {
         let cases = settings().use_cases;
         for id in std::mem::take(&mut self.rejected) {
--- a/crates/engine/src/state/mod.rs
+++ b/crates/engine/src/state/mod.rs
@@ -183,7 +183,8 @@
             return Some(self.now);
         }
         // Where clients are served there is an iteration at least so often: its lateness tells a pause of
-        // this process. Seen: without it, the first client's submission waited in a pause that went unnoticed.
+        // this process. Seen: without it, the first client's submission waited in a pause that went
+        // unnoticed.
         let heartbeat = self.clients.are_served.then_some(self.now + HEARTBEAT);
         [self.timers.next(), self.clients.limits.wake(), heartbeat].into_iter().flatten().min()
     }
--- a/crates/engine/tests/scenarios/quota.rs
+++ b/crates/engine/tests/scenarios/quota.rs
@@ -65,8 +65,8 @@
     }
 }
 
-/// A scheduler with four machines, one of which holds a task of the last incarnation; what was recorded; and a
-/// client.
+/// A scheduler with four machines, one of which holds a task of the last incarnation; what was recorded; and
+/// a client.
 fn with_quota_recorder() -> (Harness, Arc<Mutex<Vec<String>>>, ConnectionId) {
     let records = Arc::new(Mutex::new(Vec::new()));
     let mut harness = Harness::new(settings(), 1, None);
--- a/crates/engine/tests/scenarios/restarts_and_pauses.rs
+++ b/crates/engine/tests/scenarios/restarts_and_pauses.rs
@@ -152,7 +152,8 @@
     let (first, _) = offered(&harness.submit(client, 1, KEYED), 1).expect("there is capacity");
     let other = if first % 2 == 1 { first + 1 } else { first - 1 };
     harness.advance(3_400);
-    // Both lose their connections. The first is refused, so the task may have run; the other's is established late.
+    // Both lose their connections. The first is refused, so the task may have run; the other's is established
+    // late.
     harness.close(harness.connection_to(&format!("m{other}")), CloseReason::Broken);
     harness.close(harness.connection_to(&format!("m{first}")), CloseReason::Broken);
     harness.close(harness.connection_to(&format!("m{first}")), CloseReason::Refused);
--- a/crates/engine/tests/scenarios/thundering_herd.rs
+++ b/crates/engine/tests/scenarios/thundering_herd.rs
@@ -28,8 +28,8 @@
     (counts.into_values().max().expect("some"), *last - *first)
 }
 
-/// All lose this peer, which refuses connections for a while: when each scheduler tries again, by the number of
-/// the attempt, until it is connected.
+/// All lose this peer, which refuses connections for a while: when each scheduler tries again, by the number
+/// of the attempt, until it is connected.
 fn attempts(to: &str, asked: bool, refuses_for: Duration) -> Vec<Vec<Timestamp>> {
     let mut attempts: Vec<Vec<Timestamp>> = Vec::new();
     for mut harness in schedulers(asked) {
