--- a/crates/engine/src/counters.rs
+++ b/crates/engine/src/counters.rs
@@ -40,7 +40,7 @@
     pub to_answer: Histogram<u64>,
 }
 
-/// The longest latency that the histograms tell apart: ten minutes.
+/// The longest latency that the histograms resolve: ten minutes.
 const MAX_LATENCY_MICROS: u64 = 600_000_000;
 
 impl Default for Latencies {
--- a/crates/engine/src/handlers/attempt.rs
+++ b/crates/engine/src/handlers/attempt.rs
@@ -77,7 +77,7 @@
     if claiming { events.on_adopted_task(spec, machine) } else { events.on_accepted(id.task) }
 }
 
-/// Counts a task as placed, and tells its client. What is logged while the span is entered belongs to the
+/// Counts a task as placed, and notifies its client. What is logged while the span is entered belongs to the
 /// task.
 fn notify_placed(state: &mut SchedulerState, machine: MachineId, id: AttemptId) -> EnteredSpan {
     state.counts.placed += 1;
--- a/crates/engine/src/handlers/client.rs
+++ b/crates/engine/src/handlers/client.rs
@@ -102,8 +102,8 @@
     Ok(())
 }
 
-/// Tells a client that asks again what is known of a task; false where nothing is. The newest connection of
-/// the client receives what follows.
+/// Answers a client that asks again with what is known of a task; false where nothing is. The newest
+/// connection of the client receives what follows.
 ///
 /// # Errors
 /// Where the task is another client's.
@@ -217,7 +217,7 @@
     let mut borrowed = shared.borrow_mut();
     let state = &mut *borrowed;
     // Copies of earlier attempts that prove to run from now on are nobody's. Seen: such a copy was disowned,
-    // ran on until its machine ended it, and its client was told to come for it.
+    // ran on until its machine ended it, and its client was asked to claim it.
     let earlier = state
         .answers
         .unresolved
--- a/crates/engine/src/handlers/greeting.rs
+++ b/crates/engine/src/handlers/greeting.rs
@@ -58,7 +58,7 @@
     Ok(())
 }
 
-/// Tells a peer how it breaks the protocol, and closes its connection alone.
+/// Notifies a peer of how it breaks the protocol, and closes its connection alone.
 pub(super) fn refuse(
     shared: &RefCell<SchedulerState>,
     events: &mut dyn PolicyEvents,
--- a/crates/engine/src/handlers/mod.rs
+++ b/crates/engine/src/handlers/mod.rs
@@ -1,4 +1,4 @@
-//! What each message, closed connection and timer means, and what the policy is told of it.
+//! What each message, closed connection and timer means, and what is reported to the policy.
 //!
 //! These prove that an attempt never ran, so that a task that must not run twice may be retried:
 //! - an offer of which no byte left this process (unsent as a whole, or retracted),
--- a/crates/engine/src/lib.rs
+++ b/crates/engine/src/lib.rs
@@ -11,7 +11,7 @@
 //!
 //! - `engine`: the public face, a state machine without I/O
 //! - `state`: all that the scheduler holds beside its policy
-//! - `handlers`: what each message, closed connection and timer means, and what the policy is told of it
+//! - `handlers`: what each message, closed connection and timer means, and what is reported to the policy
 //! - `dispatcher`: carries out what the policy decides
 //! - `task`, `machine`, `peer`, `timer`: the records that the state is made of
 //! - `counters`, `settings`: what operators read and write
--- a/crates/engine/src/machine.rs
+++ b/crates/engine/src/machine.rs
@@ -26,13 +26,13 @@
     pub address: String,
     /// The state of its connection.
     pub connection: ConnectionState,
-    /// The incarnation that its last handshake told.
+    /// The incarnation that it named in its last handshake.
     pub incarnation: Option<u64>,
-    /// The incarnation that the endpoint list tells.
+    /// The incarnation in the endpoint list.
     pub listed_incarnation: u64,
     /// When the listed incarnation began, by this scheduler's clock.
     pub started_at: Option<Timestamp>,
-    /// Its kind, which tells its capacity.
+    /// Its kind, which determines its capacity.
     pub kind: KindId,
     /// Its cell.
     pub cell: CellId,
@@ -40,7 +40,7 @@
     pub zone: ZoneId,
     /// Its state in the endpoint list.
     pub mode: Mode,
-    /// Cores and memory that were free by the endpoint list, where it told them.
+    /// Cores and memory that are free according to the endpoint list, if it says so.
     pub free: Option<(f64, f64)>,
     /// Attempts to connect that were refused since the last success.
     pub failures: u32,
--- a/crates/engine/src/properties/events.rs
+++ b/crates/engine/src/properties/events.rs
@@ -29,7 +29,7 @@
     MachineRestarts(usize),
     /// A machine reads nothing and no connection to it is established, or no longer.
     TogglesUnresponsive(usize),
-    /// The endpoint list tells the state of a machine.
+    /// The endpoint list announces the state of a machine.
     Listed(usize, Mode),
     /// The client disconnects.
     ClientDisconnects,
--- a/crates/engine/src/properties/machines.rs
+++ b/crates/engine/src/properties/machines.rs
@@ -199,7 +199,7 @@
                 self.send_accepted(index, connection, task, send);
             }
             Reply::Rejects(reason) => self.send_closed(index, task, send, Ending::Nacked, reason),
-            // Dropped unaccepted, where nobody can be told.
+            // Dropped unaccepted, where no connection can carry the failure.
             Reply::Fails if !self.machines[index].greeted => {}
             Reply::Fails => {
                 if let Some(attempt) = self.attempt(task, send) {
--- a/crates/engine/src/properties/records.rs
+++ b/crates/engine/src/properties/records.rs
@@ -4,7 +4,7 @@
 use mulleinhub_sans_io::ConnectionId;
 use std::collections::{BTreeMap, VecDeque};
 
-/// An attempt, as the wire tells it.
+/// An attempt, as seen on the wire.
 #[derive(Debug)]
 pub(super) struct SentAttempt {
     pub(super) machine: usize,
@@ -16,9 +16,9 @@
     pub(super) times_out_at: u64,
     /// The machine accepted it, whatever the scheduler knows.
     pub(super) taken: bool,
-    /// The scheduler was told so.
+    /// The acceptance was delivered to the scheduler.
     pub(super) accepted: bool,
-    /// The scheduler was told its end, or wrote that it waits no longer.
+    /// Its end was delivered to the scheduler, or the scheduler wrote that it waits no longer.
     pub(super) is_over: bool,
     /// The connection that carried it is over: nobody need wait for an answer.
     pub(super) disconnected: bool,
@@ -106,7 +106,7 @@
     pub(super) listed_inactive: bool,
     /// The scheduler has handled that.
     pub(super) inactive: bool,
-    /// When the scheduler was told of the present incarnation, by the list or by a handshake.
+    /// When the present incarnation was announced to the scheduler, by the list or by a handshake.
     pub(super) restart_known_at: Option<u64>,
     /// When it read offers while it warmed up.
     pub(super) cold_offers: VecDeque<u64>,
--- a/crates/engine/src/state/answers.rs
+++ b/crates/engine/src/state/answers.rs
@@ -1,4 +1,4 @@
-//! Final answers: telling a client, and keeping the answer for a client that comes back.
+//! Final answers: notifying a client, and keeping the answer for a client that comes back.
 
 use super::SchedulerState;
 use crate::task::{AttemptId, FinalAnswer, UnresolvedAttempt};
@@ -37,7 +37,7 @@
 }
 
 impl SchedulerState {
-    /// Tells the client of a task: on the connection that asked last, else on the client's newest.
+    /// Notifies the client of a task: on the connection that asked last, else on the client's newest.
     pub fn notify_client(&mut self, connection: Option<ConnectionId>, client: &str, message: &Message<'_>) {
         let open = connection.filter(|connection| self.peers.contains_key(connection));
         let open = open.or_else(|| self.clients.newest.get(client).copied());
--- a/crates/engine/src/state/endpoint_list.rs
+++ b/crates/engine/src/state/endpoint_list.rs
@@ -1,4 +1,5 @@
-//! The endpoint list: which machines there are, as the list service tells, and whether that is usable.
+//! The endpoint list: which machines there are, according to the list service, and whether the list is
+//! usable.
 
 use super::SchedulerState;
 use crate::machine::MachineSlot;
--- a/crates/engine/src/state/mod.rs
+++ b/crates/engine/src/state/mod.rs
@@ -182,7 +182,7 @@
         if !self.outcomes.is_empty() || (self.clients.are_served && clients_wait) {
             return Some(self.now);
         }
-        // Where clients are served there is an iteration at least so often: its lateness tells a pause of
+        // Where clients are served there is an iteration at least so often: its lateness reveals a pause of
         // this process. Seen: without it, the first client's submission waited in a pause that went
         // unnoticed.
         let heartbeat = self.clients.are_served.then_some(self.now + HEARTBEAT);
--- a/crates/engine/src/state/outcomes.rs
+++ b/crates/engine/src/state/outcomes.rs
@@ -14,7 +14,7 @@
 }
 
 /// Outcomes in the order in which they were established: in the last scheduling round, or while frames are
-/// handled. The policy is told of them within the iteration.
+/// handled. They are reported to the policy within the iteration.
 #[derive(Debug, Default)]
 pub struct PendingOutcomes {
     queue: VecDeque<AttemptOutcome>,
--- a/crates/engine/src/task.rs
+++ b/crates/engine/src/task.rs
@@ -29,7 +29,7 @@
     Placed {
         /// The machine reported that the task started.
         running: bool,
-        /// It was told to stop, by preemption or cancellation.
+        /// The machine was asked to stop it, by preemption or cancellation.
         stopping: bool,
     },
 }
@@ -40,12 +40,12 @@
         matches!(self, Self::Placed { .. })
     }
 
-    /// Whether the machine was told to stop the task.
+    /// Whether the machine was asked to stop the task.
     pub fn is_stopping(self) -> bool {
         matches!(self, Self::Placed { stopping: true, .. })
     }
 
-    /// Notes that the machine is told to stop the task. An attempt that is not placed is cancelled instead.
+    /// Notes that the machine is asked to stop the task. An attempt that is not placed is cancelled instead.
     pub fn stop(&mut self) {
         if let Self::Placed { stopping, .. } = self {
             *stopping = true;
@@ -135,7 +135,7 @@
 }
 
 impl FinalAnswer {
-    /// The message that tells a client of it.
+    /// The message that notifies a client of it.
     pub fn message(self, id: TaskId) -> Message<'static> {
         match self {
             Self::Rejected(stay_away) => Message::Nacked { task: id.0, stay_away },
--- a/crates/engine/tests/scenarios/answers.rs
+++ b/crates/engine/tests/scenarios/answers.rs
@@ -33,7 +33,7 @@
 }
 
 #[test]
-fn answer_is_kept_for_disconnected_client() {
+fn answer_is_retained_for_disconnected_client() {
     let (mut harness, client, machine) = with_offer(NON_IDEMPOTENT);
     harness.close(client, CloseReason::Closed);
     let nack = Message::Closed { task: 1, send: 0, ending: Ending::Errored, reason: Reason::Untold };
@@ -162,7 +162,7 @@
 }
 
 #[test]
-fn stop_lost_with_connection_is_sent_again() {
+fn stop_lost_with_connection_is_repeated() {
     let (mut harness, client, machine) = with_offer(IDEMPOTENT);
     let address = format!("m{machine}");
     harness.send(client, &[Message::Withdraw { task: 1 }]);
--- a/crates/engine/tests/scenarios/endpoint_list.rs
+++ b/crates/engine/tests/scenarios/endpoint_list.rs
@@ -198,7 +198,7 @@
 }
 
 #[test]
-fn unreadable_newer_list_keeps_older_one_in_use() {
+fn older_list_stays_in_use_while_newer_is_unreadable() {
     let (mut harness, connection) = watching_list(Some(list_frames(ListKind::Whole, 4, 2)));
     for id in [1, 2] {
         harness.connect_machine(id, 100 + id, Vec::new());
--- a/crates/engine/tests/scenarios/lost_connections.rs
+++ b/crates/engine/tests/scenarios/lost_connections.rs
@@ -64,7 +64,7 @@
 }
 
 #[test]
-fn offer_held_by_same_incarnation_is_accepted() {
+fn offer_in_inventory_of_same_incarnation_is_accepted() {
     let (mut harness, _, machine) = with_offer(NON_IDEMPOTENT);
     let connection = harness.connection_to(&format!("m{machine}"));
     harness.close(connection, CloseReason::Broken);
--- a/crates/engine/tests/scenarios/quota.rs
+++ b/crates/engine/tests/scenarios/quota.rs
@@ -95,7 +95,7 @@
 }
 
 #[test]
-fn quota_is_told_of_admission_run_end_and_adoption() {
+fn quota_is_notified_of_admission_run_end_and_adoption() {
     let (mut harness, records, client) = with_quota_recorder();
     assert_eq!(recorded(&records), ["adopted 50", "all told"]);
     let (machine, _) = offered(&harness.submit(client, 1, IDEMPOTENT), 1).expect("there is capacity");
