--- a/crates/ledger/src/exchange/connections.rs
+++ b/crates/ledger/src/exchange/connections.rs
@@ -90,7 +90,7 @@
         self.update_replicas();
         self.update_neighbors();
         let calls: Vec<Name> = match catching_up {
-            true => self.addresses.keys().filter(|name| !self.keeper.has_met(name)).cloned().collect(),
+            true => self.addresses.keys().filter(|name| !self.keeper.is_synced_with(name)).cloned().collect(),
             false => self.neighbors.iter().chain(&self.replicas).cloned().collect(),
         };
         calls.iter().for_each(|name| self.call(name));
@@ -123,7 +123,7 @@
     pub(super) fn failed(&mut self, link: ConnectionId) {
         let Some(peer) = self.peers.remove(&link) else { return };
         if let Some(name) = peer.name.as_ref().filter(|_| peer.greeted && !peer.said_bye) {
-            self.keeper.roll.suspect(name);
+            self.keeper.membership.suspect(name);
         }
         let Some(name) = peer.name.filter(|_| peer.opened_by_us) else { return };
         self.plan_retry(&name, peer.greeted);
@@ -134,7 +134,7 @@
 
     /// Sets when a member is tried again, after a connection that was up has ended or one didn't come up.
     fn plan_retry(&mut self, name: &Name, was_up: bool) {
-        let drawn = self.keeper.part();
+        let drawn = self.keeper.random_fraction();
         let retry = self.retries.entry(name.clone()).or_default();
         if was_up {
             retry.not_before = self.now + backoff::after_end(RETRY, drawn);
--- a/crates/ledger/src/exchange/mod.rs
+++ b/crates/ledger/src/exchange/mod.rs
@@ -196,7 +196,7 @@
 
     /// The last of our own rows among changes, of each of our logs.
     pub fn last_own(&self, changes: &Changes) -> Reached {
-        let own = self.keeper.library().own();
+        let own = self.keeper.fleet_logs().own();
         let last = |changes: &[Change]| {
             let mine = changes.iter().filter_map(|change| match change {
                 Change::Row { id, number, .. } if id == own => Some(*number),
@@ -209,13 +209,13 @@
 
     /// Our own rows up to these are on disk.
     pub fn is_durable(&mut self, reached: Reached) {
-        self.keeper.is_durable(reached);
+        self.keeper.on_durable(reached);
         self.turn_again = true;
     }
 
     /// Orders of the operators, from their file.
     pub fn order(&mut self, orders: &[Order]) {
-        orders.iter().for_each(|order| self.keeper.order(order));
+        orders.iter().for_each(|order| self.keeper.apply_directive(order));
         self.turn_again = true;
     }
 
@@ -229,7 +229,7 @@
     fn excuse_pause(&mut self) {
         let late = self.promised.map_or(Duration::ZERO, |promised| self.now - promised);
         if late > PAUSE_THRESHOLD {
-            self.keeper.stood(self.now, late);
+            self.keeper.on_process_pause(self.now, late);
             self.peers.values_mut().for_each(|peer| peer.excuse_pause(late));
         }
     }
@@ -238,12 +238,12 @@
     fn tick_ledger(&mut self) {
         let shelf = self.shelf.clone();
         if shelf.take_told() {
-            self.keeper.all_told();
+            self.keeper.on_all_machines_reported();
         }
-        if shelf.take_wanted() || self.keeper.due().is_none_or(|due| due <= self.now) {
+        if shelf.take_wanted() || self.keeper.next_tick().is_none_or(|due| due <= self.now) {
             self.keeper.tick(self.now, self.utc, &mut &*shelf);
         }
-        for words in self.keeper.take_told() {
+        for words in self.keeper.take_alerts() {
             tracing::error!("{words}");
         }
     }
@@ -322,7 +322,7 @@
         if self.turn_again || !self.begun {
             return Some(self.now);
         }
-        let due = [self.next_push_at(), self.keeper.due(), Some(self.next_heartbeat_at)];
+        let due = [self.next_push_at(), self.keeper.next_tick(), Some(self.next_heartbeat_at)];
         due.into_iter().flatten().min()
     }
 
--- a/crates/ledger/src/exchange/neighbors.rs
+++ b/crates/ledger/src/exchange/neighbors.rs
@@ -23,7 +23,8 @@
     /// Drops a neighbor where it is time to, and draws those that are missing.
     pub(super) fn update_neighbors(&mut self) {
         if self.now >= self.redraw_at {
-            self.redraw_at = self.now + REDRAW_INTERVAL * (1.0 - REDRAW_JITTER * self.keeper.part());
+            self.redraw_at =
+                self.now + REDRAW_INTERVAL * (1.0 - REDRAW_JITTER * self.keeper.random_fraction());
             self.drop_neighbor();
             while self.neighbors.len() > self.wanted_neighbors() {
                 self.drop_neighbor();
@@ -46,7 +47,7 @@
             return;
         }
         self.call_dead_at = self.now + CALL_DEAD_INTERVAL * (1.0 - REDRAW_JITTER * self.chance.part());
-        let presence = |name: &&Name| self.keeper.roll.presence(self.now, name);
+        let presence = |name: &&Name| self.keeper.membership.presence(self.now, name);
         let silent = self.addresses.keys().filter(|name| presence(name) != MemberState::Alive).count();
         // One that is late is not called for that, unless many are at once: a cut.
         let is_cut = silent as f64 >= self.addresses.len() as f64 * SILENT_IN_A_CUT;
@@ -81,7 +82,7 @@
         let wanted = self.wanted_neighbors();
         let room = (2 * wanted).saturating_sub(self.neighbors.len());
         let missing = wanted.saturating_sub(lively).min(room);
-        let draws: Vec<f64> = (0..missing).map(|_| self.keeper.part()).collect();
+        let draws: Vec<f64> = (0..missing).map(|_| self.keeper.random_fraction()).collect();
         let mut candidates = self.candidates(missing);
         let mut drawn = Vec::new();
         for part in draws.into_iter().take(candidates.len()) {
@@ -99,7 +100,7 @@
         };
         let others: Vec<&Name> = self.addresses.keys().filter(is_new).collect();
         let present = |is_wanted: fn(MemberState) -> bool| -> Vec<&Name> {
-            let is_wanted = |name: &&Name| is_wanted(self.keeper.roll.presence(self.now, name));
+            let is_wanted = |name: &&Name| is_wanted(self.keeper.membership.presence(self.now, name));
             others.iter().copied().filter(is_wanted).collect()
         };
         let mut candidates = present(|presence| presence == MemberState::Alive);
@@ -117,7 +118,7 @@
         let doubtful: Vec<&Name> = self.neighbors.iter().filter(|name| self.is_doubtful(name)).collect();
         let droppable = if doubtful.is_empty() { self.neighbors.iter().collect() } else { doubtful };
         let droppable: Vec<Name> = droppable.into_iter().cloned().collect();
-        let at = self.keeper.below(droppable.len());
+        let at = self.keeper.random_below(droppable.len());
         if let Some(name) = droppable.get(at) {
             self.neighbors.remove(name);
         }
--- a/crates/ledger/src/exchange/receive.rs
+++ b/crates/ledger/src/exchange/receive.rs
@@ -6,7 +6,7 @@
 use super::work_logs::kind_of;
 use mulleinhub_interface::Timestamp;
 use mulleinhub_protocol::{self as protocol, Bad, Conversation, Frames, Message, Side, decode};
-use mulleinhub_quota::Wanted;
+use mulleinhub_quota::ShareRequest;
 use mulleinhub_replicated_log::{LogId, Name, Parts};
 use mulleinhub_sans_io::ConnectionId;
 
@@ -108,7 +108,7 @@
     /// Handles a message for the books, of a peer that has greeted.
     fn receive_of_books(&mut self, link: ConnectionId, message: &Message<'_>) -> Result<(), Bad> {
         let Some(from) = self.peers.get(&link).and_then(|peer| peer.name.clone()) else { return Ok(()) };
-        self.keeper.heard(self.now);
+        self.keeper.on_contact(self.now);
         match message {
             Message::Tips { all, tips, beats, whole, log } => {
                 self.receive_heartbeats(link, beats);
@@ -130,7 +130,10 @@
             Message::ShareAsk { team, month, life, open, last } => {
                 let parts = Parts { open: *open, last: *last };
                 let (team, month, life) = ((*team).into(), *month, *life);
-                self.receive_share_ask(link, &Wanted { to: from, life, team, month, parts });
+                self.receive_share_ask(
+                    link,
+                    &ShareRequest { to: from, incarnation: life, team, month, parts },
+                );
             }
             Message::ShareGiven { team, open, last, .. } => {
                 let parts = Parts { open: *open, last: *last };
@@ -172,14 +175,14 @@
 
     /// Greets a peer to whom we opened the connection.
     pub(super) fn write_hello(&mut self, link: ConnectionId, now: Timestamp) {
-        let (me, life) = (self.keeper.settings().me.clone(), self.keeper.life());
+        let (me, life) = (self.keeper.settings().me.clone(), self.keeper.incarnation());
         let (conversation, features) = (Conversation::PlannerPlanner, self.features());
         self.write(link, &Message::hello(conversation, features, &me, life, now.nanos()));
     }
 
     /// Greets a peer that opened the connection.
     fn write_welcome(&mut self, link: ConnectionId) {
-        let (me, life) = (self.keeper.settings().me.clone(), self.keeper.life());
+        let (me, life) = (self.keeper.settings().me.clone(), self.keeper.incarnation());
         let (version, features) = (protocol::VERSION, self.features());
         self.write(link, &Message::Welcome { version, features, name: &me, life, silence: None });
     }
--- a/crates/ledger/src/exchange/replication.rs
+++ b/crates/ledger/src/exchange/replication.rs
@@ -64,7 +64,7 @@
 
     /// Writes our digest of all heads, which begins the replication on a connection.
     pub(super) fn write_digest(&mut self, link: ConnectionId) {
-        let all = self.keeper.library().all();
+        let all = self.keeper.fleet_logs().all();
         let (tips, beats) = (Vec::new(), Vec::new());
         self.write(link, &Message::Tips { all: &all.0, tips, beats, whole: false, log: None });
     }
@@ -88,7 +88,7 @@
             return self.receive_work_heads(link, all, heads, whole);
         }
         let Some(peer) = self.peers.get_mut(&link) else { return Ok(()) };
-        peer.fleet.receive_heads(self.keeper.library(), all, heads, whole);
+        peer.fleet.receive_heads(self.keeper.fleet_logs(), all, heads, whole);
         Ok(())
     }
 
@@ -103,7 +103,7 @@
         if !peer.greeted || !peer.fleet.may_push(now) {
             return;
         }
-        let new = peer.fleet.take_new_heads(self.keeper.library());
+        let new = peer.fleet.take_new_heads(self.keeper.fleet_logs());
         let is_first = peer.fleet.is_untold();
         let mut heartbeats = Vec::new();
         if is_first || peer.heartbeats.is_due(now, self.heartbeat_interval) {
@@ -128,7 +128,7 @@
 
     /// Writes heads and heartbeats; heartbeats that don't fit into the message with the heads go before it.
     fn write_heads(&mut self, link: ConnectionId, new: &NewHeads, heartbeats: &[MemberHeartbeat]) {
-        let all = self.keeper.library().all();
+        let all = self.keeper.fleet_logs().all();
         for heartbeats in heartbeats.chunks(MAX_ITEMS).skip(1) {
             let beats = heartbeats.iter().map(MemberHeartbeat::message).collect();
             let (tips, whole) = (Vec::new(), false);
@@ -146,7 +146,7 @@
         }
         for peer in self.peers.values().filter(|peer| peer.is_exhausted()) {
             if let Some(name) = &peer.name {
-                self.keeper.met(name);
+                self.keeper.on_member_synced(name);
             }
         }
     }
--- a/crates/ledger/src/exchange/status.rs
+++ b/crates/ledger/src/exchange/status.rs
@@ -2,7 +2,7 @@
 
 use super::Exchange;
 use mulleinhub_interface::Duration;
-use mulleinhub_quota::Look;
+use mulleinhub_quota::TeamStatus;
 use mulleinhub_replicated_log::{Kind, MemberState};
 
 /// Time between two updates of the status lines.
@@ -17,8 +17,8 @@
         self.status_at = self.now + STATUS_INTERVAL;
         let mut lines = vec![self.summary_line()];
         lines.extend(self.work_log_line());
-        lines.extend(self.keeper.looks().iter().map(team_line));
-        let logs = self.keeper.library().columns();
+        lines.extend(self.keeper.team_statuses().iter().map(team_line));
+        let logs = self.keeper.fleet_logs().columns();
         let forked = logs.filter(|(_, log)| log.is_forked());
         lines.extend(forked.map(|(id, _)| format!("column {} life {} HAS FORKED", id.writer, id.life)));
         let work_logs = self.keeper.logs(Kind::Work).columns();
@@ -30,16 +30,16 @@
     /// Who holds our work log, where we write one, and whose we hold.
     fn work_log_line(&self) -> Option<String> {
         let wanted = self.keeper.settings().replicas?;
-        if !self.keeper.is_split() {
+        if !self.keeper.writes_work_log() {
             return Some("work log: none, all work stands in the fleet log".to_owned());
         }
-        let (held, copies) = (self.holding_replicas(), self.keeper.copies().count());
+        let (held, copies) = (self.holding_replicas(), self.keeper.copied_writers().count());
         Some(format!("work log: replicas {held} of {wanted}, copies held of {copies} members"))
     }
 
     /// Phase, connections, membership and size of the logs.
     fn summary_line(&self) -> String {
-        let (now, keeper, membership) = (self.now, &self.keeper, &self.keeper.roll);
+        let (now, keeper, membership) = (self.now, &self.keeper, &self.keeper.membership);
         let count = |presence: MemberState| {
             membership.members().filter(|name| membership.presence(now, name) == presence).count()
         };
@@ -53,13 +53,13 @@
             count(MemberState::Alive),
             count(MemberState::Suspect),
             count(MemberState::Dead),
-            keeper.library().columns().map(|(_, log)| log.kept()).sum::<usize>(),
+            keeper.fleet_logs().columns().map(|(_, log)| log.kept()).sum::<usize>(),
         )
     }
 }
 
 /// What is known of a team's account.
-fn team_line(look: &Look) -> String {
+fn team_line(look: &TeamStatus) -> String {
     format!(
         "team {} month {}-{:02} cap {} spent {} beyond {} free here {} + {} at hand {} + {}{}{}",
         look.team,
@@ -67,12 +67,12 @@
         look.month % 12 + 1,
         look.cap.map_or("none".to_owned(), |cap| cap.to_string()),
         look.spent,
-        look.beyond,
+        look.overspent,
         look.free.open,
         look.free.last,
-        look.at_hand.open,
-        look.at_hand.last,
-        if look.held { ", held" } else { "" },
-        if look.differs { ", ORDERS DIFFER" } else { "" },
+        look.available.open,
+        look.available.last,
+        if look.suspended { ", held" } else { "" },
+        if look.directives_differ { ", ORDERS DIFFER" } else { "" },
     )
 }
--- a/crates/ledger/src/exchange/work_logs.rs
+++ b/crates/ledger/src/exchange/work_logs.rs
@@ -45,7 +45,7 @@
         }
         self.choose_at = self.now + CHOICE_INTERVAL;
         let usable: Vec<Name> = self.addresses.keys().filter(|name| self.is_usable(name)).cloned().collect();
-        let is_split = self.keeper.is_split();
+        let is_split = self.keeper.writes_work_log();
         if (&usable, is_split) == (&self.usable.0, self.usable.1) {
             return;
         }
@@ -65,7 +65,7 @@
         let unreachable = retry.is_some_and(|retry| {
             retry.failures >= UNREACHABLE_AFTER && self.now < retry.not_before + UNREACHABLE_FOR
         });
-        !unreachable && self.keeper.roll.presence(self.now, name) != MemberState::Dead
+        !unreachable && self.keeper.membership.presence(self.now, name) != MemberState::Dead
     }
 
     /// Of the replicas of our work log, how many hold it.
--- a/crates/ledger/src/shared_pools.rs
+++ b/crates/ledger/src/shared_pools.rs
@@ -6,7 +6,7 @@
     atomic::{AtomicBool, Ordering},
 };
 use mulleinhub_interface::{Duration, Quota, Resources, TaskKey, Ticket, Timestamp};
-use mulleinhub_quota::{Away, Prices, ReservationPool, ReservationPools, Settings, Terms};
+use mulleinhub_quota::{Prices, ReservationPool, ReservationPools, RetryAfter, Settings, TeamLimits};
 use std::collections::BTreeMap;
 use std::sync::OnceLock;
 #[cfg(not(feature = "explored"))]
@@ -18,8 +18,8 @@
 /// Teams are spread over so many locks.
 const SHARDS: usize = 16;
 /// Before the books are known, whoever asks is to come again soon.
-const FIRST: Away =
-    Away { least: Duration::from_nanos(500_000_000), most: Duration::from_nanos(1_500_000_000) };
+const FIRST: RetryAfter =
+    RetryAfter { min: Duration::from_nanos(500_000_000), max: Duration::from_nanos(1_500_000_000) };
 
 type Wakes = Box<dyn Fn() + Send + Sync>;
 
@@ -48,9 +48,12 @@
         // Until orders are known, what the settings say.
         let till = |team: usize| {
             let team = &settings.teams[team];
-            let terms =
-                Terms { capped: team.cap.is_some(), bound: team.account.is_some(), ..Terms::default() };
-            ReservationPool::new(settings.stretch, FIRST, terms)
+            let terms = TeamLimits {
+                has_cap: team.cap.is_some(),
+                has_account: team.account.is_some(),
+                ..TeamLimits::default()
+            };
+            ReservationPool::new(settings.commitment, FIRST, terms)
         };
         let of = |shard: usize| (shard..teams).step_by(shards).map(till);
         Arc::new(Self {
@@ -102,7 +105,7 @@
 }
 
 impl ReservationPools for &SharedPools {
-    fn with(&mut self, team: usize, act: &mut dyn FnMut(&mut ReservationPool)) {
+    fn with_pool(&mut self, team: usize, act: &mut dyn FnMut(&mut ReservationPool)) {
         self.till(team, |till| act(till));
     }
 }
@@ -141,7 +144,7 @@
     ) -> Result<Option<Ticket>, Duration> {
         let Some(team) = self.team(owner) else { return Ok(None) };
         let rate = self.prices.rate(ask);
-        let answer = self.shelf.till(team as usize, |till| till.ask(now, team, key, rate, drawn));
+        let answer = self.shelf.till(team as usize, |till| till.admit(now, team, key, rate, drawn));
         if answer.is_err() {
             self.shelf.wants();
         }
@@ -149,15 +152,15 @@
     }
 
     fn never_ran(&mut self, now: Timestamp, ticket: Ticket) {
-        self.shelf.till(ticket.team as usize, |till| till.never_ran(now, ticket));
+        self.shelf.till(ticket.team as usize, |till| till.release_unstarted(now, ticket));
     }
 
     fn may_run(&mut self, now: Timestamp, ticket: Ticket) {
-        self.shelf.till(ticket.team as usize, |till| till.may_run(now, ticket));
+        self.shelf.till(ticket.team as usize, |till| till.charge_commitment(now, ticket));
     }
 
     fn runs(&mut self, now: Timestamp, ticket: Ticket) {
-        self.shelf.till(ticket.team as usize, |till| till.runs(now, ticket));
+        self.shelf.till(ticket.team as usize, |till| till.start(now, ticket));
     }
 
     fn adopted(&mut self, now: Timestamp, owner: &str, key: TaskKey, ask: Resources) -> Option<Ticket> {
@@ -167,7 +170,7 @@
     }
 
     fn over(&mut self, now: Timestamp, ticket: Ticket, comes_again: bool) {
-        self.shelf.till(ticket.team as usize, |till| till.over(now, ticket, comes_again));
+        self.shelf.till(ticket.team as usize, |till| till.end(now, ticket, comes_again));
     }
 
     fn all_told(&mut self, _: Timestamp) {
--- a/crates/ledger/tests/books.rs
+++ b/crates/ledger/tests/books.rs
@@ -20,7 +20,7 @@
 
 fn presence(net: &mut Net, n: usize, of: usize) -> MemberState {
     let now = net.now;
-    net.node(n).exchange.keeper().roll.presence(now, &name(of))
+    net.node(n).exchange.keeper().membership.presence(now, &name(of))
 }
 
 #[test]
@@ -33,8 +33,8 @@
     }
     // What runs is paid out of the same part: two seconds' worth is spent on the way.
     assert!((200..=300).contains(&added), "{added} of 300 were added");
-    let spent = net.node(0).exchange.keeper().looks()[1].spent;
-    let left: u64 = (0..3).map(|n| net.node(n).exchange.keeper().looks()[1].free.open).sum();
+    let spent = net.node(0).exchange.keeper().team_statuses()[1].spent;
+    let left: u64 = (0..3).map(|n| net.node(n).exchange.keeper().team_statuses()[1].free.open).sum();
     assert!(left * 100 < cap_of(300), "{left} is left in shares, {spent} spent");
     let asks = net.counted["share-ask"];
     assert!(asks < 40, "{asks} asks for parts of shares");
@@ -64,7 +64,8 @@
     net.run(ms(600));
     assert!(net.counted.contains_key("share-ask"), "it runs out");
     assert!(!net.counted.contains_key("share-given"), "the other's disk is held up");
-    let got = |net: &mut Net| net.node(0).exchange.keeper().library().got(&name(0), 0, &"pay".into(), 24_321);
+    let got =
+        |net: &mut Net| net.node(0).exchange.keeper().fleet_logs().got(&name(0), 0, &"pay".into(), 24_321);
     assert_eq!(got(&mut net).open, 0);
     // On disk, and killed before it is told.
     net.cut.insert((0, 1));
@@ -92,8 +93,8 @@
         net.start(2, if keeps { disk } else { BTreeMap::new() });
         net.run(ms(1_500));
         assert_eq!(net.node(2).exchange.keeper().phase(), Phase::Writing);
-        let look = net.node(2).exchange.keeper().looks()[1].clone();
-        let free = look.free.open + look.at_hand.open;
+        let look = net.node(2).exchange.keeper().team_statuses()[1].clone();
+        let free = look.free.open + look.available.open;
         assert_eq!(free > 10_000, keeps, "{look:?}");
         // Either way it can add: by gifts where it has nothing itself.
         assert_eq!(net.fill(2, 200, 5).len(), 5, "keeps its store: {keeps}");
@@ -117,10 +118,10 @@
     net.cut.clear();
     net.run(ms(6_000));
     assert_eq!(net.node(0).exchange.keeper().phase(), Phase::Writing);
-    let look = net.node(0).exchange.keeper().looks()[1].clone();
-    let life = net.node(0).exchange.keeper().life();
-    let got = net.node(0).exchange.keeper().library().got(&name(0), life, &"pay".into(), 24_321);
-    assert!(look.free.open + look.at_hand.open <= got.open, "{look:?}, gifts {got:?}");
+    let look = net.node(0).exchange.keeper().team_statuses()[1].clone();
+    let life = net.node(0).exchange.keeper().incarnation();
+    let got = net.node(0).exchange.keeper().fleet_logs().got(&name(0), life, &"pay".into(), 24_321);
+    assert!(look.free.open + look.available.open <= got.open, "{look:?}, gifts {got:?}");
 }
 
 #[test]
@@ -151,7 +152,7 @@
             "{n}"
         );
     }
-    let library = net.node(1).exchange.keeper().library();
+    let library = net.node(1).exchange.keeper().fleet_logs();
     assert!(library.purse(&name(0), &"pay".into(), 24_321).drawn.open > 0);
 }
 
@@ -214,12 +215,12 @@
     net.run(ms(8_000));
     for n in 0..3 {
         assert!(net.add(n, 10 + n as u64).is_err(), "of one number the stricter holds");
-        assert!(net.node(n).exchange.keeper().looks()[1].differs);
+        assert!(net.node(n).exchange.keeper().team_statuses()[1].directives_differ);
     }
     net.order(1, acme(), 3, Word::Cleared {});
     net.run(ms(500));
     assert!((0..3).all(|n| net.fill(n, 20 + n as u64, 1).len() == 1));
-    assert!(!net.node(0).exchange.keeper().looks()[1].differs);
+    assert!(!net.node(0).exchange.keeper().team_statuses()[1].directives_differ);
 }
 
 #[test]
@@ -272,7 +273,7 @@
     assert_eq!(net.fill(0, 1_000, 1).len(), 1, "the next one isn't");
     net.run(ms(2_000));
     let charged = |net: &mut Net, month| {
-        let library = net.node(1).exchange.keeper().library();
+        let library = net.node(1).exchange.keeper().fleet_logs();
         (0..2).map(|n| library.purse(&name(n), &"pay".into(), month).spent).sum::<u64>()
     };
     let (old, new) = (charged(&mut net, 24_321), charged(&mut net, 24_322));
@@ -287,7 +288,7 @@
 // Peers that speak wrongly.
 
 fn tips(net: &mut Net, n: usize) -> Digest {
-    net.node(n).exchange.keeper().library().all()
+    net.node(n).exchange.keeper().fleet_logs().all()
 }
 
 #[test]
--- a/crates/ledger/tests/interleavings.rs
+++ b/crates/ledger/tests/interleavings.rs
@@ -8,13 +8,21 @@
 use loom::thread;
 use mulleinhub_interface::{Duration, Quota, Resources, TaskKey, Ticket, Timestamp};
 use mulleinhub_ledger::{AdmissionHandle, SharedPools};
-use mulleinhub_quota::{Away, Months, Prices, ReservationPools, Seen, Settings, Team, Terms};
+use mulleinhub_quota::{
+    Calendar, PoolSnapshot, Prices, ReservationPools, RetryAfter, Settings, Team, TeamLimits,
+};
 use mulleinhub_replicated_log::Parts;
 use std::collections::BTreeMap;
 
 const NEED: u64 = 100;
-const AWAY: Away = Away { least: Duration::ZERO, most: Duration::ZERO };
-const CAPPED: Terms = Terms { capped: true, bound: true, held: false, finished: false, near: false };
+const AWAY: RetryAfter = RetryAfter { min: Duration::ZERO, max: Duration::ZERO };
+const CAPPED: TeamLimits = TeamLimits {
+    has_cap: true,
+    has_account: true,
+    suspended: false,
+    grace_period_over: false,
+    nearly_spent: false,
+};
 
 fn settings() -> Settings {
     let team = |name: &str| Team {
@@ -28,10 +36,10 @@
         members: vec!["one".into()],
         teams: vec![team("pay"), team("ship")],
         prices: Prices { core_second: 10, memory_second: 0 },
-        months: Months::of_zone("UTC").expect("is a zone"),
-        near: 1_000_000,
-        stretch: Duration::from_secs(10),
-        catch_up: Duration::ZERO,
+        calendar: Calendar::in_zone("UTC").expect("is a zone"),
+        open_millionths: 1_000_000,
+        commitment: Duration::from_secs(10),
+        catch_up_timeout: Duration::ZERO,
         replicas: None,
         sites: BTreeMap::new(),
     }
@@ -41,7 +49,8 @@
     let shelf = SharedPools::new(&settings());
     let teller = AdmissionHandle::new(shelf.clone(), &settings());
     for team in 0..2 {
-        (&mut &*shelf).with(team, &mut |till| till.refresh(Timestamp::from_nanos(u64::MAX), AWAY, CAPPED));
+        (&mut &*shelf)
+            .with_pool(team, &mut |till| till.refresh(Timestamp::from_nanos(u64::MAX), AWAY, CAPPED));
     }
     (shelf, teller)
 }
@@ -50,9 +59,9 @@
     teller.ask(Timestamp::default(), "pay", TaskKey(key), Resources::new(1.0, 1.0), 0.0).ok().flatten()
 }
 
-fn look(shelf: &SharedPools) -> Seen {
-    let mut seen = Seen::default();
-    (&mut &*shelf).with(0, &mut |till| seen = till.look(Timestamp::default()));
+fn look(shelf: &SharedPools) -> PoolSnapshot {
+    let mut seen = PoolSnapshot::default();
+    (&mut &*shelf).with_pool(0, &mut |till| seen = till.take_snapshot(Timestamp::default()));
     seen
 }
 
@@ -64,9 +73,9 @@
         let keeper = {
             let shelf = shelf.clone();
             thread::spawn(move || {
-                (&mut &*shelf).with(0, &mut |till| till.credit(Parts { open: 2 * NEED, last: 0 }));
+                (&mut &*shelf).with_pool(0, &mut |till| till.credit(Parts { open: 2 * NEED, last: 0 }));
                 let mut back = Parts::default();
-                (&mut &*shelf).with(0, &mut |till| back = till.take_back(Parts { open: NEED, last: 0 }));
+                (&mut &*shelf).with_pool(0, &mut |till| back = till.withdraw(Parts { open: NEED, last: 0 }));
                 back.open
             })
         };
@@ -75,8 +84,8 @@
         one.into_iter().for_each(|ticket| teller.never_ran(Timestamp::default(), ticket));
         let back = keeper.join().expect("it ends");
         let seen = look(&shelf);
-        assert_eq!(seen.has.open + seen.reserved + back, 2 * NEED);
-        assert_eq!(seen.reserved, if two.is_some() { NEED } else { 0 });
+        assert_eq!(seen.available.open + seen.committed + back, 2 * NEED);
+        assert_eq!(seen.committed, if two.is_some() { NEED } else { 0 });
     });
 }
 
@@ -90,7 +99,7 @@
             let shelf = shelf.clone();
             thread::spawn(move || {
                 let wanted = shelf.take_wanted();
-                let asked = look(&shelf).asked;
+                let asked = look(&shelf).requested;
                 (wanted, asked)
             })
         };
@@ -99,7 +108,7 @@
         assert!(refused);
         assert!(wanted || asked == NEED || shelf.is_wanted(), "a refusal that nobody will look at");
         if wanted {
-            assert_eq!(asked + look(&shelf).asked, NEED, "it was woken for what it sees");
+            assert_eq!(asked + look(&shelf).requested, NEED, "it was woken for what it sees");
         }
     });
 }
@@ -113,7 +122,7 @@
             let shelf = shelf.clone();
             thread::spawn(move || {
                 for team in 0..2 {
-                    (&mut &*shelf).with(team, &mut |till| till.credit(Parts { open: NEED, last: 0 }));
+                    (&mut &*shelf).with_pool(team, &mut |till| till.credit(Parts { open: NEED, last: 0 }));
                 }
             })
         };
--- a/crates/ledger/tests/net/mod.rs
+++ b/crates/ledger/tests/net/mod.rs
@@ -5,7 +5,7 @@
 use mulleinhub_interface::{Duration, Quota, Resources, TaskKey, Ticket, Timestamp};
 use mulleinhub_ledger::{AdmissionHandle, Exchange, Member, SharedPools};
 use mulleinhub_protocol::{self as protocol, Conversation, Frames, Message};
-use mulleinhub_quota::{Months, Prices, Settings, Team};
+use mulleinhub_quota::{Calendar, Prices, Settings, Team};
 use mulleinhub_replicated_log::{
     Change, Changes, Digest, Kept, KeptLogs, Kind, LogId, Name, Order, Reached, Site, Subject, Word,
 };
@@ -110,10 +110,10 @@
         members: (0..many).map(name).collect(),
         teams: vec![team("free", None), team("pay", Some(cap))],
         prices: Prices { core_second: 10, memory_second: 0 },
-        months: Months::of_zone("UTC").expect("is a zone"),
-        near: 900_000,
-        stretch: Duration::from_secs(10),
-        catch_up: Duration::from_secs(3),
+        calendar: Calendar::in_zone("UTC").expect("is a zone"),
+        open_millionths: 900_000,
+        commitment: Duration::from_secs(10),
+        catch_up_timeout: Duration::from_secs(3),
         replicas: REPLICAS.get(),
         sites: (0..many).map(|n| (name(n), map.site(n))).collect(),
     }
@@ -385,6 +385,6 @@
 
     /// Of all rows on all disks: how far each scheduler knows each column.
     pub fn all(&self) -> Vec<Digest> {
-        self.nodes.iter().flatten().map(|node| node.exchange.keeper().library().all()).collect()
+        self.nodes.iter().flatten().map(|node| node.exchange.keeper().fleet_logs().all()).collect()
     }
 }
--- a/crates/ledger/tests/work_logs.rs
+++ b/crates/ledger/tests/work_logs.rs
@@ -36,14 +36,14 @@
 }
 
 fn fleet_state(net: &mut Net, n: usize, of: usize) -> State {
-    net.node(n).exchange.keeper().library().state_of(&name(of)).cloned().unwrap_or_default()
+    net.node(n).exchange.keeper().fleet_logs().state_of(&name(of)).cloned().unwrap_or_default()
 }
 
 /// Who holds a copy of a scheduler's work log.
 fn holders(net: &Net, of: usize) -> Vec<usize> {
     let holds = |n: &usize| {
         let node = net.nodes[*n].as_ref();
-        node.is_some_and(|node| node.exchange.keeper().copies().any(|copy| *copy == name(of)))
+        node.is_some_and(|node| node.exchange.keeper().copied_writers().any(|copy| *copy == name(of)))
     };
     (0..net.nodes.len()).filter(holds).collect()
 }
@@ -66,7 +66,7 @@
 
 /// Kinds of rows in a scheduler's own fleet log, by its disk.
 fn fleet_rows(net: &mut Net, n: usize) -> BTreeMap<&'static str, usize> {
-    let own = net.node(n).exchange.keeper().library().own().clone();
+    let own = net.node(n).exchange.keeper().fleet_logs().own().clone();
     let rows = net.node(n).disk.iter().filter(|((kind, id, _), _)| *kind == Kind::Fleet && *id == own);
     let mut counted = BTreeMap::new();
     for (_, (_, bytes)) in rows {
@@ -110,7 +110,7 @@
 #[test]
 fn ordinary_work_is_known_at_replicas_alone_and_the_fleet_log_does_not_grow_with_starts() {
     let mut net = fleet(8, 3_000);
-    assert!((0..8).all(|n| net.node(n).exchange.keeper().is_split()));
+    assert!((0..8).all(|n| net.node(n).exchange.keeper().writes_work_log()));
     let mut running = Vec::new();
     for second in 0..20u64 {
         running.extend(net.add_many(0, second * 100, 10));
@@ -356,7 +356,7 @@
     adopts(&mut net, 0, &(0..10).collect::<Vec<u64>>());
     all_told(&mut net, 0);
     net.run(ms(3_000));
-    let spent = net.node(1).exchange.keeper().looks()[1].spent;
+    let spent = net.node(1).exchange.keeper().team_statuses()[1].spent;
     let cost = (net.now - begun).nanos() / 1_000_000 * 200 / 1_000 + 600;
     assert!(spent + 500 >= cost && spent <= cost + 500, "{spent} were charged, {cost} spent");
 }
@@ -441,14 +441,14 @@
     }
     let far = if MAP.region(1) == 0 { 0 } else { 1 };
     assert!(net.all().iter().collect::<BTreeSet<_>>().len() >= 2, "the halves differ");
-    assert_eq!(net.node(0).exchange.keeper().library().orders().len(), 1);
+    assert_eq!(net.node(0).exchange.keeper().fleet_logs().orders().len(), 1);
     let before = net.bytes.clone();
     net.cut.clear();
     let healed = net.now;
     let mut busy = 0;
     let equal = |net: &mut Net| {
         let orders: Vec<usize> =
-            (0..MANY).map(|n| net.node(n).exchange.keeper().library().orders().len()).collect();
+            (0..MANY).map(|n| net.node(n).exchange.keeper().fleet_logs().orders().len()).collect();
         orders.iter().all(|many| *many == 2) && net.all().iter().collect::<BTreeSet<_>>().len() == 1
     };
     while !equal(&mut net) {
@@ -463,10 +463,10 @@
         second(&mut net, &[0, 1, 2, 3, 4, 5]);
     }
     let added = second(&mut net, &[0]);
-    let look = net.node(0).exchange.keeper().looks()[1].clone();
+    let look = net.node(0).exchange.keeper().team_statuses()[1].clone();
     // Each cost what it reserved. Of the last part, running ones were paid when all was reserved.
     assert!(added * NEED <= cap_of(WORKERS), "{added} were added, {look:?}");
-    assert!(look.spent <= cap_of(WORKERS) && look.beyond == 0, "{look:?}");
+    assert!(look.spent <= cap_of(WORKERS) && look.overspent == 0, "{look:?}");
     assert!(added * 10 > WORKERS * 9, "{added} were added of {WORKERS}");
     for _ in 0..30 {
         second(&mut net, &[0, 1, 2, 3, 4, 5]);
@@ -477,7 +477,7 @@
 
 fn presence(net: &mut Net, n: usize, of: usize) -> MemberState {
     let now = net.now;
-    net.node(n).exchange.keeper().roll.presence(now, &name(of))
+    net.node(n).exchange.keeper().membership.presence(now, &name(of))
 }
 
 // Fleets of two forms.
@@ -490,8 +490,11 @@
     ask_for_replicas(None);
     net.start(5, disk);
     net.run(ms(2_500));
-    assert!(!net.node(5).exchange.keeper().is_split());
-    assert!((0..5).all(|n| net.node(n).exchange.keeper().is_split()), "it declares that it reads work logs");
+    assert!(!net.node(5).exchange.keeper().writes_work_log());
+    assert!(
+        (0..5).all(|n| net.node(n).exchange.keeper().writes_work_log()),
+        "it declares that it reads work logs"
+    );
     assert_eq!(net.fill(5, 500, 5).len(), 5);
     assert_eq!(net.fill(0, 0, 5).len(), 5);
     net.run(ms(500));
@@ -520,7 +523,7 @@
     net.start(5, disk);
     net.run(ms(4_000));
     assert_eq!(net.node(5).exchange.keeper().phase(), Phase::Writing);
-    assert!((0..4).all(|n| !net.node(n).exchange.keeper().is_split()), "all fall back");
+    assert!((0..4).all(|n| !net.node(n).exchange.keeper().writes_work_log()), "all fall back");
     for n in 0..4 {
         let keys: BTreeSet<u64> = fleet_state(&mut net, 5, n).running.into_keys().collect();
         assert_eq!(keys, (100 * n as u64..100 * n as u64 + 5).collect());
@@ -544,11 +547,11 @@
     let mut net = Net::over(4, cap_of(300), MAP, &[3]);
     // Those that began before it was heard of fall back.
     net.run(ms(1_000));
-    assert!((0..4).all(|n| !net.node(n).exchange.keeper().is_split()));
+    assert!((0..4).all(|n| !net.node(n).exchange.keeper().writes_work_log()));
     let disk = net.kill(0);
     net.start(0, disk);
     net.run(ms(2_500));
-    assert!(!net.node(0).exchange.keeper().is_split());
+    assert!(!net.node(0).exchange.keeper().writes_work_log());
     assert_eq!(net.fill(0, 0, 5).len(), 5);
     net.run(ms(500));
     assert_eq!(fleet_state(&mut net, 3, 0).running.len(), 5);
@@ -605,7 +608,8 @@
             let new = net.fill(n, 100_000 + key, 1)[0];
             runs.insert(new.key.0, new);
         }
-        let is_split: Vec<bool> = (0..MANY).map(|n| net.node(n).exchange.keeper().is_split()).collect();
+        let is_split: Vec<bool> =
+            (0..MANY).map(|n| net.node(n).exchange.keeper().writes_work_log()).collect();
         assert_eq!(is_split, vec![replicas.is_some(); MANY], "{form}");
     }
     // At the end all die but one.
@@ -644,7 +648,7 @@
     let digest = &[9; 16][..];
     let other = LogId { writer: "s2".into(), life: 3 };
     let mut net = fleet(4, 300);
-    let ours = net.node(0).exchange.keeper().library().own().clone();
+    let ours = net.node(0).exchange.keeper().fleet_logs().own().clone();
     let keys = |net: &mut Net| (0..4).map(|n| work_keys(net, n, n)).collect::<Vec<_>>();
     assert_eq!(net.fill(0, 0, 3).len(), 3);
     net.run(ms(300));
--- a/crates/planner/src/books.rs
+++ b/crates/planner/src/books.rs
@@ -1,7 +1,7 @@
 //! The `books` block of a planner's settings, and the operators' orders file.
 
 use mulleinhub_ledger::Member;
-use mulleinhub_quota::{Months, Prices, Settings, Team};
+use mulleinhub_quota::{Calendar, Prices, Settings, Team};
 use mulleinhub_replicated_log::{Name, Order, Site, Subject, Word};
 use mulleinhub_settings::{Args, Directive, Faults, Name as NameValue, Scope, parse_text};
 use mulleinhub_workload_settings::{BooksTerms, SiteTerms, read_books};
@@ -69,7 +69,7 @@
     let ahead = scope.maybe("clock-ahead", faults).map_or(0, ms);
     let ahead = ahead - scope.maybe("clock-behind", faults).map_or(0, ms);
     scope.finish(faults);
-    let months = match Months::of_zone(&terms.zone) {
+    let months = match Calendar::in_zone(&terms.zone) {
         Ok(months) => months,
         Err(words) => {
             faults.add(&directive.place, format!("zone {:?}: {words}", terms.zone));
@@ -88,10 +88,10 @@
         members: members.iter().map(|member| member.name.clone()).collect(),
         teams: teams.collect(),
         prices: Prices { core_second: terms.core_second, memory_second: terms.memory_second },
-        months,
-        near: terms.near,
-        stretch: terms.stretch,
-        catch_up: terms.catch_up,
+        calendar: months,
+        open_millionths: terms.near,
+        commitment: terms.stretch,
+        catch_up_timeout: terms.catch_up,
         replicas: terms.replicas,
         sites: terms.sites.iter().map(|(name, site)| (Name::from(name.as_str()), site_of(site))).collect(),
     };
--- a/crates/quota/src/lib.rs
+++ b/crates/quota/src/lib.rs
@@ -1,25 +1,34 @@
-//! Who may add a worker: monthly caps of teams, kept by shares that move between schedulers, and holds of
-//! accounts.
+//! Monthly spending caps of teams, divided among the schedulers of a fleet.
 //!
-//! For: the look before a task is taken ([`ReservationPool`], one for each team), and the keeper of the books
-//! that fills the tills, writes rows, asks others for a part of their share and gives of its own
-//! ([`Ledger`]). May not touch: sockets, files, clocks, threads, and any choice of machine. The time of day
-//! is an input.
+//! Each scheduler owns a share of every team's cap. It draws reservations out of its share into a local
+//! [`ReservationPool`], from which new workers are admitted without asking anybody, and transfers parts of
+//! its share to schedulers that need more. Operators may change a team's cap and suspend an account; a
+//! suspended account gets no new workers.
+//!
+//! * [`ReservationPool`] decides whether a worker is admitted, and accounts for what workers cost.
+//! * [`Ledger`] fills the pools, writes this scheduler's log records, and requests and grants transfers.
+//!
+//! Amounts of money are in micro-units, rates in micro-units per second. This crate has no sockets, files,
+//! clocks or threads and does not choose machines: time is an argument of every call.
+
+#![warn(missing_docs)]
 
-mod announce;
-mod keeper;
+mod announcer;
+mod calendar;
+mod ledger;
 mod money;
-mod month;
-mod names;
 mod pace;
+mod readmission;
 mod reservation_pool;
 mod settings;
-mod shares;
-mod work_log;
+mod share_policy;
+mod work_routing;
 
-pub use keeper::{Ledger, Look, Phase, Reply, TICK, Wanted};
+pub use calendar::{Calendar, CalendarError, Month};
+pub use ledger::{Ledger, Phase, ShareReply, ShareRequest, TICK_INTERVAL, TeamStatus};
 pub use money::{GIB, Prices};
-pub use month::{Month, Months};
 pub use pace::Pace;
-pub use reservation_pool::{Away, News, Place, ReservationPool, ReservationPools, Seen, Terms};
+pub use reservation_pool::{
+    PoolSnapshot, Readmission, ReservationPool, ReservationPools, RetryAfter, TeamLimits, WorkerEvent,
+};
 pub use settings::{Settings, Team};
--- a/crates/quota/src/pace.rs
+++ b/crates/quota/src/pace.rs
@@ -1,49 +1,51 @@
-//! How often balances are written down, and how much is drawn at a time, where their number would
-//! otherwise fill the exchange.
+//! How often balances are written to the log, and how much is reserved at a time.
 //!
-//! Each member that uses a team's cap writes its balance for all members. So many balances a second as one
-//! a second for each team at each member are too many for large fleets; what they are for, the look whether
-//! a cap is nearly spent, needs them often only near its end.
+//! Each member that uses a team's cap writes its balance for all members to read. One balance per second,
+//! team and member is too much traffic in a large fleet. Balances are needed that often only near the end
+//! of a cap, where they tell whether it is nearly spent; otherwise the interval grows with the fleet.
 
-use crate::shares::BLOCK;
+use crate::share_policy::RESERVATION_SECONDS;
 use mulleinhub_interface::Duration;
 use mulleinhub_replicated_log::Balance;
 
-/// What was spent is written down this often at the most, where nothing else is: a crash leaves so much to
-/// be reckoned.
-pub const LEAST_PERIOD: Duration = Duration::from_secs(1);
-/// About what one balance costs each member, in bytes, and what all that are written together cost beside:
-/// ends of logs that are told, and the asking for rows.
-const BALANCE: u64 = 64;
-const TELLING: u64 = 400;
-/// What balances of the whole fleet may cost each member in a second, in bytes.
-const BUDGET: u64 = 4_096;
-/// A cap whose open part is spent but for this part of it is watched closely.
-const CLOSE: u64 = 20;
+/// Least time between two records of what a team spent, where nothing else changed. After a crash, the cost
+/// of this long is unaccounted for and has to be recomputed.
+pub const MIN_PERIOD: Duration = Duration::from_secs(1);
+/// Approximate cost of one balance at each member, in bytes.
+const BALANCE_BYTES: u64 = 64;
+/// Approximate cost of one batch of balances at each member beside the balances: log heads and requests for
+/// records, in bytes.
+const BATCH_BYTES: u64 = 400;
+/// What balances of the whole fleet may cost each member, in bytes per second.
+const BYTES_PER_SECOND: u64 = 4_096;
+/// A cap of whose open part less than one in this many is left is watched closely.
+const NEARLY_SPENT_DIVISOR: u64 = 20;
 
-/// Between two writings of a team's balance, and what a block that is drawn lasts for.
+/// How often a team's balance is written, and for how long a reservation lasts.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Pace {
+    /// Time between two records of a team's balance.
     pub period: Duration,
-    /// In seconds of use.
-    pub block: f64,
+    /// How much is reserved at a time, in seconds of usage.
+    pub reservation_seconds: f64,
 }
 
 impl Pace {
-    /// As it was before there were work logs, and is for caps that are nearly spent.
-    pub const QUICK: Self = Self { period: LEAST_PERIOD, block: BLOCK };
+    /// The pace of fleets without work logs, and of caps that are nearly spent.
+    pub const FAST: Self = Self { period: MIN_PERIOD, reservation_seconds: RESERVATION_SECONDS };
 
-    /// For so many members, each of which uses so many teams' caps as we do.
-    pub fn of_fleet(members: usize, teams: usize) -> Self {
-        let each = (teams as u64).saturating_mul(BALANCE).saturating_add(TELLING);
-        let bytes = (members as u64).saturating_mul(each);
-        let period = Duration::from_secs(1) * (bytes as f64 / BUDGET as f64);
-        let period = period.max(LEAST_PERIOD);
-        Self { period, block: (2.0 * period.over(Duration::from_secs(1))).max(BLOCK) }
+    /// The pace for a number of members, each of which uses this many teams' caps.
+    pub fn for_fleet(members: usize, teams: usize) -> Self {
+        let member_bytes = (teams as u64).saturating_mul(BALANCE_BYTES).saturating_add(BATCH_BYTES);
+        let fleet_bytes = (members as u64).saturating_mul(member_bytes);
+        let period = Duration::from_secs(1) * (fleet_bytes as f64 / BYTES_PER_SECOND as f64);
+        let period = period.max(MIN_PERIOD);
+        let reservation_seconds = (2.0 * period.over(Duration::from_secs(1))).max(RESERVATION_SECONDS);
+        Self { period, reservation_seconds }
     }
 }
 
-/// Whether all together have nearly spent the open part of a cap, or more than it, or we owe.
-pub fn is_close(open: u64, spent: u64, own: Balance) -> bool {
-    own.beyond > 0 || spent >= open - open / CLOSE
+/// Whether the open part of a cap is nearly spent by the whole fleet, or this member spent more than it had.
+pub fn is_nearly_spent(open: u64, spent: u64, own: Balance) -> bool {
+    own.beyond > 0 || spent >= open - open / NEARLY_SPENT_DIVISOR
 }
--- a/crates/quota/src/reservation_pool.rs
+++ b/crates/quota/src/reservation_pool.rs
@@ -1,580 +1,362 @@
-//! The look before a task is taken: what one team may still use here, without asking anybody.
+//! Admission of workers against what this scheduler has reserved of one team's share.
 //!
-//! Money comes in as drawn blocks, from whoever keeps the books, and goes out as workers run. A new worker
-//! reserves what it costs for a stretch out of the open part; from then on what it costs is paid as time
-//! passes, ahead of that reserve, out of the open part and then out of the last one, which new workers
-//! can't touch. So at any instant what was drawn covers what was spent and a stretch of all that runs.
-//! Where nothing is left workers run on, and what they cost is a debt.
+//! The ledger credits reservations to the pool; workers spend them. A new worker commits its cost for a
+//! fixed duration out of the open part. While it runs, its cost is paid from what is available beside that
+//! commitment: first from the open part, then from the last one, which new workers can't use. So at any
+//! instant the reservations cover what was spent plus the commitments of all running workers. When nothing
+//! is left, workers run on and their cost becomes a debt.
 //!
-//! Nothing here allocates but the telling of names, whose room the keeper gives back.
+//! The pool is called by the scheduler's event loop and, under the same lock, by the ledger. Admission
+//! doesn't allocate: the ledger provides the capacity for events and pending keys.
+
+mod types;
+
+pub use types::{PoolSnapshot, Readmission, ReservationPools, RetryAfter, TeamLimits, WorkerEvent};
 
 use crate::money::{accrued, cost};
 use mulleinhub_interface::{Duration, TaskKey, Ticket, Timestamp};
 use mulleinhub_replicated_log::Parts;
 use std::collections::HashMap;
 
-/// Names that a till has room for beside those it holds, at the most and at the least.
-const MOST_SPARE_NAMES: usize = 256;
-const LEAST_SPARE_NAMES: usize = 1;
-/// It has room for so many times the names that came between two looks.
-const SPARE_OVER_ASKED: usize = 2;
-/// The most that came between two looks is forgotten after this.
-const ASKS_REMEMBERED: Duration = Duration::from_secs(60);
-
-/// Between how long and how long a refused owner is to stay away.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Away {
-    pub least: Duration,
-    pub most: Duration,
-}
-
-impl Away {
-    pub fn drawn(self, drawn: f64) -> Duration {
-        self.least + (self.most - self.least) * drawn
-    }
-}
+/// Bounds of the spare capacity for pending keys.
+const MAX_SPARE_KEYS: usize = 256;
+const MIN_SPARE_KEYS: usize = 1;
+/// Spare capacity for pending keys, as a multiple of the recent peak of requests between two refreshes.
+const SPARE_KEYS_PER_REQUEST: usize = 2;
+/// The peak of requests is forgotten after this.
+const PEAK_MEMORY: Duration = Duration::from_secs(60);
 
-/// What became of a worker, for the books.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum News {
-    /// `again` where it takes the place of one that ran before.
-    Began {
-        key: u64,
-        rate: u64,
-        again: bool,
-    },
-    /// It ran under another scheduler, or in an earlier life of this one.
-    Adopted {
-        key: u64,
-        rate: u64,
-        at: Timestamp,
-    },
-    Over {
-        key: u64,
-        comes_again: bool,
-    },
-}
-
-/// What a key has that was taken or ran before.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Place {
-    /// It is asked for just now.
-    pub in_hand: bool,
-    /// It ran; else it was taken before a hold and never ran.
-    pub ran: bool,
-}
-
-/// What holds for a team.
-#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Terms {
-    pub capped: bool,
-    /// It has an account, which orders may hold.
-    pub bound: bool,
-    /// New submissions are held back.
-    pub held: bool,
-    /// And so is what ran, as the hold's time to finish is over.
-    pub finished: bool,
-    /// All schedulers together are known to have spent the part that new workers may use. What lies here of
-    /// it is left over from workers that ended, while others' run on beyond their shares.
-    pub near: bool,
-}
-
-/// One team's.
+/// The reservations of one team at one scheduler. Amounts are in micro-units.
 #[derive(Debug)]
 pub struct ReservationPool {
-    stretch: Duration,
+    /// How long a worker's cost is committed for in advance.
+    commitment: Duration,
+    /// Up to when costs are accrued.
     at: Timestamp,
-    /// Nothing new is taken by what is known here after this instant.
+    /// Nothing new is admitted after this instant until the next refresh.
     fresh_until: Timestamp,
-    away: Away,
-    terms: Terms,
-    has: Parts,
-    /// For a stretch of each worker that is asked for or runs.
-    reserved: u64,
-    /// Spent, and not paid for yet.
+    retry_after: RetryAfter,
+    limits: TeamLimits,
+    available: Parts,
+    /// Commitments of all workers that are pending or running.
+    committed: u64,
+    /// Spent without cover.
     debt: u64,
     rate: u64,
     spent: u64,
-    carried: u64,
-    /// Who may come again, under whatever scheduler it ran or was taken.
-    names: HashMap<u64, Place>,
-    /// Keys that were taken here and don't run yet, and how often.
-    waiting: HashMap<u64, u32>,
-    /// How often a place was asked for since the room for names was looked at, the most of that lately, and
-    /// when it was so many.
-    asks: usize,
-    most_asks: usize,
-    most_asks_at: Timestamp,
-    // Since the keeper's last look.
-    asked: u64,
-    refused: u64,
-    most: u64,
-    news: Vec<News>,
-}
-
-/// What the keeper sees at a look.
-#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Seen {
-    pub has: Parts,
-    pub reserved: u64,
-    pub debt: u64,
-    pub rate: u64,
-    pub spent: u64,
-    /// What new workers would have reserved that were asked for since the last look, also where refused,
-    /// and the most of one.
-    pub asked: u64,
-    pub most: u64,
-    pub refused: u64,
-}
-
-/// All tills, each behind whatever lock its host has.
-pub trait ReservationPools {
-    fn with(&mut self, team: usize, act: &mut dyn FnMut(&mut ReservationPool));
-}
-
-impl ReservationPools for Vec<ReservationPool> {
-    fn with(&mut self, team: usize, act: &mut dyn FnMut(&mut ReservationPool)) {
-        act(&mut self[team]);
-    }
+    /// Remainder of the accrued cost, in nano-parts of a micro-unit.
+    remainder: u64,
+    /// Tasks that may be admitted again, whichever scheduler they ran at.
+    readmissions: HashMap<u64, Readmission>,
+    /// Keys that were admitted here and don't run yet, and how often.
+    pending: HashMap<u64, u32>,
+    /// Requests since the last refresh, and the recent peak of that with the time when it was reached.
+    requests: usize,
+    peak_requests: usize,
+    peak_requests_at: Timestamp,
+    // Since the previous snapshot.
+    requested: u64,
+    rejected: u64,
+    largest_request: u64,
+    /// Not yet taken by the ledger.
+    events: Vec<WorkerEvent>,
 }
 
+/// Admission and the life cycle of workers, called by the scheduler.
 impl ReservationPool {
-    pub fn new(stretch: Duration, away: Away, terms: Terms) -> Self {
+    /// An empty pool, which admits nothing to a team with a cap or an account before the first
+    /// [`refresh`](Self::refresh).
+    pub fn new(commitment: Duration, retry_after: RetryAfter, limits: TeamLimits) -> Self {
         Self {
-            stretch,
+            commitment,
             at: Timestamp::default(),
             fresh_until: Timestamp::default(),
-            away,
-            terms,
-            has: Parts::default(),
-            reserved: 0,
+            retry_after,
+            limits,
+            available: Parts::default(),
+            committed: 0,
             debt: 0,
             rate: 0,
             spent: 0,
-            carried: 0,
-            names: HashMap::new(),
-            waiting: HashMap::new(),
-            asks: 0,
-            most_asks: 0,
-            most_asks_at: Timestamp::default(),
-            asked: 0,
-            refused: 0,
-            most: 0,
-            news: Vec::new(),
+            remainder: 0,
+            readmissions: HashMap::new(),
+            pending: HashMap::new(),
+            requests: 0,
+            peak_requests: 0,
+            peak_requests_at: Timestamp::default(),
+            requested: 0,
+            rejected: 0,
+            largest_request: 0,
+            events: Vec::new(),
         }
     }
 
-    // The look, and what becomes of who was taken.
-
-    /// Whether one more worker of this rate may be added.
+    /// Admits one more worker of this rate (micro-units per second), and returns its ticket. `jitter` is a
+    /// random fraction that spreads the retries of rejected clients.
     ///
     /// # Errors
-    /// For how long its owner is to stay away.
-    pub fn ask(
+    /// The worker is rejected; the value is the delay before the client may retry.
+    pub fn admit(
         &mut self,
         now: Timestamp,
         team: u32,
         key: TaskKey,
         rate: u64,
-        drawn: f64,
+        jitter: f64,
     ) -> Result<Ticket, Duration> {
         self.accrue(now);
-        self.asks += 1;
-        let need = cost(rate, self.stretch);
-        let none = Ticket { team, key, rate, open: 0, last: 0 };
-        let place = self.names.get_mut(&key.0).filter(|place| !place.in_hand && !self.terms.finished);
-        if let Some(place) = place {
-            place.in_hand = true;
-            if place.ran {
-                // It takes its own place again: no new worker, and never refused.
-                return Ok(self.reserve(none, need));
+        self.requests += 1;
+        let commitment = cost(rate, self.commitment);
+        let ticket = Ticket { team, key, rate, open: 0, last: 0 };
+        let grace_period_over = self.limits.grace_period_over;
+        let readmission = self.readmissions.get_mut(&key.0).filter(|r| !r.in_use && !grace_period_over);
+        if let Some(readmission) = readmission {
+            readmission.in_use = true;
+            if readmission.ran {
+                // It takes its own place again: not a new worker, and never rejected.
+                return Ok(self.commit(ticket, commitment));
             }
-        } else if self.terms.held {
-            self.refused += 1;
-            return Err(self.away.drawn(drawn));
+        } else if self.limits.suspended {
+            return Err(self.reject(jitter));
         }
-        let taken = self.take(now, none, need);
-        match taken {
-            Some(_) => *self.waiting.entry(key.0).or_default() += 1,
-            None => self.not_in_hand(key.0),
+        match self.admit_new(now, ticket, commitment) {
+            Some(ticket) => {
+                *self.pending.entry(key.0).or_default() += 1;
+                Ok(ticket)
+            }
+            None => {
+                self.release_readmission(key.0);
+                Err(self.reject(jitter))
+            }
         }
-        taken.ok_or_else(|| {
-            self.refused += 1;
-            self.away.drawn(drawn)
-        })
     }
 
-    /// A place for a new worker, where there is one.
-    fn take(&mut self, now: Timestamp, none: Ticket, need: u64) -> Option<Ticket> {
+    fn reject(&mut self, jitter: f64) -> Duration {
+        self.rejected += 1;
+        self.retry_after.jittered(jitter)
+    }
+
+    /// Commits the cost of a new worker, where enough is available.
+    fn admit_new(&mut self, now: Timestamp, ticket: Ticket, commitment: u64) -> Option<Ticket> {
         let is_fresh = now <= self.fresh_until;
-        if !self.terms.capped {
-            return (is_fresh || !self.terms.bound).then_some(none);
+        if !self.limits.has_cap {
+            return (is_fresh || !self.limits.has_account).then_some(ticket);
         }
-        self.asked = self.asked.saturating_add(need);
-        self.most = self.most.max(need);
-        if !is_fresh || self.terms.near || self.has.open < need {
+        self.requested = self.requested.saturating_add(commitment);
+        self.largest_request = self.largest_request.max(commitment);
+        if !is_fresh || self.limits.nearly_spent || self.available.open < commitment {
             return None;
         }
-        self.has.open -= need;
-        self.reserved += need;
-        Some(Ticket { open: need, ..none })
+        self.available.open -= commitment;
+        self.committed += commitment;
+        Some(Ticket { open: commitment, ..ticket })
     }
 
-    fn not_in_hand(&mut self, key: u64) {
-        if let Some(place) = self.names.get_mut(&key) {
-            place.in_hand = false;
+    fn release_readmission(&mut self, key: u64) {
+        if let Some(readmission) = self.readmissions.get_mut(&key) {
+            readmission.in_use = false;
         }
     }
 
-    /// It waits no longer.
-    fn waits_no_more(&mut self, key: u64) {
-        if let Some(many) = self.waiting.get_mut(&key) {
-            *many -= 1;
-            if *many == 0 {
-                self.waiting.remove(&key);
+    fn remove_pending(&mut self, key: u64) {
+        if let Some(count) = self.pending.get_mut(&key) {
+            *count -= 1;
+            if *count == 0 {
+                self.pending.remove(&key);
             }
         }
     }
 
-    /// Out of the last part, then out of the open one, as far as they go.
-    fn reserve(&mut self, ticket: Ticket, need: u64) -> Ticket {
-        let last = need.min(self.has.last);
-        let open = (need - last).min(self.has.open);
-        self.has = self.has.less(Parts { open, last });
-        self.reserved += open + last;
+    /// Commits the cost of a worker that can't be rejected: out of the last part, then out of the open one,
+    /// as far as they go.
+    fn commit(&mut self, ticket: Ticket, commitment: u64) -> Ticket {
+        let last = commitment.min(self.available.last);
+        let open = (commitment - last).min(self.available.open);
+        self.available = self.available.less(Parts { open, last });
+        self.committed += open + last;
         Ticket { open, last, ..ticket }
     }
 
-    fn give_back(&mut self, ticket: Ticket) {
-        self.reserved -= ticket.open + ticket.last;
-        self.has = self.has.plus(Parts { open: ticket.open, last: ticket.last });
-        self.pay();
+    fn return_commitment(&mut self, ticket: Ticket) {
+        self.committed -= ticket.open + ticket.last;
+        self.available = self.available.plus(Parts { open: ticket.open, last: ticket.last });
+        self.cover_debt();
     }
 
-    /// It had its final answer and never ran.
-    pub fn never_ran(&mut self, now: Timestamp, ticket: Ticket) {
+    /// The task had its final outcome and never ran: its commitment is returned.
+    pub fn release_unstarted(&mut self, now: Timestamp, ticket: Ticket) {
         self.accrue(now);
-        self.give_back(ticket);
-        self.not_in_hand(ticket.key.0);
-        self.waits_no_more(ticket.key.0);
+        self.return_commitment(ticket);
+        self.release_readmission(ticket.key.0);
+        self.remove_pending(ticket.key.0);
     }
 
-    /// It had its final answer and may run all the same, for a stretch at the most.
-    pub fn may_run(&mut self, now: Timestamp, ticket: Ticket) {
+    /// The task had its final outcome but may be running all the same: its whole commitment counts as spent.
+    pub fn charge_commitment(&mut self, now: Timestamp, ticket: Ticket) {
         self.accrue(now);
-        let reserve = ticket.open + ticket.last;
-        self.reserved -= reserve;
-        self.spent += reserve;
-        self.not_in_hand(ticket.key.0);
-        self.waits_no_more(ticket.key.0);
+        let commitment = ticket.open + ticket.last;
+        self.committed -= commitment;
+        self.spent += commitment;
+        self.release_readmission(ticket.key.0);
+        self.remove_pending(ticket.key.0);
     }
 
-    pub fn runs(&mut self, now: Timestamp, ticket: Ticket) {
+    /// An admitted worker runs now.
+    pub fn start(&mut self, now: Timestamp, ticket: Ticket) {
         self.accrue(now);
         self.rate += ticket.rate;
-        self.waits_no_more(ticket.key.0);
-        let again = self.names.get(&ticket.key.0).is_some_and(|place| place.ran);
-        self.news.push(News::Began { key: ticket.key.0, rate: ticket.rate, again });
+        self.remove_pending(ticket.key.0);
+        let readmitted = self.readmissions.get(&ticket.key.0).is_some_and(|readmission| readmission.ran);
+        self.events.push(WorkerEvent::Started { key: ticket.key.0, rate: ticket.rate, readmitted });
     }
 
-    /// It ran already, and is this scheduler's from now on.
+    /// Takes over a worker that runs already, and returns its ticket.
     pub fn adopt(&mut self, now: Timestamp, team: u32, key: TaskKey, rate: u64) -> Ticket {
         self.accrue(now);
-        let need = cost(rate, self.stretch);
+        let commitment = cost(rate, self.commitment);
         self.rate += rate;
-        self.news.push(News::Adopted { key: key.0, rate, at: now });
-        self.reserve(Ticket { team, key, rate, open: 0, last: 0 }, need)
+        self.events.push(WorkerEvent::Adopted { key: key.0, rate, at: now });
+        self.commit(Ticket { team, key, rate, open: 0, last: 0 }, commitment)
     }
 
-    pub fn over(&mut self, now: Timestamp, ticket: Ticket, comes_again: bool) {
+    /// A worker runs no longer; `readmissible` if it was lost, moved or evicted and may run again.
+    pub fn end(&mut self, now: Timestamp, ticket: Ticket, readmissible: bool) {
         self.accrue(now);
         self.rate -= ticket.rate;
-        self.give_back(ticket);
-        if comes_again {
-            self.names.insert(ticket.key.0, Place { in_hand: false, ran: true });
+        self.return_commitment(ticket);
+        if readmissible {
+            self.readmissions.insert(ticket.key.0, Readmission { in_use: false, ran: true });
         } else {
-            self.names.remove(&ticket.key.0);
+            self.readmissions.remove(&ticket.key.0);
         }
-        self.news.push(News::Over { key: ticket.key.0, comes_again });
+        self.events.push(WorkerEvent::Ended { key: ticket.key.0, readmissible });
     }
 
+    /// Charges what running workers cost since the previous call.
     fn accrue(&mut self, now: Timestamp) {
-        let passed = now - self.at;
+        let elapsed = now - self.at;
         self.at = self.at.max(now);
-        let (cost, carried) = accrued(self.rate, passed, self.carried);
-        self.carried = carried;
+        let (cost, remainder) = accrued(self.rate, elapsed, self.remainder);
+        self.remainder = remainder;
         self.spend(cost);
     }
 
     fn spend(&mut self, cost: u64) {
         self.spent += cost;
         self.debt += cost;
-        self.pay();
+        self.cover_debt();
     }
 
-    fn pay(&mut self) {
-        let open = self.debt.min(self.has.open);
-        let last = (self.debt - open).min(self.has.last);
-        self.has = self.has.less(Parts { open, last });
+    fn cover_debt(&mut self) {
+        let open = self.debt.min(self.available.open);
+        let last = (self.debt - open).min(self.available.last);
+        self.available = self.available.less(Parts { open, last });
         self.debt -= open + last;
-        if !self.terms.capped {
+        if !self.limits.has_cap {
             self.debt = 0;
         }
     }
+}
 
-    // For the keeper.
-
-    pub fn look(&mut self, now: Timestamp) -> Seen {
+/// Refilling and accounting, called by the ledger.
+impl ReservationPool {
+    /// The state of the pool. Resets the counters of requests.
+    pub fn take_snapshot(&mut self, now: Timestamp) -> PoolSnapshot {
         self.accrue(now);
-        let seen = Seen {
-            has: self.has,
-            reserved: self.reserved,
+        let snapshot = PoolSnapshot {
+            available: self.available,
+            committed: self.committed,
             debt: self.debt,
             rate: self.rate,
             spent: self.spent,
-            asked: self.asked,
-            most: self.most,
-            refused: self.refused,
+            requested: self.requested,
+            largest_request: self.largest_request,
+            rejected: self.rejected,
         };
-        (self.asked, self.most, self.refused) = (0, 0, 0);
-        seen
+        (self.requested, self.largest_request, self.rejected) = (0, 0, 0);
+        snapshot
     }
 
-    /// What became of workers since the last call; the room of `empty` is used for what comes next.
-    pub fn take_news(&mut self, empty: Vec<News>) -> Vec<News> {
-        std::mem::replace(&mut self.news, empty)
+    /// What happened to workers since the last call, in order. The capacity of `empty` is used for the next
+    /// events.
+    pub fn take_events(&mut self, empty: Vec<WorkerEvent>) -> Vec<WorkerEvent> {
+        std::mem::replace(&mut self.events, empty)
     }
 
-    /// What is known here holds until then.
-    pub fn refresh(&mut self, fresh_until: Timestamp, away: Away, terms: Terms) {
-        (self.fresh_until, self.away, self.terms) = (fresh_until, away, terms);
-        self.make_room();
+    /// Sets the limits that apply until `fresh_until`.
+    pub fn refresh(&mut self, fresh_until: Timestamp, retry_after: RetryAfter, limits: TeamLimits) {
+        (self.fresh_until, self.retry_after, self.limits) = (fresh_until, retry_after, limits);
+        self.reserve_capacity();
     }
 
-    /// The look itself finds room for one more name, by how many came lately.
-    fn make_room(&mut self) {
-        let asks = std::mem::take(&mut self.asks);
-        let is_old = self.at - self.most_asks_at > ASKS_REMEMBERED;
-        if asks >= self.most_asks || is_old {
-            (self.most_asks, self.most_asks_at) = (asks, self.at);
+    /// Reserves capacity for pending keys by the number of recent requests, so that admission need not
+    /// allocate.
+    fn reserve_capacity(&mut self) {
+        let requests = std::mem::take(&mut self.requests);
+        let is_old = self.at - self.peak_requests_at > PEAK_MEMORY;
+        if requests >= self.peak_requests || is_old {
+            (self.peak_requests, self.peak_requests_at) = (requests, self.at);
         }
-        let spare = (self.most_asks * SPARE_OVER_ASKED).clamp(LEAST_SPARE_NAMES, MOST_SPARE_NAMES);
+        let spare = (self.peak_requests * SPARE_KEYS_PER_REQUEST).clamp(MIN_SPARE_KEYS, MAX_SPARE_KEYS);
         if is_old {
-            self.waiting.shrink_to(self.waiting.len() + spare);
+            self.pending.shrink_to(self.pending.len() + spare);
         }
-        self.waiting.reserve(spare);
+        self.pending.reserve(spare);
     }
 
-    /// Keys that were taken and don't run yet.
-    pub fn waiting(&self) -> Vec<u64> {
-        let mut keys: Vec<u64> = self.waiting.keys().copied().collect();
+    /// Keys that were admitted and don't run yet, in ascending order.
+    pub fn pending_keys(&self) -> Vec<u64> {
+        let mut keys: Vec<u64> = self.pending.keys().copied().collect();
         keys.sort_unstable();
         keys
     }
 
-    /// A drawn block, once it is on disk.
+    /// Adds a reservation, whose log record must be on disk.
     pub fn credit(&mut self, parts: Parts) {
-        self.has = self.has.plus(parts);
-        self.pay();
+        self.available = self.available.plus(parts);
+        self.cover_debt();
     }
 
-    /// Takes back what lies here unused, up to so much.
-    pub fn take_back(&mut self, most: Parts) -> Parts {
-        let taken = Parts { open: self.has.open.min(most.open), last: self.has.last.min(most.last) };
-        self.has = self.has.less(taken);
-        taken
+    /// Takes up to `max` of what is available out of the pool, and returns how much that was.
+    pub fn withdraw(&mut self, max: Parts) -> Parts {
+        let withdrawn =
+            Parts { open: self.available.open.min(max.open), last: self.available.last.min(max.last) };
+        self.available = self.available.less(withdrawn);
+        withdrawn
     }
 
-    /// What a worker cost before it was adopted.
+    /// Charges what a worker cost before it was adopted.
     pub fn charge(&mut self, now: Timestamp, cost: u64) {
         self.accrue(now);
         self.spend(cost);
     }
 
-    /// Who may come again. Those that ended here since the books were looked at stay among them.
-    pub fn set_names(&mut self, mut names: HashMap<u64, Place>) -> HashMap<u64, Place> {
-        for (key, place) in self.names.iter().filter(|(_, place)| place.in_hand) {
-            names.insert(*key, *place);
+    /// Replaces the tasks that may be admitted again, and returns the old map. Rights in use, and those of
+    /// workers whose end is not yet recorded by the ledger, are kept.
+    pub fn set_readmissions(
+        &mut self,
+        mut readmissions: HashMap<u64, Readmission>,
+    ) -> HashMap<u64, Readmission> {
+        for (key, readmission) in self.readmissions.iter().filter(|(_, readmission)| readmission.in_use) {
+            readmissions.insert(*key, *readmission);
         }
-        for news in &self.news {
-            if let News::Over { key, comes_again: true } = news {
-                names.insert(*key, Place { in_hand: false, ran: true });
+        for event in &self.events {
+            if let WorkerEvent::Ended { key, readmissible: true } = event {
+                readmissions.insert(*key, Readmission { in_use: false, ran: true });
             }
         }
-        std::mem::replace(&mut self.names, names)
+        std::mem::replace(&mut self.readmissions, readmissions)
     }
 
-    /// A new month begins: what was spent and what lay here belong to the old one. What is reserved is owed
-    /// to the new one, whose share has to cover it. What was spent and what was owed.
-    pub fn turn_month(&mut self, now: Timestamp) -> (u64, u64) {
+    /// Closes the month, and returns what was spent in it and what of that is owed. What is available
+    /// expires; what is committed is owed by the new month, whose share has to cover it.
+    pub fn close_month(&mut self, now: Timestamp) -> (u64, u64) {
         self.accrue(now);
-        let old = (std::mem::take(&mut self.spent), std::mem::replace(&mut self.debt, self.reserved));
-        self.has = Parts::default();
-        old
+        let closed = (std::mem::take(&mut self.spent), std::mem::replace(&mut self.debt, self.committed));
+        self.available = Parts::default();
+        closed
     }
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-
-    const AWAY: Away = Away { least: Duration::from_secs(1), most: Duration::from_secs(3) };
-
-    const CAPPED: Terms = Terms { capped: true, bound: true, held: false, finished: false, near: false };
-
-    fn at(ms: u64) -> Timestamp {
-        Timestamp::from_nanos(ms * 1_000_000)
-    }
-
-    fn till(open: u64, last: u64) -> ReservationPool {
-        let mut till = ReservationPool::new(Duration::from_secs(10), AWAY, CAPPED);
-        till.credit(Parts { open, last });
-        till.refresh(at(1_000_000), AWAY, CAPPED);
-        till
-    }
-
-    #[test]
-    fn a_new_worker_reserves_a_stretch_and_what_it_costs_is_paid_ahead_of_that() {
-        let mut till = till(200, 50);
-        let ticket = till.ask(at(0), 0, TaskKey(1), 10, 0.0).expect("there is room");
-        assert_eq!(till.ask(at(0), 0, TaskKey(2), 11, 0.5), Err(Duration::from_secs(2)));
-        till.runs(at(0), ticket);
-        let seen = till.look(at(4_000));
-        assert_eq!((seen.has.open, seen.reserved, seen.spent), (60, 100, 40));
-        assert_eq!((seen.asked, seen.most, seen.refused), (210, 110, 1));
-        till.over(at(5_000), ticket, false);
-        let seen = till.look(at(9_000));
-        assert_eq!((seen.has.open, seen.reserved, seen.spent, seen.rate), (150, 0, 50, 0));
-    }
-
-    #[test]
-    fn a_till_has_room_for_more_names_than_came_lately_and_lets_it_go() {
-        let mut till = till(100_000, 0);
-        let look = |till: &mut ReservationPool, ms: u64| {
-            till.look(at(ms));
-            till.refresh(at(1_000_000), AWAY, CAPPED);
-            till.waiting.capacity() - till.waiting.len()
-        };
-        let first = look(&mut till, 100);
-        assert!((LEAST_SPARE_NAMES..8).contains(&first), "{first}");
-        let mut taken = Vec::new();
-        for key in 0..100 {
-            taken.push(till.ask(at(200), 0, TaskKey(key), 10, 0.0).expect("there is room"));
-        }
-        assert!(look(&mut till, 200) >= 200);
-        assert!(look(&mut till, 50_000) >= 200, "as many may come again");
-        taken.into_iter().for_each(|ticket| till.runs(at(50_000), ticket));
-        let last = look(&mut till, 100_000);
-        assert!((LEAST_SPARE_NAMES..8).contains(&last), "{last}");
-    }
-
-    #[test]
-    fn running_workers_use_the_last_part_and_run_on_when_all_is_gone() {
-        let mut till = till(100, 30);
-        let ticket = till.ask(at(0), 0, TaskKey(1), 10, 0.0).expect("there is room");
-        till.runs(at(0), ticket);
-        assert!(till.ask(at(0), 0, TaskKey(2), 1, 0.0).is_err(), "the last part is not for new ones");
-        let seen = till.look(at(5_000));
-        assert_eq!((seen.has, seen.debt, seen.spent), (Parts::default(), 20, 50));
-        till.credit(Parts { open: 0, last: 25 });
-        assert_eq!(till.look(at(5_000)).has.last, 5);
-        till.over(at(5_000), ticket, false);
-        assert_eq!(till.look(at(5_000)).reserved, 0);
-    }
-
-    #[test]
-    fn one_that_was_lost_takes_its_place_again_and_only_once() {
-        let mut till = till(100, 150);
-        let ticket = till.ask(at(0), 0, TaskKey(1), 10, 0.0).expect("there is room");
-        till.runs(at(0), ticket);
-        till.over(at(1_000), ticket, true);
-        till.take_back(Parts { open: 1_000, last: 0 });
-        assert!(till.ask(at(1_500), 0, TaskKey(2), 10, 0.0).is_err());
-        let again = till.ask(at(1_500), 0, TaskKey(1), 10, 0.0).expect("it ran before");
-        assert_eq!((again.open, again.last), (0, 100));
-        assert!(till.ask(at(1_500), 0, TaskKey(1), 10, 0.0).is_err(), "it is asked for already");
-        till.never_ran(at(1_600), again);
-        assert!(till.ask(at(1_700), 0, TaskKey(1), 10, 0.0).is_ok());
-    }
-
-    #[test]
-    fn nothing_new_is_added_once_all_together_have_spent_the_part_for_new_ones() {
-        let mut till = till(1_000, 1_000);
-        let ran = till.ask(at(0), 0, TaskKey(1), 10, 0.0).expect("there is room");
-        till.runs(at(0), ran);
-        till.over(at(10), ran, true);
-        till.refresh(at(1_000_000), AWAY, Terms { near: true, ..CAPPED });
-        assert!(till.ask(at(20), 0, TaskKey(2), 10, 0.0).is_err());
-        assert!(till.ask(at(20), 0, TaskKey(1), 10, 0.0).is_ok(), "it takes its own place again");
-    }
-
-    #[test]
-    fn nothing_new_is_taken_by_old_news() {
-        let mut till = till(1_000, 0);
-        till.refresh(at(500), AWAY, CAPPED);
-        assert!(till.ask(at(500), 0, TaskKey(1), 1, 0.0).is_ok());
-        assert!(till.ask(at(501), 0, TaskKey(2), 1, 0.0).is_err());
-    }
-
-    #[test]
-    fn a_hold_keeps_new_ones_back_and_lets_go_on_what_ran_or_was_taken_before() {
-        let held = Terms { held: true, ..CAPPED };
-        let mut till = till(300, 300);
-        let [ran, taken] =
-            [1, 2].map(|key| till.ask(at(0), 0, TaskKey(key), 10, 0.0).expect("there is room"));
-        till.runs(at(0), ran);
-        assert_eq!(till.waiting(), [2]);
-        till.refresh(at(1_000_000), AWAY, held);
-        assert!(till.ask(at(10), 0, TaskKey(3), 10, 0.0).is_err());
-        till.set_names(HashMap::from([(2, Place { in_hand: false, ran: false })]));
-        till.never_ran(at(20), taken);
-        till.over(at(20), ran, true);
-        let again = till.ask(at(30), 0, TaskKey(1), 10, 0.0).expect("it ran");
-        let taken = till.ask(at(30), 0, TaskKey(2), 10, 0.0).expect("it was taken before");
-        assert_eq!((again.open, again.last, taken.open, taken.last), (0, 100, 100, 0));
-        till.never_ran(at(40), again);
-        till.refresh(at(1_000_000), AWAY, Terms { finished: true, ..held });
-        assert!(till.ask(at(50), 0, TaskKey(1), 10, 0.0).is_err(), "the time to finish is over");
-        till.refresh(at(1_000_000), AWAY, CAPPED);
-        assert!(till.ask(at(60), 0, TaskKey(3), 10, 0.0).is_ok());
-    }
-
-    #[test]
-    fn a_task_taken_before_a_hold_is_new_to_the_cap() {
-        let mut till = till(50, 500);
-        till.refresh(at(1_000_000), AWAY, Terms { held: true, ..CAPPED });
-        till.set_names(HashMap::from([(2, Place { in_hand: false, ran: false })]));
-        assert!(till.ask(at(0), 0, TaskKey(2), 10, 0.0).is_err());
-        till.credit(Parts { open: 100, last: 0 });
-        assert!(till.ask(at(0), 0, TaskKey(2), 10, 0.0).is_ok());
-    }
-
-    #[test]
-    fn a_team_without_a_cap_is_held_back_by_a_hold_alone() {
-        let mut till = ReservationPool::new(Duration::from_secs(10), AWAY, Terms::default());
-        let ticket = till.ask(at(0), 0, TaskKey(1), 10, 0.0).expect("nothing is known against it");
-        till.runs(at(0), ticket);
-        assert_eq!((till.look(at(5_000)).spent, till.look(at(5_000)).debt), (50, 0));
-        let bound = Terms { bound: true, ..Terms::default() };
-        till.refresh(at(0), AWAY, bound);
-        assert!(
-            till.ask(at(5_000), 0, TaskKey(2), 10, 0.0).is_err(),
-            "whether its account is held is old news"
-        );
-        till.refresh(at(9_000), AWAY, Terms { held: true, ..bound });
-        assert!(till.ask(at(5_000), 0, TaskKey(2), 10, 0.0).is_err());
-    }
-
-    #[test]
-    fn a_month_turns_and_what_runs_is_owed_to_the_new_one() {
-        let mut till = till(300, 0);
-        let ticket = till.ask(at(0), 0, TaskKey(1), 10, 0.0).expect("there is room");
-        till.runs(at(0), ticket);
-        assert_eq!(till.turn_month(at(2_000)), (20, 0));
-        let seen = till.look(at(3_000));
-        assert_eq!((seen.spent, seen.debt, seen.has, seen.reserved), (10, 110, Parts::default(), 100));
-        till.credit(Parts { open: 200, last: 0 });
-        till.over(at(3_000), ticket, false);
-        assert_eq!(till.look(at(3_000)).has.open, 190);
-    }
-}
+mod tests;
--- a/crates/scale/src/ledgers/member.rs
+++ b/crates/scale/src/ledgers/member.rs
@@ -5,7 +5,7 @@
 
 use mulleinhub_interface::{Duration, Quota, Resources, TaskKey, Ticket, Timestamp};
 use mulleinhub_ledger::{AdmissionHandle, Exchange, Figures, Member, SharedPools};
-use mulleinhub_quota::{Months, Phase, Prices, Settings, Team};
+use mulleinhub_quota::{Calendar, Phase, Prices, Settings, Team};
 use mulleinhub_replicated_log::{
     Change, Changes, Digest, Kept, KeptLogs, Kind, LogId, Name, Order, Reached, Site, Subject, Word,
 };
@@ -75,10 +75,10 @@
             members: (0..self.schedulers).map(member_name).collect(),
             teams: (0..self.teams).map(team).collect(),
             prices: PRICES,
-            months: Months::of_zone("UTC").expect("is a zone"),
-            near: NEAR,
-            stretch: STRETCH,
-            catch_up: CATCH_UP,
+            calendar: Calendar::in_zone("UTC").expect("is a zone"),
+            open_millionths: NEAR,
+            commitment: STRETCH,
+            catch_up_timeout: CATCH_UP,
             replicas: self.replicas,
             sites: self
                 .places
@@ -251,10 +251,10 @@
         for told in told {
             self.tell(now, told, &mut done);
         }
-        let due = self.exchange.keeper().due();
+        let due = self.exchange.keeper().next_tick();
         self.exchange.set_clock(MIDDLE_OF_MONTH + now.nanos() / 1_000_000);
         self.exchange.poll(now);
-        done.looked = self.exchange.keeper().due() != due;
+        done.looked = self.exchange.keeper().next_tick() != due;
         done.writes.changes = self.exchange.take_changes();
         done.writes.last_own = self.exchange.last_own(&done.writes.changes);
         self.take_sent(&mut done);
@@ -356,7 +356,7 @@
     /// Whether a change, or a later one of the same team, is known.
     #[must_use]
     pub fn knows(&self, change: ConfigChange) -> bool {
-        let orders = self.exchange.keeper().library().orders();
+        let orders = self.exchange.keeper().fleet_logs().orders();
         let known = orders.get(&Subject::Team(team_name(change.team)));
         known.is_some_and(|known| known.number >= change.number)
     }
@@ -370,13 +370,13 @@
     /// One figure for all that it knows, equal where two know the same.
     #[must_use]
     pub fn knowledge(&self) -> [u8; 16] {
-        self.exchange.keeper().library().all().0
+        self.exchange.keeper().fleet_logs().all().0
     }
 
     /// The life and the number of the last of its own rows that others may know.
     #[must_use]
     pub fn own_end(&self) -> (u64, u64) {
-        let library = self.exchange.keeper().library();
+        let library = self.exchange.keeper().fleet_logs();
         let number = library.told_tip(library.own()).map_or(0, |(number, _)| number);
         (library.own().life, number)
     }
@@ -384,7 +384,7 @@
     /// Whether it knows another's rows as far as that, or rows of a later life.
     #[must_use]
     pub fn knows_end(&self, member: usize, (life, number): (u64, u64)) -> bool {
-        let library = self.exchange.keeper().library();
+        let library = self.exchange.keeper().fleet_logs();
         let id = LogId { writer: member_name(member), life };
         let known = library.column(&id).map_or(0, |column| column.tip().0);
         known >= number || library.newest(&id.writer).is_some_and(|newest| newest > life)
