--- a/crates/ledger/src/exchange/receive.rs
+++ b/crates/ledger/src/exchange/receive.rs
@@ -132,7 +132,7 @@
                 let (team, month, life) = ((*team).into(), *month, *life);
                 self.receive_share_ask(
                     link,
-                    &ShareRequest { to: from, incarnation: life, team, month, parts },
+                    &ShareRequest { to: from, incarnation: life, team, month, amount: parts },
                 );
             }
             Message::ShareGiven { team, open, last, .. } => {
--- a/crates/ledger/src/exchange/share_transfer.rs
+++ b/crates/ledger/src/exchange/share_transfer.rs
@@ -38,7 +38,7 @@
             return;
         };
         self.figures.asks += 1;
-        let ShareRequest { team, month, incarnation: life, parts: Parts { open, last }, .. } = wanted;
+        let ShareRequest { team, month, incarnation: life, amount: Parts { open, last }, .. } = wanted;
         let message = Message::ShareAsk { team, month: *month, life: *life, open: *open, last: *last };
         self.write(link, &message);
         self.mark_used(link);
@@ -48,7 +48,7 @@
         let Some(link) = self.link_to(&reply.to) else { return };
         // The head of our log goes first, so that what was given can be used at once.
         self.push_now(link);
-        let ShareReply { team, month, record_number: number, parts: Parts { open, last }, .. } = reply;
+        let ShareReply { team, month, entry_number: number, amount: Parts { open, last }, .. } = reply;
         let message = Message::ShareGiven { team, month: *month, open: *open, last: *last, number: *number };
         self.write(link, &message);
     }
--- a/crates/ledger/tests/interleavings.rs
+++ b/crates/ledger/tests/interleavings.rs
@@ -41,7 +41,7 @@
         commitment: Duration::from_secs(10),
         catch_up_timeout: Duration::ZERO,
         replicas: None,
-        sites: BTreeMap::new(),
+        locations: BTreeMap::new(),
     }
 }
 
--- a/crates/ledger/tests/net/mod.rs
+++ b/crates/ledger/tests/net/mod.rs
@@ -115,7 +115,7 @@
         commitment: Duration::from_secs(10),
         catch_up_timeout: Duration::from_secs(3),
         replicas: REPLICAS.get(),
-        sites: (0..many).map(|n| (name(n), map.site(n))).collect(),
+        locations: (0..many).map(|n| (name(n), map.site(n))).collect(),
     }
 }
 
--- a/crates/planner/src/books.rs
+++ b/crates/planner/src/books.rs
@@ -93,7 +93,11 @@
         commitment: terms.stretch,
         catch_up_timeout: terms.catch_up,
         replicas: terms.replicas,
-        sites: terms.sites.iter().map(|(name, site)| (Name::from(name.as_str()), site_of(site))).collect(),
+        locations: terms
+            .sites
+            .iter()
+            .map(|(name, site)| (Name::from(name.as_str()), site_of(site)))
+            .collect(),
     };
     Some(BooksConf { settings, members, listen, orders, ahead, terms })
 }
--- a/crates/planner/src/books/tests.rs
+++ b/crates/planner/src/books/tests.rs
@@ -33,7 +33,7 @@
         region: region.map(Name::from),
     };
     let wanted = [site(Some("a"), Some("east")), site(None, Some("west")), site(None, None)];
-    assert!(conf.settings.sites.values().eq(&wanted), "{:?}", conf.settings.sites);
+    assert!(conf.settings.locations.values().eq(&wanted), "{:?}", conf.settings.locations);
     assert!(conf.terms.show().contains("    replicas 2\n") && !plain.terms.show().contains("replicas"));
     assert_eq!(conf.terms.sites["planner-1"].show(), " zone a region east");
 }
--- a/crates/quota/src/announcer.rs
+++ b/crates/quota/src/announcer.rs
@@ -2,7 +2,7 @@
 //!
 //! One announcement is enough. The holders of copies are ranked, and each waits longer than the one ranked
 //! before it: while all of them are up, the first announces and the others learn of it in time. Two
-//! announcements at the same time do no harm: the one with the higher record number applies.
+//! announcements at the same time do no harm: the one with the higher entry number applies.
 
 use mulleinhub_interface::{Duration, Timestamp};
 use mulleinhub_replicated_log::{Announced, Name, State};
@@ -15,7 +15,7 @@
 /// Least time between two announcements of one member by one holder.
 const ANNOUNCEMENT_INTERVAL: Duration = Duration::from_secs(10);
 
-/// How far a work log is known: an incarnation of its writer, and the number of its last record.
+/// How far a work log is known: an incarnation of its writer, and the number of its last entry.
 pub type Extent = (u64, u64);
 
 /// A silent member whose work may have to be announced, as this holder of a copy sees it.
--- a/crates/quota/src/ledger.rs
+++ b/crates/quota/src/ledger.rs
@@ -1,9 +1,9 @@
-//! The ledger of one scheduler: fills its reservation pools, writes its log records, and requests and grants
+//! The ledger of one scheduler: fills its reservation pools, writes its log entries, and requests and grants
 //! share transfers.
 //!
 //! What a scheduler may still use of a team's share follows from logs alone: its first share of the month,
 //! plus transfers received by this incarnation and those it continues, less what it reserved and gave away.
-//! Only the scheduler itself writes the records that reduce its share, and no record is pushed to others,
+//! Only the scheduler itself writes the entries that reduce its share, and no entry is pushed to others,
 //! used or answered for before it is on disk.
 //!
 //! [`Ledger`] owns the stores of both kinds of logs, the membership and the state of each team. Its host
@@ -20,8 +20,8 @@
 mod ticks;
 mod totals;
 mod transfers;
+mod work_entries;
 mod work_log_copies;
-mod work_records;
 
 pub use startup::Phase;
 pub use status::TeamStatus;
@@ -67,7 +67,7 @@
     catching_up_since: Option<Timestamp>,
     /// The members that told us all they know while we catch up.
     synced_members: BTreeSet<Name>,
-    /// The end of the fleet log of our last incarnation as found on disk: incarnation and record number.
+    /// The end of the fleet log of our last incarnation as found on disk: incarnation and entry number.
     restored_extent: Option<(u64, u64)>,
     month: Option<Month>,
     /// By index of the team in the settings.
@@ -106,13 +106,14 @@
     ) -> Self {
         let mut settings = settings;
         for name in &settings.members {
-            settings.sites.entry(name.clone()).or_default();
+            settings.locations.entry(name.clone()).or_default();
         }
         let own = LogId { writer: settings.me.clone(), life: incarnation };
         let mut fleet_logs = LogStore::new(own.clone());
         let mut work_logs = LogStore::new(own);
-        let mut alerts = fleet_logs.restore(restored.fleet);
-        alerts.extend(work_logs.restore(restored.work));
+        let mut damaged = fleet_logs.restore(restored.fleet);
+        damaged.extend(work_logs.restore(restored.work));
+        let alerts = damaged.iter().map(ToString::to_string).collect();
         let restored_extent = start_after_restored(&settings.me, &mut fleet_logs, &mut work_logs);
         let others = settings.members.iter().filter(|name| **name != settings.me).cloned();
         Self {
@@ -159,7 +160,7 @@
 }
 
 /// Makes our incarnation a later one than all that were restored. Returns the end of the last one's fleet
-/// log: incarnation and record number.
+/// log: incarnation and entry number.
 fn start_after_restored(
     me: &Name,
     fleet_logs: &mut LogStore,
@@ -231,7 +232,7 @@
     /// `is_usable` is true.
     pub fn replicas(&self, is_usable: impl Fn(&Name) -> bool) -> Vec<Name> {
         let count = if self.writes_work_log { self.settings.replicas.unwrap_or(0) } else { 0 };
-        replicas(&self.settings.me, &self.settings.sites, count, is_usable)
+        replicas(&self.settings.me, &self.settings.locations, count, is_usable)
     }
 
     /// Whether the ledger is still catching up.
@@ -272,7 +273,7 @@
 
 /// What the host reports.
 impl Ledger {
-    /// Our records up to these are on disk.
+    /// Our entries up to these are on disk.
     pub fn on_durable(&mut self, reached: Reached) {
         self.fleet_logs.is_durable(reached.fleet);
         self.work_logs.is_durable(reached.work);
--- a/crates/quota/src/ledger/balances.rs
+++ b/crates/quota/src/ledger/balances.rs
@@ -47,9 +47,9 @@
         let balance = self.fleet_logs.purse(member, name, month);
         let given = self.fleet_logs.gave(member, name, month);
         let signed = |part: fn(Parts) -> u64| {
-            let [first, received, lost, drawn, given] =
+            let [first, received, voided, reserved, given] =
                 [first, received, balance.lost, balance.drawn, given].map(|parts| i128::from(part(parts)));
-            first + received + lost - drawn - given
+            first + received + voided - reserved - given
         };
         (signed(|parts| parts.open), signed(|parts| parts.last))
     }
--- a/crates/quota/src/ledger/months.rs
+++ b/crates/quota/src/ledger/months.rs
@@ -91,7 +91,7 @@
         states.iter().filter_map(accounted_until).max()
     }
 
-    /// Writes a team's balance, and returns the number of the record.
+    /// Writes a team's balance, and returns the number of the entry.
     pub(super) fn write_balance(&mut self, team: usize, month: u32) -> u64 {
         let (name, balance) = (self.settings.teams[team].name.clone(), self.teams[team].balance);
         self.fleet_logs.write(&Entry::Balance { team: name, month, purse: balance })
--- a/crates/quota/src/ledger/startup.rs
+++ b/crates/quota/src/ledger/startup.rs
@@ -1,4 +1,4 @@
-//! From a restart to the first record of a new incarnation.
+//! From a restart to the first entry of a new incarnation.
 
 use super::Ledger;
 use crate::calendar::Month;
@@ -25,7 +25,7 @@
         let others = self.membership.len();
         let waited =
             self.catching_up_since.is_some_and(|since| now - since >= self.settings.catch_up_timeout);
-        // Every record that was ever pushed is by then known to most of the others, or to members that can't
+        // Every entry that was ever pushed is by then known to most of the others, or to members that can't
         // be reached.
         let majority = others.div_ceil(2);
         self.synced_members.len() >= others || (waited && self.synced_members.len() >= majority)
@@ -51,7 +51,7 @@
             team_state.balance = state.purse(&team.name, number);
             team_state.spent_before = team_state.balance.spent;
         }
-        // Directives that came ahead of their records are recorded by whoever received them.
+        // Directives that came ahead of their entries are recorded by whoever received them.
         for (subject, standing) in self.fleet_logs.orders().iter() {
             state.orders.insert(subject.clone(), *standing);
         }
--- a/crates/quota/src/ledger/team_state.rs
+++ b/crates/quota/src/ledger/team_state.rs
@@ -6,11 +6,11 @@
 use mulleinhub_replicated_log::{Balance, Name, Parts};
 use std::collections::{BTreeMap, VecDeque};
 
-/// A reservation that becomes available once the record of it is on disk.
+/// A reservation that becomes available once the entry of it is on disk.
 #[derive(Debug)]
 struct PendingReservation {
-    record_number: u64,
-    parts: Parts,
+    entry_number: u64,
+    amount: Parts,
 }
 
 /// A share request that waits for its reply.
@@ -71,26 +71,26 @@
         }
     }
 
-    pub(super) fn add_pending_reservation(&mut self, record_number: u64, parts: Parts) {
-        self.pending_reservations.push_back(PendingReservation { record_number, parts });
+    pub(super) fn add_pending_reservation(&mut self, entry_number: u64, amount: Parts) {
+        self.pending_reservations.push_back(PendingReservation { entry_number, amount });
     }
 
-    /// Takes the reservations whose records are on disk, up to `durable`.
+    /// Takes the reservations whose entries are on disk, up to `durable`.
     pub(super) fn take_durable_reservations(&mut self, durable: u64) -> Parts {
         let mut ready = Parts::default();
         self.pending_reservations.retain(|reservation| {
-            if reservation.record_number > durable {
+            if reservation.entry_number > durable {
                 return true;
             }
-            ready = ready.plus(reservation.parts);
+            ready = ready.plus(reservation.amount);
             false
         });
         ready
     }
 
-    /// The sum of reservations whose records are not on disk yet.
+    /// The sum of reservations whose entries are not on disk yet.
     pub(super) fn pending_reservations(&self) -> Parts {
-        self.pending_reservations.iter().fold(Parts::default(), |sum, r| sum.plus(r.parts))
+        self.pending_reservations.iter().fold(Parts::default(), |sum, r| sum.plus(r.amount))
     }
 
     pub(super) fn clear_pending_reservations(&mut self) {
--- a/crates/quota/src/ledger/ticks.rs
+++ b/crates/quota/src/ledger/ticks.rs
@@ -8,7 +8,7 @@
 use crate::pace::{self, Pace};
 use crate::reservation_pool::{PoolSnapshot, ReservationPools, RetryAfter, TeamLimits};
 use crate::share_policy;
-use crate::work_routing::MAX_WORKERS_PER_RECORD;
+use crate::work_routing::MAX_WORKERS_PER_ENTRY;
 use mulleinhub_interface::{Duration, Timestamp};
 use mulleinhub_replicated_log::{Entry, Name, Parts, Subject, Word};
 
@@ -148,9 +148,9 @@
         state.balance.spent = spent;
         state.balance.beyond = plan.snapshot.debt;
         state.balance.at = tick.utc;
-        let record_number = self.write_balance(team, tick.month.number);
+        let entry_number = self.write_balance(team, tick.month.number);
         if to_reserve != NOTHING {
-            self.teams[team].add_pending_reservation(record_number, to_reserve);
+            self.teams[team].add_pending_reservation(entry_number, to_reserve);
         }
     }
 
@@ -194,7 +194,7 @@
     fn record_admitted_before_suspension(&mut self, utc: u64, team: usize, keys: &[u64]) {
         let name = &self.settings.teams[team].name;
         let work: Vec<(u64, Name)> = keys.iter().map(|key| (*key, name.clone())).collect();
-        for work in work.chunks(MAX_WORKERS_PER_RECORD) {
+        for work in work.chunks(MAX_WORKERS_PER_ENTRY) {
             self.fleet_logs.write(&Entry::Passes { at: utc, work: work.to_vec() });
         }
     }
--- a/crates/quota/src/ledger/totals.rs
+++ b/crates/quota/src/ledger/totals.rs
@@ -1,6 +1,6 @@
 //! What all logs together say of each team's cap: what was spent of it, and what our share of it is.
 //!
-//! The part that others' logs say is cached for each team, and recomputed only after a new record about that
+//! The part that others' logs say is cached for each team, and recomputed only after a new entry about that
 //! team. What we ourselves reserved, spent and gave away is read from our own log each time.
 
 use super::Ledger;
@@ -73,7 +73,7 @@
     }
 }
 
-/// The totals of all teams about which there was no new record.
+/// The totals of all teams about which there was no new entry.
 #[derive(Debug, Default)]
 pub(super) struct TotalsCache {
     month: u32,
@@ -91,7 +91,7 @@
 }
 
 impl Ledger {
-    /// Recomputes the totals of those teams about which there are new records.
+    /// Recomputes the totals of those teams about which there are new entries.
     pub(super) fn refresh_totals(&mut self) {
         let mut cache = std::mem::take(&mut self.totals);
         let month = self.month_number();
@@ -121,7 +121,7 @@
         self.totals = cache;
     }
 
-    /// The totals of a team: the cached ones, unless there are new records.
+    /// The totals of a team: the cached ones, unless there are new entries.
     pub(super) fn totals(&self, team: usize, month: u32) -> TeamTotals {
         let cache = &self.totals;
         let is_current = cache.month == month
--- a/crates/quota/src/ledger/totals/tests.rs
+++ b/crates/quota/src/ledger/totals/tests.rs
@@ -39,21 +39,21 @@
     Snapshot {
         log: usize,
     },
-    /// An incarnation that continues the first so many records of a log; where it is `void`, nothing of
+    /// An incarnation that continues the first so many entries of a log; where it is `void`, nothing of
     /// its share is left.
     Incarnation {
         log: usize,
-        records: usize,
+        entries: usize,
         void: bool,
     },
     /// The log forks: it is continued in two ways.
     Fork {
         log: usize,
     },
-    /// We receive so many records of a log.
+    /// We receive so many entries of a log.
     Receive {
         log: usize,
-        records: usize,
+        entries: usize,
     },
     Directive {
         team: usize,
@@ -85,9 +85,9 @@
         1 => l.clone().prop_map(|log| Event::Month { log }),
         1 => l.clone().prop_map(|log| Event::Snapshot { log }),
         2 => (l.clone(), 0..40usize, any::<bool>())
-            .prop_map(|(log, records, void)| Event::Incarnation { log, records, void }),
+            .prop_map(|(log, entries, void)| Event::Incarnation { log, entries, void }),
         1 => l.clone().prop_map(|log| Event::Fork { log }),
-        12 => (log, 1..12usize).prop_map(|(log, records)| Event::Receive { log, records }),
+        12 => (log, 1..12usize).prop_map(|(log, entries)| Event::Receive { log, entries }),
         2 => (t.clone(), a.clone()).prop_map(|(team, cap)| Event::Directive { team, cap }),
         3 => (t.clone(), a.clone()).prop_map(|(team, amount)| Event::OwnBalance { team, amount }),
         2 => (team, to, amount).prop_map(|(team, to, amount)| Event::OwnTransfer { team, to, amount }),
@@ -117,7 +117,7 @@
         commitment: Duration::from_secs(10),
         catch_up_timeout: Duration::from_secs(3),
         replicas: None,
-        sites: BTreeMap::new(),
+        locations: BTreeMap::new(),
     }
 }
 
@@ -161,7 +161,7 @@
         log.push(&entry.bytes()).expect("the log goes on");
     }
 
-    fn receive(&mut self, log: usize, records: usize) {
+    fn receive(&mut self, log: usize, entries: usize) {
         let (id, log) = self.log(log).clone();
         let (known, _) = self.ledger.fleet_logs.known_of(&id);
         let (base, _) = log.base();
@@ -170,10 +170,10 @@
         let is_other = log.digest_at(known) != Some(self.ledger.fleet_logs.known_of(&id).1);
         let after = if is_other || known > head { base } else { known.max(base) };
         let digest = log.digest_at(after).expect("it is kept");
-        let rows = log.rows_after(after).take(records);
+        let rows = log.rows_after(after).take(entries);
         let rows: Vec<Vec<u8>> = rows.map(|row| row.bytes.to_vec()).collect();
         let rows: Vec<&[u8]> = rows.iter().map(|row| &**row).collect();
-        // Records that don't follow are refused, and must not change anything.
+        // Entries that don't follow are refused, and must not change anything.
         let _ = self.ledger.fleet_logs.take(&id, after, digest, &rows);
     }
 
@@ -203,10 +203,10 @@
                 let state = self.log(log).1.state().clone();
                 self.write(log, &Entry::Sum(Box::new(state)));
             }
-            Event::Incarnation { log, records, void } => {
+            Event::Incarnation { log, entries, void } => {
                 let (id, log) = self.log(log).clone();
                 let (base, head) = (log.base().0, log.tip().0);
-                let number = (base + 1 + records as u64).min(head);
+                let number = (base + 1 + entries as u64).min(head);
                 let digest = log.digest_at(number).expect("it is kept");
                 let mut state = log.state_at(number).expect("it is kept");
                 let own = self.logs.iter().filter(|(other, _)| other.writer == id.writer);
@@ -221,7 +221,7 @@
                 let (id, log) = self.log(log).clone();
                 self.logs.push((id, log));
             }
-            Event::Receive { log, records } => self.receive(log, records),
+            Event::Receive { log, entries } => self.receive(log, entries),
             Event::Directive { team, cap } => {
                 self.directives += 1;
                 let word = Word::Cap { amount: cap };
--- a/crates/quota/src/ledger/transfers.rs
+++ b/crates/quota/src/ledger/transfers.rs
@@ -27,10 +27,10 @@
     /// The month, as numbered by [`crate::Month::number`].
     pub month: u32,
     /// The amounts requested.
-    pub parts: Parts,
+    pub amount: Parts,
 }
 
-/// The reply to a share request, sent once the record of the transfer is on disk.
+/// The reply to a share request, sent once the entry of the transfer is on disk.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ShareReply {
     /// The requesting member.
@@ -40,15 +40,15 @@
     /// The month of the request.
     pub month: u32,
     /// What was transferred, possibly nothing.
-    pub parts: Parts,
-    /// The number of the transfer's record in our fleet log; 0 where nothing was transferred.
-    pub record_number: u64,
+    pub amount: Parts,
+    /// The number of the transfer's entry in our fleet log; 0 where nothing was transferred.
+    pub entry_number: u64,
 }
 
 /// Granting.
 impl Ledger {
     /// Another member requests a part of our share. The transfer is recorded now; the reply follows once the
-    /// record is on disk.
+    /// entry is on disk.
     pub fn on_share_request(
         &mut self,
         now: Timestamp,
@@ -57,12 +57,12 @@
         request: &ShareRequest,
         pools: &mut dyn ReservationPools,
     ) {
-        let (parts, record_number) = self.grant(now, from, incarnation, request, pools);
+        let (amount, entry_number) = self.grant(now, from, incarnation, request, pools);
         let (team, month) = (request.team.clone(), request.month);
-        self.share_replies.push(ShareReply { to: from.clone(), team, month, parts, record_number });
+        self.share_replies.push(ShareReply { to: from.clone(), team, month, amount, entry_number });
     }
 
-    /// Transfers what can be spared, and returns it with the number of its record; zeros for nothing.
+    /// Transfers what can be spared, and returns it with the number of its entry; zeros for nothing.
     fn grant(
         &mut self,
         now: Timestamp,
@@ -81,14 +81,14 @@
         let mut snapshot = PoolSnapshot::default();
         pools.with_pool(team, &mut |pool| snapshot = pool.take_snapshot(now));
         self.teams[team].demand.record(now, snapshot.requested);
-        let wanted = share_policy::amount_to_give(free.plus(snapshot.available), usage, request.parts);
+        let wanted = share_policy::amount_to_give(free.plus(snapshot.available), usage, request.amount);
         if wanted == Parts::default() {
             return NOTHING;
         }
         self.return_reserved(team, request.month, wanted.less(free), pools);
         let free = self.own_share(team, request.month).free;
-        let parts = Parts { open: wanted.open.min(free.open), last: wanted.last.min(free.last) };
-        if parts == Parts::default() {
+        let amount = Parts { open: wanted.open.min(free.open), last: wanted.last.min(free.last) };
+        if amount == Parts::default() {
             return NOTHING;
         }
         let transfer = ShareTransfer {
@@ -97,33 +97,33 @@
             to: from.clone(),
             life: incarnation,
         };
-        (parts, self.write_transfer(transfer, parts))
+        (amount, self.write_transfer(transfer, amount))
     }
 
     /// Returns up to so much from the pool into our share.
-    fn return_reserved(&mut self, team: usize, month: u32, parts: Parts, pools: &mut dyn ReservationPools) {
-        if parts == Parts::default() {
+    fn return_reserved(&mut self, team: usize, month: u32, amount: Parts, pools: &mut dyn ReservationPools) {
+        if amount == Parts::default() {
             return;
         }
         let mut returned = Parts::default();
-        pools.with_pool(team, &mut |pool| returned = pool.withdraw(parts));
+        pools.with_pool(team, &mut |pool| returned = pool.withdraw(amount));
         let balance = &mut self.teams[team].balance;
         balance.drawn = balance.drawn.less(returned);
         self.write_balance(team, month);
     }
 
-    /// Records a transfer. Records carry the sum of all transfers to an incarnation of a member.
-    fn write_transfer(&mut self, transfer: ShareTransfer, parts: Parts) -> u64 {
+    /// Records a transfer. Entries carry the sum of all transfers to an incarnation of a member.
+    fn write_transfer(&mut self, transfer: ShareTransfer, amount: Parts) -> u64 {
         let own = self.fleet_logs.state_of(&self.settings.me);
         let before = own.and_then(|state| state.gave.get(&transfer)).copied().unwrap_or_default();
-        self.fleet_logs.write(&Entry::Gave { gift: transfer, parts: before.plus(parts) })
+        self.fleet_logs.write(&Entry::Gave { gift: transfer, parts: before.plus(amount) })
     }
 
-    /// Takes the replies whose records are on disk.
+    /// Takes the replies whose entries are on disk.
     pub fn take_share_replies(&mut self) -> Vec<ShareReply> {
         let durable = self.fleet_logs.durable();
         let replies = std::mem::take(&mut self.share_replies).into_iter();
-        let (ready, waiting) = replies.partition(|reply| reply.record_number <= durable);
+        let (ready, waiting) = replies.partition(|reply| reply.entry_number <= durable);
         self.share_replies = waiting;
         ready
     }
@@ -136,21 +136,21 @@
         std::mem::take(&mut self.share_requests)
     }
 
-    /// Another member's reply to our request. What it transferred counts once its log record arrives.
-    pub fn on_share_reply(&mut self, now: Timestamp, from: &Name, team: &Name, parts: Parts) {
+    /// Another member's reply to our request. What it transferred counts once its log entry arrives.
+    pub fn on_share_reply(&mut self, now: Timestamp, from: &Name, team: &Name, amount: Parts) {
         let Some(team) = self.settings.teams.iter().position(|t| t.name == *team) else { return };
         let backoff_until = now + DONOR_BACKOFF * (1.0 + self.random.part());
         let state = &mut self.teams[team];
         if state.outstanding_request.as_ref().is_some_and(|request| request.donor == *from) {
             state.outstanding_request = None;
-            if parts == Parts::default() {
+            if amount == Parts::default() {
                 state.donor_backoff.insert(from.clone(), backoff_until);
             }
         }
     }
 
     /// Requests a part of another member's share, unless a request is outstanding.
-    pub(super) fn request_share(&mut self, now: Timestamp, team: usize, month: u32, parts: Parts) {
+    pub(super) fn request_share(&mut self, now: Timestamp, team: usize, month: u32, amount: Parts) {
         let state = &mut self.teams[team];
         if state.outstanding_request.as_ref().is_some_and(|request| now < request.deadline) {
             return;
@@ -160,21 +160,21 @@
             state.donor_backoff.insert(request.donor, now + DONOR_BACKOFF);
         }
         let was_checked = state.donors_checked_at.is_some_and(|at| now - at < DONOR_CHECK_INTERVAL);
-        if parts == Parts::default() || was_checked {
+        if amount == Parts::default() || was_checked {
             return;
         }
         state.donors_checked_at = Some(now);
         state.donor_backoff.retain(|_, until| now < *until);
-        let Some(donor) = self.choose_donor(now, team, month, parts) else { return };
+        let Some(donor) = self.choose_donor(now, team, month, amount) else { return };
         let deadline = now + REPLY_TIMEOUT;
         self.teams[team].outstanding_request = Some(OutstandingRequest { donor: donor.clone(), deadline });
         let (incarnation, team) = (self.incarnation(), self.settings.teams[team].name.clone());
-        self.share_requests.push(ShareRequest { to: donor, incarnation, team, month, parts });
+        self.share_requests.push(ShareRequest { to: donor, incarnation, team, month, amount });
     }
 
     /// Computes what others have of a team's share, and chooses one of them to request a transfer from.
-    fn choose_donor(&mut self, now: Timestamp, team: usize, month: u32, parts: Parts) -> Option<Name> {
-        let needs_open = parts.open > 0;
+    fn choose_donor(&mut self, now: Timestamp, team: usize, month: u32, amount: Parts) -> Option<Name> {
+        let needs_open = amount.open > 0;
         let wanted_part = |has: Parts| if needs_open { has.open } else { has.last };
         let remaining = self.remaining_of_others(team, month).into_iter();
         let others: Vec<(Name, u64)> = remaining.map(|(name, has)| (name, wanted_part(has))).collect();
--- a/crates/quota/src/ledger/work_records.rs
+++ b/crates/quota/src/ledger/work_entries.rs
@@ -1,4 +1,4 @@
-//! Records of our own work: in which of our two logs it is recorded while it runs, and when a member joins
+//! Entries of our own work: in which of our two logs it is recorded while it runs, and when a member joins
 //! that reads only one of them.
 
 use super::Ledger;
@@ -26,20 +26,20 @@
         self.writes_work_log = false;
         let me = self.settings.me.clone();
         let running = self.work_logs.state_of(&me).map(|state| state.running.clone()).unwrap_or_default();
-        self.write_all(Kind::Fleet, &work_routing::started_records(running.iter()));
-        self.write_all(Kind::Work, &work_routing::moved_records(utc, running.into_keys()));
+        self.write_all(Kind::Fleet, &work_routing::started_entries(running.iter()));
+        self.write_all(Kind::Work, &work_routing::moved_entries(utc, running.into_keys()));
         let own = self.fleet_logs.state_of(&me);
         let announced = own.map(|state| state.announced.clone()).unwrap_or_default();
         for announced in announced.into_values() {
-            self.write_all(Kind::Fleet, &work_routing::readmissible_records(utc, &announced.work));
+            self.write_all(Kind::Fleet, &work_routing::readmissible_entries(utc, &announced.work));
         }
     }
 
-    /// Writes records into one of our logs.
-    pub(super) fn write_all(&mut self, kind: Kind, records: &[Entry]) {
+    /// Writes entries into one of our logs.
+    pub(super) fn write_all(&mut self, kind: Kind, entries: &[Entry]) {
         let logs = self.logs_mut(kind);
-        for record in records {
-            logs.write(record);
+        for entry in entries {
+            logs.write(entry);
         }
     }
 
@@ -61,7 +61,11 @@
             let mut events = std::mem::take(&mut self.event_buffer);
             pools.with_pool(team, &mut |pool| events = pool.take_events(std::mem::take(&mut events)));
             for event in events.drain(..) {
-                self.add_worker_event(now, utc, team, event, &mut changes, pools);
+                if let WorkerEvent::Adopted { key, rate, at } = event {
+                    let adopted_at = utc.saturating_sub((now - at).nanos() / 1_000_000);
+                    self.charge_gap(now, &AdoptedWorker { team, key, rate, adopted_at }, pools);
+                }
+                self.add_worker_event(team, event, &mut changes);
             }
             self.event_buffer = events;
         }
@@ -71,28 +75,18 @@
         self.write_work_changes(utc, changes);
     }
 
-    fn add_worker_event(
-        &mut self,
-        now: Timestamp,
-        utc: u64,
-        team: usize,
-        event: WorkerEvent,
-        changes: &mut WorkChanges,
-        pools: &mut dyn ReservationPools,
-    ) {
+    fn add_worker_event(&mut self, team: usize, event: WorkerEvent, changes: &mut WorkChanges) {
         let name = self.settings.teams[team].name.clone();
         match event {
-            WorkerEvent::Started { key, rate, readmitted } => {
-                changes.readmitted.extend(readmitted.then_some(key));
+            WorkerEvent::Started { key, rate, is_replacement } => {
+                changes.replacements.extend(is_replacement.then_some(key));
                 changes.started.push((key, name, rate));
             }
-            WorkerEvent::Adopted { key, rate, at } => {
+            WorkerEvent::Adopted { key, rate, .. } => {
                 self.adopted.insert(key);
-                let adopted_at = utc.saturating_sub((now - at).nanos() / 1_000_000);
-                self.charge_gap(now, &AdoptedWorker { team, key, rate, adopted_at }, pools);
                 // What our own work log has runs on under the same scheduler.
                 let is_ours = self.writes_work_log && self.runs_in_own_log(Kind::Work, key);
-                changes.readmitted.extend((!is_ours).then_some(key));
+                changes.replacements.extend((!is_ours).then_some(key));
                 changes.started.push((key, name, rate));
             }
             WorkerEvent::Ended { key, readmissible } => {
@@ -119,7 +113,7 @@
 
     fn write_work_changes(&mut self, utc: u64, changes: WorkChanges) {
         if !self.writes_work_log {
-            return self.write_all(Kind::Fleet, &changes.records(utc));
+            return self.write_all(Kind::Fleet, &changes.entries(utc));
         }
         if changes == WorkChanges::default() {
             return;
@@ -129,10 +123,10 @@
         let states = self.fleet_states();
         let in_fleet = self.fleet_logs.state_of(me).map_or(&none, |state| &state.running);
         let in_work = self.work_logs.state_of(me).map_or(&none, |state| &state.running);
-        let record = |key| readmission::fleet_record(me, key, &states);
-        let RoutedChanges { fleet, work } = work_routing::route(changes, in_fleet, in_work, record);
-        self.write_all(Kind::Fleet, &fleet.records(utc));
-        self.write_all(Kind::Work, &work.records(utc));
+        let known_work = |key| readmission::known_work(me, key, &states);
+        let RoutedChanges { fleet, work } = work_routing::route(changes, in_fleet, in_work, known_work);
+        self.write_all(Kind::Fleet, &fleet.entries(utc));
+        self.write_all(Kind::Work, &work.entries(utc));
     }
 
     /// Moves work from our work log to the fleet log if others' fleet logs have the same keys.
@@ -146,10 +140,10 @@
             return;
         }
         let work: Vec<(u64, Work)> = keys.iter().map(|key| (*key, ours[key].clone())).collect();
-        let mut records = work_routing::started_records(work.iter().map(|(key, work)| (key, work)));
-        let readmitted = WorkChanges { readmitted: keys.clone(), ..WorkChanges::default() };
-        records.extend(readmitted.records(utc));
-        self.write_all(Kind::Fleet, &records);
-        self.write_all(Kind::Work, &work_routing::moved_records(utc, keys.into_iter()));
+        let mut entries = work_routing::started_entries(work.iter().map(|(key, work)| (key, work)));
+        let replacements = WorkChanges { replacements: keys.clone(), ..WorkChanges::default() };
+        entries.extend(replacements.entries(utc));
+        self.write_all(Kind::Fleet, &entries);
+        self.write_all(Kind::Work, &work_routing::moved_entries(utc, keys.into_iter()));
     }
 }
--- a/crates/quota/src/ledger/work_log_copies.rs
+++ b/crates/quota/src/ledger/work_log_copies.rs
@@ -3,7 +3,7 @@
 
 use super::Ledger;
 use crate::announcer::{self, SilentMember};
-use crate::work_routing::{self, MAX_WORKERS_PER_RECORD, Running};
+use crate::work_routing::{self, MAX_WORKERS_PER_ENTRY, Running};
 use mulleinhub_interface::{Duration, Timestamp};
 use mulleinhub_replicated_log::{
     Announced, Entry, Kind, Log, LogId, MemberState, Name, State, TAKEN_BACK, Work, replicas,
@@ -19,7 +19,7 @@
 
 impl Ledger {
     /// Drops copies of members that are alive and whose replica we have not been for long. A member that
-    /// sees this differently sends its log again with its next record.
+    /// sees this differently sends its log again with its next entry.
     pub(super) fn drop_spare_copies(&mut self, now: Timestamp) {
         let is_due = now - self.spare_copies_checked_at >= SPARE_CHECK_INTERVAL;
         let Some(count) = self.settings.replicas.filter(|_| is_due) else { return };
@@ -44,7 +44,7 @@
     fn copy_holders(&self, now: Timestamp, writer: &Name, count: usize) -> Vec<Name> {
         let me = &self.settings.me;
         let is_usable = |name: &Name| name == me || self.membership.presence(now, name) != MemberState::Dead;
-        replicas(writer, &self.settings.sites, count, is_usable)
+        replicas(writer, &self.settings.locations, count, is_usable)
     }
 
     /// Announces the work of members that are silent, and takes back our announcements of those that are up
@@ -62,7 +62,7 @@
         self.take_back_announcements(now);
     }
 
-    /// Our copy of a writer's work log: incarnation, number of the last record, and state.
+    /// Our copy of a writer's work log: incarnation, number of the last entry, and state.
     pub(super) fn copy_of(&self, writer: &Name) -> Option<(u64, u64, &State)> {
         let incarnation = self.work_logs.newest(writer)?;
         let log = self.work_logs.column(&LogId { writer: writer.clone(), life: incarnation })?;
@@ -90,14 +90,14 @@
             return;
         }
         let id = LogId { writer: writer.clone(), life: incarnation };
-        let mut records = announcement_records(&id, number, &running);
+        let mut entries = announcement_entries(&id, number, &running);
         if self.has_legacy_members() {
-            records.extend(work_routing::readmissible_records(utc, &running));
+            entries.extend(work_routing::readmissible_entries(utc, &running));
         }
-        self.write_all(Kind::Fleet, &records);
+        self.write_all(Kind::Fleet, &entries);
     }
 
-    /// How far a writer's work log was announced by anybody: incarnation and record number.
+    /// How far a writer's work log was announced by anybody: incarnation and entry number.
     fn announced_extent(&self, writer: &Name) -> Option<(u64, u64)> {
         let states = self.fleet_states();
         let announced = announcer::newest_announcements(states.iter().map(|(_, state)| *state));
@@ -126,7 +126,7 @@
         if !present.reads_work_logs() {
             let lost = state.running.iter().filter(|(key, _)| !present.running.contains_key(key));
             let lost: Running = lost.map(|(key, work)| (*key, work.clone())).collect();
-            self.write_all(Kind::Fleet, &work_routing::readmissible_records(utc, &lost));
+            self.write_all(Kind::Fleet, &work_routing::readmissible_entries(utc, &lost));
         }
         self.work_logs.drop_writer(writer);
     }
@@ -139,22 +139,22 @@
             is_later && self.membership.presence(now, writer) == MemberState::Alive
         };
         let outdated = own.announced.iter().filter(is_outdated);
-        let records = outdated.map(|(writer, announced)| Entry::Announced {
+        let entries = outdated.map(|(writer, announced)| Entry::Announced {
             of: LogId { writer: writer.clone(), life: announced.life },
             number: TAKEN_BACK,
             work: Vec::new(),
         });
-        let records: Vec<Entry> = records.collect();
-        self.write_all(Kind::Fleet, &records);
+        let entries: Vec<Entry> = entries.collect();
+        self.write_all(Kind::Fleet, &entries);
     }
 }
 
-/// Records that announce the work of a writer's work log up to a record number; at least one.
-fn announcement_records(id: &LogId, number: u64, running: &Running) -> Vec<Entry> {
+/// Entries that announce the work of a writer's work log up to a entry number; at least one.
+fn announcement_entries(id: &LogId, number: u64, running: &Running) -> Vec<Entry> {
     let work: Vec<(u64, Work)> = running.iter().map(|(key, work)| (*key, work.clone())).collect();
     if work.is_empty() {
         return vec![Entry::Announced { of: id.clone(), number, work }];
     }
-    let chunks = work.chunks(MAX_WORKERS_PER_RECORD);
+    let chunks = work.chunks(MAX_WORKERS_PER_ENTRY);
     chunks.map(|work| Entry::Announced { of: id.clone(), number, work: work.to_vec() }).collect()
 }
--- a/crates/quota/src/lib.rs
+++ b/crates/quota/src/lib.rs
@@ -6,7 +6,7 @@
 //! suspended account gets no new workers.
 //!
 //! * [`ReservationPool`] decides whether a worker is admitted, and accounts for what workers cost.
-//! * [`Ledger`] fills the pools, writes this scheduler's log records, and requests and grants transfers.
+//! * [`Ledger`] fills the pools, writes this scheduler's log entries, and requests and grants transfers.
 //!
 //! Amounts of money are in micro-units, rates in micro-units per second. This crate has no sockets, files,
 //! clocks or threads and does not choose machines: time is an argument of every call.
--- a/crates/quota/src/pace.rs
+++ b/crates/quota/src/pace.rs
@@ -8,13 +8,13 @@
 use mulleinhub_interface::Duration;
 use mulleinhub_replicated_log::Balance;
 
-/// Least time between two records of what a team spent, where nothing else changed. After a crash, the cost
+/// Least time between two entries of what a team spent, where nothing else changed. After a crash, the cost
 /// of this long is unaccounted for and has to be recomputed.
 pub const MIN_PERIOD: Duration = Duration::from_secs(1);
 /// Approximate cost of one balance at each member, in bytes.
 const BALANCE_BYTES: u64 = 64;
 /// Approximate cost of one batch of balances at each member beside the balances: log heads and requests for
-/// records, in bytes.
+/// entries, in bytes.
 const BATCH_BYTES: u64 = 400;
 /// What balances of the whole fleet may cost each member, in bytes per second.
 const BYTES_PER_SECOND: u64 = 4_096;
@@ -24,7 +24,7 @@
 /// How often a team's balance is written, and for how long a reservation lasts.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Pace {
-    /// Time between two records of a team's balance.
+    /// Time between two entries of a team's balance.
     pub period: Duration,
     /// How much is reserved at a time, in seconds of usage.
     pub reservation_seconds: f64,
--- a/crates/quota/src/readmission.rs
+++ b/crates/quota/src/readmission.rs
@@ -2,7 +2,7 @@
 
 use crate::reservation_pool::Readmission;
 use crate::settings::Team;
-use crate::work_routing::{FleetRecord, Running};
+use crate::work_routing::{KnownWork, Running};
 use mulleinhub_replicated_log::{Announced, COMES_AGAIN, Displaced, Name, State};
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
@@ -13,11 +13,11 @@
     pub incarnation: u64,
     /// The state of its fleet log in that incarnation.
     pub state: &'a State,
-    /// Our copy of its work log, or our own: incarnation, number of the last record, and state.
+    /// Our copy of its work log, or our own: incarnation, number of the last entry, and state.
     pub work_log: Option<(u64, u64, &'a State)>,
     /// Nobody can tell at present whether its work has ended.
     pub is_silent: bool,
-    /// It is this scheduler: `work_log` is the log itself, while the logs of others may have more records.
+    /// It is this scheduler: `work_log` is the log itself, while the logs of others may have more entries.
     pub is_me: bool,
 }
 
@@ -47,9 +47,11 @@
     let mut collector = Collector::new(teams, writers);
     for writer in writers {
         let state = writer.state;
-        let may = |(_, displaced): &(&u64, &Displaced)| displaced.until > utc;
-        state.passes.iter().filter(may).for_each(|(key, d)| collector.add(&d.team, *key, false, d.until));
-        state.loose.iter().filter(may).for_each(|(key, d)| collector.add(&d.team, *key, true, d.until));
+        let is_valid = |(_, displaced): &(&u64, &Displaced)| displaced.until > utc;
+        let admitted = state.passes.iter().filter(is_valid);
+        admitted.for_each(|(key, d)| collector.add(&d.team, *key, false, d.until));
+        let displaced = state.loose.iter().filter(is_valid);
+        displaced.for_each(|(key, d)| collector.add(&d.team, *key, true, d.until));
         if !writer.is_silent {
             continue;
         }
@@ -123,16 +125,16 @@
 }
 
 /// What the fleet logs say of a key that `me` might start or has started.
-pub fn fleet_record(me: &Name, key: u64, states: &[(Name, &State)]) -> Option<FleetRecord> {
+pub fn known_work(me: &Name, key: u64, states: &[(Name, &State)]) -> Option<KnownWork> {
     let ran = |(writer, state): &(Name, &State)| {
         let runs_elsewhere = writer != me && state.running.contains_key(&key);
         let is_announced = state.announced.iter().any(|(of, a)| of != me && a.work.contains_key(&key));
         runs_elsewhere || is_announced || state.loose.contains_key(&key)
     };
     if states.iter().any(ran) {
-        return Some(FleetRecord::Ran);
+        return Some(KnownWork::Ran);
     }
-    states.iter().any(|(_, state)| state.passes.contains_key(&key)).then_some(FleetRecord::Admitted)
+    states.iter().any(|(_, state)| state.passes.contains_key(&key)).then_some(KnownWork::Admitted)
 }
 
 /// The keys that run according to our own work log and are also in others' fleet logs: two schedulers
--- a/crates/quota/src/reservation_pool.rs
+++ b/crates/quota/src/reservation_pool.rs
@@ -206,8 +206,8 @@
         self.accrue(now);
         self.rate += ticket.rate;
         self.remove_pending(ticket.key.0);
-        let readmitted = self.readmissions.get(&ticket.key.0).is_some_and(|readmission| readmission.ran);
-        self.events.push(WorkerEvent::Started { key: ticket.key.0, rate: ticket.rate, readmitted });
+        let is_replacement = self.readmissions.get(&ticket.key.0).is_some_and(|readmission| readmission.ran);
+        self.events.push(WorkerEvent::Started { key: ticket.key.0, rate: ticket.rate, is_replacement });
     }
 
     /// Takes over a worker that runs already, and returns its ticket.
@@ -311,9 +311,9 @@
         keys
     }
 
-    /// Adds a reservation, whose log record must be on disk.
-    pub fn credit(&mut self, parts: Parts) {
-        self.available = self.available.plus(parts);
+    /// Adds a reservation, whose log entry must be on disk.
+    pub fn credit(&mut self, amount: Parts) {
+        self.available = self.available.plus(amount);
         self.cover_debt();
     }
 
--- a/crates/quota/src/reservation_pool/types.rs
+++ b/crates/quota/src/reservation_pool/types.rs
@@ -30,7 +30,7 @@
         /// Cost in micro-units per second.
         rate: u64,
         /// It takes the place of a worker that ran before.
-        readmitted: bool,
+        is_replacement: bool,
     },
     /// It ran under another scheduler, or in an earlier incarnation of this one.
     Adopted {
--- a/crates/quota/src/settings.rs
+++ b/crates/quota/src/settings.rs
@@ -42,7 +42,7 @@
     /// log.
     pub replicas: Option<usize>,
     /// Where each member runs, so that copies are placed apart.
-    pub sites: BTreeMap<Name, Site>,
+    pub locations: BTreeMap<Name, Site>,
 }
 
 impl Settings {
--- a/crates/quota/src/share_policy.rs
+++ b/crates/quota/src/share_policy.rs
@@ -81,7 +81,7 @@
     }
 
     /// What a scheduler keeps of its share for itself.
-    fn kept(self) -> Parts {
+    fn own_need(self) -> Parts {
         self.over(HORIZON_SECONDS)
     }
 
@@ -109,7 +109,7 @@
 
 /// What a donor with this much share and this usage of its own gives to a member that requests `requested`.
 pub fn amount_to_give(has: Parts, usage: Usage, requested: Parts) -> Parts {
-    let spare = has.less(usage.kept());
+    let spare = has.less(usage.own_need());
     let is_idle = usage.is_idle();
     let give = |requested: u64, spare: u64| match requested {
         0 => 0,
--- a/crates/quota/src/work_routing.rs
+++ b/crates/quota/src/work_routing.rs
@@ -1,14 +1,14 @@
-//! Which records of work go into the fleet log, and which into the work log.
+//! Which entries of work go into the fleet log, and which into the work log.
 //!
 //! Ordinary work, which starts and ends where it was first admitted, concerns only the replicas of its
-//! scheduler's work log. Work that takes the place of other work, and work that may be readmitted, concerns
+//! scheduler's work log. Work that takes the place of other work, and work that may be replacements, concerns
 //! every scheduler: it is recorded in the fleet log, in the format used before there were two logs.
 
 use mulleinhub_replicated_log::{Entry, Name, Work};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// The most workers in one record.
-pub const MAX_WORKERS_PER_RECORD: usize = 1_000;
+/// The most workers in one entry.
+pub const MAX_WORKERS_PER_ENTRY: usize = 1_000;
 
 /// Running work by task key.
 pub type Running = BTreeMap<u64, Work>;
@@ -22,20 +22,21 @@
     /// Workers that started.
     pub started: Vec<StartedWorker>,
     /// Keys of those that started in the place of one that ran before.
-    pub readmitted: Vec<u64>,
-    /// Keys of workers that ended; true where the task may be readmitted.
+    pub replacements: Vec<u64>,
+    /// Keys of workers that ended; true where the task may be replacements.
     pub ended: Vec<(u64, bool)>,
 }
 
 impl WorkChanges {
-    /// The log records of these changes at an instant in milliseconds of Unix time. Starts come before ends:
+    /// The log entries of these changes at an instant in milliseconds of Unix time. Starts come before ends:
     /// a worker may do both between two ticks.
-    pub fn records(&self, at: u64) -> Vec<Entry> {
-        let chunk = MAX_WORKERS_PER_RECORD;
+    pub fn entries(&self, at: u64) -> Vec<Entry> {
+        let chunk = MAX_WORKERS_PER_ENTRY;
         let started = self.started.chunks(chunk).map(|work| Entry::Began { at, work: work.to_vec() });
-        let readmitted = self.readmitted.chunks(chunk).map(|keys| Entry::Again { at, keys: keys.to_vec() });
+        let replacements =
+            self.replacements.chunks(chunk).map(|keys| Entry::Again { at, keys: keys.to_vec() });
         let ended = self.ended.chunks(chunk).map(|work| Entry::Over { at, work: work.to_vec() });
-        started.chain(readmitted).chain(ended).collect()
+        started.chain(replacements).chain(ended).collect()
     }
 }
 
@@ -48,7 +49,7 @@
 
 /// What the fleet log of any scheduler says of a key that another scheduler may want to start.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum FleetRecord {
+pub enum KnownWork {
     /// It was admitted before a suspension.
     Admitted,
     /// It runs or ran.
@@ -56,22 +57,22 @@
 }
 
 /// Divides changes of workers between the two logs. `in_fleet` and `in_work` are the workers that run
-/// according to our own logs; `fleet_record` looks up a key in all fleet logs.
+/// according to our own logs; `known_work` looks up a key in all fleet logs.
 pub fn route(
     changes: WorkChanges,
     in_fleet: &Running,
     in_work: &Running,
-    fleet_record: impl Fn(u64) -> Option<FleetRecord>,
+    known_work: impl Fn(u64) -> Option<KnownWork>,
 ) -> RoutedChanges {
     let mut routed = RoutedChanges::default();
-    let readmitted: BTreeSet<u64> = changes.readmitted.into_iter().collect();
+    let replacements: BTreeSet<u64> = changes.replacements.into_iter().collect();
     let mut ordinary: BTreeMap<u64, (Name, u64)> = BTreeMap::new();
     let mut in_fleet: BTreeSet<u64> = in_fleet.keys().copied().collect();
     for (key, team, rate) in changes.started {
-        let record = fleet_record(key);
-        let is_readmitted = readmitted.contains(&key) || record == Some(FleetRecord::Ran);
-        if is_readmitted || record.is_some() || in_fleet.contains(&key) {
-            routed.fleet.readmitted.extend(is_readmitted.then_some(key));
+        let known = known_work(key);
+        let is_replacement = replacements.contains(&key) || known == Some(KnownWork::Ran);
+        if is_replacement || known.is_some() || in_fleet.contains(&key) {
+            routed.fleet.replacements.extend(is_replacement.then_some(key));
             routed.fleet.started.push((key, team, rate));
             in_fleet.insert(key);
             if in_work.contains_key(&key) {
@@ -91,7 +92,7 @@
         let Some((team, rate)) = ordinary.get(&key).cloned().or(known) else { continue };
         routed.work.ended.push((key, false));
         if readmissible {
-            // All schedulers have to know that it may be readmitted.
+            // All schedulers have to know that it may be replacements.
             routed.fleet.started.push((key, team, rate));
             routed.fleet.ended.push((key, true));
         }
@@ -99,31 +100,31 @@
     routed
 }
 
-/// Records that add running work to a log that doesn't have it, with the instants when it started.
-pub fn started_records<'a>(work: impl Iterator<Item = (&'a u64, &'a Work)>) -> Vec<Entry> {
+/// Entries that add running work to a log that doesn't have it, with the instants when it started.
+pub fn started_entries<'a>(work: impl Iterator<Item = (&'a u64, &'a Work)>) -> Vec<Entry> {
     let mut by_instant: BTreeMap<u64, Vec<StartedWorker>> = BTreeMap::new();
     for (key, work) in work {
         by_instant.entry(work.since).or_default().push((*key, work.team.clone(), work.rate));
     }
-    let mut records = Vec::new();
+    let mut entries = Vec::new();
     for (at, work) in by_instant {
-        let chunks = work.chunks(MAX_WORKERS_PER_RECORD);
-        records.extend(chunks.map(|work| Entry::Began { at, work: work.to_vec() }));
+        let chunks = work.chunks(MAX_WORKERS_PER_ENTRY);
+        entries.extend(chunks.map(|work| Entry::Began { at, work: work.to_vec() }));
     }
-    records
+    entries
 }
 
-/// Records that make work readmissible anywhere, for a log in which it never ran.
-pub fn readmissible_records(at: u64, work: &Running) -> Vec<Entry> {
+/// Entries that make work readmissible anywhere, for a log in which it never ran.
+pub fn readmissible_entries(at: u64, work: &Running) -> Vec<Entry> {
     let changes = WorkChanges {
         started: work.iter().map(|(key, work)| (*key, work.team.clone(), work.rate)).collect(),
-        readmitted: Vec::new(),
+        replacements: Vec::new(),
         ended: work.keys().map(|key| (*key, true)).collect(),
     };
-    changes.records(at)
+    changes.entries(at)
 }
 
-/// Records that remove work from a log because the other log has it from now on.
-pub fn moved_records(at: u64, keys: impl Iterator<Item = u64>) -> Vec<Entry> {
-    WorkChanges { ended: keys.map(|key| (key, false)).collect(), ..WorkChanges::default() }.records(at)
+/// Entries that remove work from a log because the other log has it from now on.
+pub fn moved_entries(at: u64, keys: impl Iterator<Item = u64>) -> Vec<Entry> {
+    WorkChanges { ended: keys.map(|key| (key, false)).collect(), ..WorkChanges::default() }.entries(at)
 }
--- a/crates/scale/src/ledgers/member.rs
+++ b/crates/scale/src/ledgers/member.rs
@@ -80,7 +80,7 @@
             commitment: STRETCH,
             catch_up_timeout: CATCH_UP,
             replicas: self.replicas,
-            sites: self
+            locations: self
                 .places
                 .iter()
                 .enumerate()
