--- a/crates/ledger/src/exchange/heartbeat.rs
+++ b/crates/ledger/src/exchange/heartbeat.rs
@@ -90,7 +90,7 @@
         let (life, count) = keeper.roll.heartbeat_of(name);
         MemberHeartbeat { name: name.clone(), heartbeat: Heartbeat { life, count } }
     });
-    let own = Heartbeat { life: keeper.life(), count: own_count };
+    let own = Heartbeat { life: keeper.incarnation(), count: own_count };
     others.chain([MemberHeartbeat { name: keeper.settings().me.clone(), heartbeat: own }])
 }
 
--- a/crates/ledger/src/exchange/mod.rs
+++ b/crates/ledger/src/exchange/mod.rs
@@ -231,7 +231,7 @@
     fn excuse_pause(&mut self) {
         let late = self.promised.map_or(Duration::ZERO, |promised| self.now - promised);
         if late > PAUSE_THRESHOLD {
-            self.keeper.stood(self.now, late);
+            self.keeper.on_process_pause(self.now, late);
             self.peers.values_mut().for_each(|peer| peer.excuse_pause(late));
         }
     }
@@ -240,12 +240,12 @@
     fn tick_ledger(&mut self) {
         let shelf = self.shelf.clone();
         if shelf.take_told() {
-            self.keeper.all_told();
+            self.keeper.on_all_machines_reported();
         }
-        if shelf.take_wanted() || self.keeper.due().is_none_or(|due| due <= self.now) {
+        if shelf.take_wanted() || self.keeper.next_tick().is_none_or(|due| due <= self.now) {
             self.keeper.tick(self.now, self.utc, &mut &*shelf);
         }
-        for words in self.keeper.take_told() {
+        for words in self.keeper.take_alerts() {
             tracing::error!("{words}");
         }
     }
@@ -324,7 +324,7 @@
         if self.turn_again || !self.begun {
             return Some(self.now);
         }
-        let due = [self.next_push_at(), self.keeper.due(), Some(self.next_heartbeat_at)];
+        let due = [self.next_push_at(), self.keeper.next_tick(), Some(self.next_heartbeat_at)];
         due.into_iter().flatten().min()
     }
 
--- a/crates/ledger/src/exchange/neighbors.rs
+++ b/crates/ledger/src/exchange/neighbors.rs
@@ -23,7 +23,8 @@
     /// Drops a neighbor where it is time to, and draws those that are missing.
     pub(super) fn update_neighbors(&mut self) {
         if self.now >= self.redraw_at {
-            self.redraw_at = self.now + REDRAW_INTERVAL * (1.0 - REDRAW_JITTER * self.keeper.part());
+            self.redraw_at =
+                self.now + REDRAW_INTERVAL * (1.0 - REDRAW_JITTER * self.keeper.random_fraction());
             self.drop_neighbor();
             while self.neighbors.len() > self.wanted_neighbors() {
                 self.drop_neighbor();
@@ -81,7 +82,7 @@
         let wanted = self.wanted_neighbors();
         let room = (2 * wanted).saturating_sub(self.neighbors.len());
         let missing = wanted.saturating_sub(lively).min(room);
-        let draws: Vec<f64> = (0..missing).map(|_| self.keeper.part()).collect();
+        let draws: Vec<f64> = (0..missing).map(|_| self.keeper.random_fraction()).collect();
         let mut candidates = self.candidates(missing);
         let mut drawn = Vec::new();
         for part in draws.into_iter().take(candidates.len()) {
@@ -117,7 +118,7 @@
         let doubtful: Vec<&Name> = self.neighbors.iter().filter(|name| self.is_doubtful(name)).collect();
         let droppable = if doubtful.is_empty() { self.neighbors.iter().collect() } else { doubtful };
         let droppable: Vec<Name> = droppable.into_iter().cloned().collect();
-        let at = self.keeper.below(droppable.len());
+        let at = self.keeper.random_below(droppable.len());
         if let Some(name) = droppable.get(at) {
             self.neighbors.remove(name);
         }
--- a/crates/ledger/src/exchange/replication.rs
+++ b/crates/ledger/src/exchange/replication.rs
@@ -93,7 +93,7 @@
             return self.receive_work_heads(link, all, heads, whole);
         }
         let Some(peer) = self.peers.get_mut(&link) else { return Ok(()) };
-        peer.fleet.receive_heads(self.keeper.library(), all, heads, whole);
+        peer.fleet.receive_heads(self.keeper.fleet_logs(), all, heads, whole);
         Ok(())
     }
 
@@ -108,7 +108,7 @@
         if !peer.greeted || !peer.fleet.may_push(now) {
             return;
         }
-        let new = peer.fleet.take_new_heads(self.keeper.library());
+        let new = peer.fleet.take_new_heads(self.keeper.fleet_logs());
         let is_first = peer.fleet.is_untold();
         let mut heartbeats = Vec::new();
         if is_first || peer.heartbeats.is_due(now, self.heartbeat_interval) {
@@ -151,7 +151,7 @@
         }
         for peer in self.peers.values().filter(|peer| peer.is_exhausted()) {
             if let Some(name) = &peer.name {
-                self.keeper.met(name);
+                self.keeper.on_member_synced(name);
             }
         }
     }
--- a/crates/ledger/src/exchange/share_transfer.rs
+++ b/crates/ledger/src/exchange/share_transfer.rs
@@ -8,9 +8,9 @@
 
 impl Exchange {
     /// A member asks for a part of our share.
-    pub(super) fn receive_share_ask(&mut self, link: ConnectionId, wanted: &Wanted) {
+    pub(super) fn receive_share_ask(&mut self, link: ConnectionId, wanted: &ShareRequest) {
         let shelf = self.shelf.clone();
-        self.keeper.asked(self.now, &wanted.to, wanted.life, wanted, &mut &*shelf);
+        self.keeper.on_share_request(self.now, &wanted.to, wanted.incarnation, wanted, &mut &*shelf);
         self.mark_used(link);
     }
 
@@ -29,15 +29,15 @@
 
     /// Sends the asks and answers that are due.
     pub(super) fn transfer_shares(&mut self) {
-        for wanted in self.keeper.take_wanted() {
+        for wanted in self.keeper.take_share_requests() {
             self.ask_for_share(&wanted);
         }
-        for reply in self.keeper.take_replies() {
+        for reply in self.keeper.take_share_replies() {
             self.answer_share_ask(&reply);
         }
     }
 
-    fn ask_for_share(&mut self, wanted: &Wanted) {
+    fn ask_for_share(&mut self, wanted: &ShareRequest) {
         let Some(link) = self.link_to(&wanted.to) else {
             // It is called, and asked once it is there: the ledger asks again.
             self.call(&wanted.to);
@@ -50,7 +50,7 @@
         self.mark_used(link);
     }
 
-    fn answer_share_ask(&mut self, reply: &Reply) {
+    fn answer_share_ask(&mut self, reply: &ShareReply) {
         let Some(link) = self.link_to(&reply.to) else { return };
         // The head of our log goes first, so that what was given can be used at once.
         self.push_now(link);
--- a/crates/ledger/src/exchange/status.rs
+++ b/crates/ledger/src/exchange/status.rs
@@ -33,16 +33,16 @@
     /// Who holds our work log, where we write one, and whose we hold.
     fn work_log_line(&self) -> Option<String> {
         let wanted = self.keeper.settings().replicas?;
-        if !self.keeper.is_split() {
+        if !self.keeper.writes_work_log() {
             return Some("work log: none, all work stands in the fleet log".to_owned());
         }
-        let (held, copies) = (self.holding_replicas(), self.keeper.copies().count());
+        let (held, copies) = (self.holding_replicas(), self.keeper.copied_writers().count());
         Some(format!("work log: replicas {held} of {wanted}, copies held of {copies} members"))
     }
 
     /// Phase, connections, membership and size of the logs.
     fn summary_line(&self) -> String {
-        let (now, keeper, membership) = (self.now, &self.keeper, &self.keeper.roll);
+        let (now, keeper, membership) = (self.now, &self.keeper, &self.keeper.membership);
         let count = |presence: MemberState| {
             membership.members().filter(|name| membership.member_state(now, name) == presence).count()
         };
@@ -62,7 +62,7 @@
 }
 
 /// What is known of a team's account.
-fn team_line(look: &Look) -> String {
+fn team_line(look: &TeamStatus) -> String {
     format!(
         "team {} month {}-{:02} cap {} spent {} beyond {} free here {} + {} at hand {} + {}{}{}",
         look.team,
@@ -70,7 +70,7 @@
         look.month % 12 + 1,
         look.cap.map_or("none".to_owned(), |cap| cap.to_string()),
         look.spent,
-        look.beyond,
+        look.overspent,
         look.free.open,
         look.free.running_only,
         look.at_hand.open,
--- a/crates/ledger/src/exchange/work_logs.rs
+++ b/crates/ledger/src/exchange/work_logs.rs
@@ -45,7 +45,7 @@
         }
         self.choose_at = self.now + CHOICE_INTERVAL;
         let usable: Vec<Name> = self.addresses.keys().filter(|name| self.is_usable(name)).cloned().collect();
-        let is_split = self.keeper.is_split();
+        let is_split = self.keeper.writes_work_log();
         if (&usable, is_split) == (&self.usable.0, self.usable.1) {
             return;
         }
--- a/crates/ledger/tests/books.rs
+++ b/crates/ledger/tests/books.rs
@@ -33,8 +33,8 @@
     }
     // What runs is paid out of the same part: two seconds' worth is spent on the way.
     assert!((200..=300).contains(&added), "{added} of 300 were added");
-    let spent = net.node(0).exchange.keeper().looks()[1].spent;
-    let left: u64 = (0..3).map(|n| net.node(n).exchange.keeper().looks()[1].free.open).sum();
+    let spent = net.node(0).exchange.keeper().team_statuses()[1].spent;
+    let left: u64 = (0..3).map(|n| net.node(n).exchange.keeper().team_statuses()[1].free.open).sum();
     assert!(left * 100 < cap_of(300), "{left} is left in shares, {spent} spent");
     let asks = net.counted["share-ask"];
     assert!(asks < 40, "{asks} asks for parts of shares");
@@ -94,8 +94,8 @@
         net.start(2, if keeps { disk } else { BTreeMap::new() });
         net.run(ms(1_500));
         assert_eq!(net.node(2).exchange.keeper().phase(), Phase::Writing);
-        let look = net.node(2).exchange.keeper().looks()[1].clone();
-        let free = look.free.open + look.at_hand.open;
+        let look = net.node(2).exchange.keeper().team_statuses()[1].clone();
+        let free = look.free.open + look.available.open;
         assert_eq!(free > 10_000, keeps, "{look:?}");
         // Either way it can add: by gifts where it has nothing itself.
         assert_eq!(net.fill(2, 200, 5).len(), 5, "keeps its store: {keeps}");
@@ -216,12 +216,12 @@
     net.run(ms(8_000));
     for n in 0..3 {
         assert!(net.add(n, 10 + n as u64).is_err(), "of one number the stricter holds");
-        assert!(net.node(n).exchange.keeper().looks()[1].differs);
+        assert!(net.node(n).exchange.keeper().team_statuses()[1].directives_differ);
     }
     net.order(1, acme(), 3, DirectiveAction::Reinstate {});
     net.run(ms(500));
     assert!((0..3).all(|n| net.fill(n, 20 + n as u64, 1).len() == 1));
-    assert!(!net.node(0).exchange.keeper().looks()[1].differs);
+    assert!(!net.node(0).exchange.keeper().team_statuses()[1].directives_differ);
 }
 
 #[test]
--- a/crates/scale/src/ledgers/member.rs
+++ b/crates/scale/src/ledgers/member.rs
@@ -5,7 +5,7 @@
 
 use mulleinhub_interface::{Duration, Quota, Resources, TaskKey, Ticket, Timestamp};
 use mulleinhub_ledger::{AdmissionHandle, Exchange, Figures, Member, SharedPools};
-use mulleinhub_quota::{Months, Phase, Prices, Settings, Team};
+use mulleinhub_quota::{Calendar, Phase, Prices, Settings, Team};
 use mulleinhub_replicated_log::{
     Digest, Directive, DirectiveAction, Location, LogChange, LogChanges, LogId, LogKind, LogPositions, Name,
     PersistedEntry, PersistedLogs, Subject,
@@ -76,12 +76,12 @@
             members: (0..self.schedulers).map(member_name).collect(),
             teams: (0..self.teams).map(team).collect(),
             prices: PRICES,
-            months: Months::of_zone("UTC").expect("is a zone"),
-            near: NEAR,
-            stretch: STRETCH,
-            catch_up: CATCH_UP,
+            calendar: Calendar::in_zone("UTC").expect("is a zone"),
+            open_millionths: NEAR,
+            commitment: STRETCH,
+            catch_up_timeout: CATCH_UP,
             replicas: self.replicas,
-            sites: self
+            locations: self
                 .places
                 .iter()
                 .enumerate()
@@ -252,10 +252,10 @@
         for told in told {
             self.tell(now, told, &mut done);
         }
-        let due = self.exchange.keeper().due();
+        let due = self.exchange.keeper().next_tick();
         self.exchange.set_clock(MIDDLE_OF_MONTH + now.nanos() / 1_000_000);
         self.exchange.poll(now);
-        done.looked = self.exchange.keeper().due() != due;
+        done.looked = self.exchange.keeper().next_tick() != due;
         done.writes.changes = self.exchange.take_changes();
         done.writes.last_own = self.exchange.last_own(&done.writes.changes);
         self.take_sent(&mut done);
