--- a/crates/baselines/src/lib.rs
+++ b/crates/baselines/src/lib.rs
@@ -90,21 +90,21 @@
             FailureDomain::Machine => one == other,
             FailureDomain::Cell => a.entry.cell == b.entry.cell,
             FailureDomain::Zone => a.entry.zone == b.entry.zone,
-            FailureDomain::All => true,
+            FailureDomain::Cluster => true,
         }
     }
 
     fn may_go(&self, now: Timestamp, task: &Task, to: MachineId, machine: &Machine) -> bool {
         let case = &self.use_cases[task.order.use_case.0];
         let size = self.kinds.get(machine.entry.kind.0).copied().unwrap_or(Resources::ZERO);
-        let fits = (machine.left + self.taking.beyond(size)).fits(task.order.ask);
-        if machine.entry.mode != MachineState::Active || !fits || task.last == Some(to) {
+        let fits = (machine.left + self.taking.overcommit_allowance(size)).fits(task.order.request);
+        if machine.entry.state != MachineState::Active || !fits || task.last == Some(to) {
             return false;
         }
-        if case.kind.is_some_and(|kind| kind != machine.entry.kind) {
+        if case.machine_kind.is_some_and(|kind| kind != machine.entry.kind) {
             return false;
         }
-        if let (Idempotency::Keyed { domain, .. }, Some((_, first))) = (case.effect, task.may_run)
+        if let (Idempotency::Keyed { domain, .. }, Some((_, first))) = (case.idempotency, task.may_run)
             && !self.is_within(domain, first, to)
         {
             return false;
@@ -118,9 +118,10 @@
                 return false;
             }
         }
-        let cold = machine.entry.since.is_some_and(|since| now - since < self.cold.warm_after);
-        let share = (self.cold.young_limit / f64::from(self.cold.schedulers.max(1))).floor() as usize;
-        let lately = machine.cold_sends.iter().filter(|at| now - **at < self.cold.fall * 1.5).count();
+        let cold = machine.entry.started_at.is_some_and(|since| now - since < self.cold.warm_up_time);
+        let share = (self.cold.attempt_budget / f64::from(self.cold.scheduler_count.max(1))).floor() as usize;
+        let lately =
+            machine.cold_sends.iter().filter(|at| now - **at < self.cold.budget_window * 1.5).count();
         !cold || lately < share
     }
 
@@ -151,15 +152,15 @@
         let task = &self.tasks[&id];
         let case = &self.use_cases[task.order.use_case.0];
         let left = task.order.deadline - now;
-        let barred = match (case.effect, task.may_run) {
+        let barred = match (case.idempotency, task.may_run) {
             (_, None) | (Idempotency::Idempotent, _) => false,
             (Idempotency::NonIdempotent, _) => true,
             (Idempotency::Keyed { window, .. }, Some((first, _))) => now - first >= window * 0.9,
         };
-        if barred || task.sends >= self.taking.max_sends || left <= case.client_timeout * GIVE_UP {
+        if barred || task.sends >= self.taking.max_attempts || left <= case.client_timeout * GIVE_UP {
             let anywhere = matches!(
-                case.effect,
-                Idempotency::Idempotent | Idempotency::Keyed { domain: FailureDomain::All, .. }
+                case.idempotency,
+                Idempotency::Idempotent | Idempotency::Keyed { domain: FailureDomain::Cluster, .. }
             );
             if anywhere || task.may_run.is_none() {
                 out.reject(id, Duration::ZERO);
@@ -175,10 +176,10 @@
         (task.state, task.machine, task.last) = (State::Sent, Some(to), Some(to));
         task.sent_at = now;
         task.sends += 1;
-        let ask = task.order.ask;
+        let ask = task.order.request;
         let machine = self.machines.get_mut(&to).expect("was picked");
         machine.left -= ask;
-        machine.cold_sends.retain(|at| now - *at < self.cold.fall * 1.5);
+        machine.cold_sends.retain(|at| now - *at < self.cold.budget_window * 1.5);
         machine.cold_sends.push(now);
         out.send(id, to, time_out);
     }
@@ -192,7 +193,7 @@
 
 impl PolicyEvents for Heard<'_> {
     fn on_start(&mut self) {
-        if self.b.listing.asked {
+        if self.b.listing.watch_required {
             self.out.watch_endpoints();
         }
     }
@@ -221,11 +222,11 @@
     fn on_attempt_ended(&mut self, id: TaskId, ending: Outcome, over: bool, _: LoadReport) {
         let Some(task) = self.b.tasks.get_mut(&id) else { return };
         let Some(machine) = task.machine.take() else { return };
-        let never_ran = matches!(ending, Outcome::Rejected(_) | Outcome::NoConnection | Outcome::NotSent);
+        let never_ran = matches!(ending, Outcome::Rejected(_) | Outcome::ConnectionFailed | Outcome::NotSent);
         if !never_ran && task.may_run.is_none() {
             task.may_run = Some((task.sent_at, machine));
         }
-        let (ask, placed) = (task.order.ask, task.state == State::Placed);
+        let (ask, placed) = (task.order.request, task.state == State::Placed);
         task.state = State::Pending;
         if let Some(machine) = self.b.machines.get_mut(&machine) {
             machine.left += ask;
@@ -248,7 +249,7 @@
     fn on_timer(&mut self, token: u64) {
         match token {
             0 => self.b.ticking = false,
-            _ if self.b.listing.asked => self.out.watch_endpoints(),
+            _ if self.b.listing.watch_required => self.out.watch_endpoints(),
             _ => {}
         }
     }
@@ -259,10 +260,10 @@
 
     fn on_endpoint_list(&mut self, kind: ListKind, entries: &[MachineEntry]) {
         if kind != ListKind::Delta {
-            self.b.machines.values_mut().for_each(|machine| machine.entry.mode = MachineState::Removed);
+            self.b.machines.values_mut().for_each(|machine| machine.entry.state = MachineState::Removed);
         }
         for entry in entries {
-            let left = entry.left.unwrap_or(Resources::ZERO);
+            let left = entry.available.unwrap_or(Resources::ZERO);
             let machine = self.b.machines.entry(entry.id).or_insert(Machine {
                 entry: *entry,
                 left,
@@ -274,7 +275,7 @@
 
     fn on_machine_restarted(&mut self, machine: MachineId) {
         if let Some(machine) = self.b.machines.get_mut(&machine) {
-            machine.entry.since = Some(self.now);
+            machine.entry.started_at = Some(self.now);
         }
     }
 
--- a/crates/benchlink/src/batch.rs
+++ b/crates/benchlink/src/batch.rs
@@ -130,9 +130,9 @@
                     key,
                     use_case: class,
                     service,
-                    ask,
+                    request: ask,
                     deadline,
-                    again: bits & 16 != 0,
+                    is_resubmitted: bits & 16 != 0,
                 });
             }
             "RUNNING" => {
@@ -149,7 +149,15 @@
                 let key = TaskKey(v.hex("taskName")?);
                 let again = bits & 16 != 0;
                 round.on_adopted_task(
-                    TaskSpec { id, key, use_case: class, service, ask, deadline, again },
+                    TaskSpec {
+                        id,
+                        key,
+                        use_case: class,
+                        service,
+                        request: ask,
+                        deadline,
+                        is_resubmitted: again,
+                    },
                     machine,
                 );
             }
@@ -200,22 +208,22 @@
 
 fn ending(reason: &str, detail: u64) -> Result<Outcome, Bad> {
     Ok(match reason {
-        "Ok" => Outcome::Ok,
+        "Ok" => Outcome::Succeeded,
         "Failed" => Outcome::Failed,
         "QueueFull" => Outcome::Rejected(match detail {
             1 => Rejection::InsufficientCores,
             2 => Rejection::InsufficientMemory,
             3 => Rejection::QueueFull,
-            4 => Rejection::NotHere,
+            4 => Rejection::Ineligible,
             5..=7 => Rejection::Returned,
             _ => Rejection::Unspecified,
         }),
         "TimedOut" => Outcome::TimedOut,
-        "ConnectError" => Outcome::NoConnection,
+        "ConnectError" => Outcome::ConnectionFailed,
         "ResetByPeer" => Outcome::Lost(match detail {
             5 => FailureCause::Evicted,
             6 => FailureCause::Preempted,
-            7 => FailureCause::SentAway,
+            7 => FailureCause::Relocated,
             _ => FailureCause::Unspecified,
         }),
         "Canceled" => Outcome::Cancelled,
@@ -244,5 +252,5 @@
     let zone = ZoneId(v.must("site")?);
     let left = cores.zip(memory).map(|(cores, memory)| Resources::new(cores, memory));
     let since = since.filter(|since| *since > 0).map(Timestamp::from_nanos);
-    Ok(MachineEntry { id, kind, cell, zone, mode, since, left })
+    Ok(MachineEntry { id, kind, cell, zone, state: mode, started_at: since, available: left })
 }
--- a/crates/benchlink/src/main.rs
+++ b/crates/benchlink/src/main.rs
@@ -6,6 +6,7 @@
 mod writer;
 
 use batch::{Batch, Line, Rosters};
+use mulleinhub::interface::PolicyEvents;
 use mulleinhub::{PlacementPolicy, Timestamp};
 use mulleinhub_platform_settings::Site;
 use reporting::Reporting;
--- a/crates/emulators/src/machine.rs
+++ b/crates/emulators/src/machine.rs
@@ -219,7 +219,7 @@
         if !self.is_cold(now) {
             return 1.0;
         }
-        let warmth = (now - self.up_since).over(self.settings.cold_for);
+        let warmth = (now - self.up_since).ratio_to(self.settings.cold_for);
         self.settings.cold_from + (1.0 - self.settings.cold_from) * warmth
     }
 
@@ -381,7 +381,7 @@
             return;
         }
         let ask = Resources::new(offer.shape.cores, offer.shape.memory);
-        let most = self.settings.size.times(self.settings.accepts.cores, self.settings.accepts.memory);
+        let most = self.settings.size.scaled(self.settings.accepts.cores, self.settings.accepts.memory);
         if !(most - self.asked).fits(ask) && !self.push_out_for(now, &offer, most, cases, worth, out) {
             let reason =
                 if ask.cores > (most - self.asked).cores { Reason::NoCores } else { Reason::NoMemory };
@@ -389,7 +389,7 @@
             return;
         }
         let case = &cases[offer.shape.use_case as usize];
-        let mean_use = ask.times(
+        let mean_use = ask.scaled(
             self.dice.between(case.cores_use.0, case.cores_use.1),
             self.dice.between(case.memory_use.0, case.memory_use.1),
         );
@@ -563,12 +563,12 @@
             let is_heavy =
                 |(case, part, _): &(u32, f64, f64)| held.shape.use_case == *case && held.turn < *part;
             let more = heavy.filter(is_heavy).map_or(1.0, |(.., by)| by);
-            let cap = Resources::new(held.shape.cores, held.shape.memory).times(1.5, 1.3);
+            let cap = Resources::new(held.shape.cores, held.shape.memory).scaled(1.5, 1.3);
             held.in_use = match self.settings.uses.at(held.shape.key, now - since) {
                 Some(part) => Resources::new(held.shape.cores, held.shape.memory)
-                    .times(part.cores * more, part.memory * more)
-                    .at_most(cap),
-                None => held.mean_use.times(swing * more, grown * more).at_most(cap),
+                    .scaled(part.cores * more, part.memory * more)
+                    .min(cap),
+                None => held.mean_use.scaled(swing * more, grown * more).min(cap),
             };
         }
         loop {
--- a/crates/engine/src/desk.rs
+++ b/crates/engine/src/desk.rs
@@ -600,7 +600,7 @@
         let link = self.links.open(&spot.address.clone());
         self.add_peer(link, Who::Machine(id));
         let (now, silence) = (self.now, self.settings.silence);
-        let first = backoff::first_sign(silence, self.chance.part());
+        let first = backoff::first_sign(silence, self.chance.fraction());
         let spot = self.machines.get_mut(&id).expect("was there");
         spot.reach = Reach::Coming(link);
         (spot.heard_at, spot.pinged_at) = (now, Some(now));
@@ -650,7 +650,7 @@
     /// Writes the offers that wait for this machine's connection, as far as the gate of a cold one lets them.
     /// What waited too long for a cold one goes back to the module, whose budget counts it no longer.
     pub fn release(&mut self, machine: MachineId) {
-        let (now, fall) = (self.now, self.settings.cold.fall);
+        let (now, fall) = (self.now, self.settings.cold.budget_window);
         let Some(spot) = self.machines.get_mut(&machine) else { return };
         let Some(link) = spot.ready().filter(|_| !spot.waiting.is_empty()) else { return };
         let shut = spot.gate.shut_until(now, fall);
@@ -678,7 +678,7 @@
 
     /// A machine said something of a send.
     pub fn answered_by(&mut self, machine: MachineId, task: u64, send: u32) {
-        let (now, fall) = (self.now, self.settings.cold.fall);
+        let (now, fall) = (self.now, self.settings.cold.budget_window);
         if let Some(spot) = self.machines.get_mut(&machine) {
             spot.gate.answered(now, fall, task, send);
         }
@@ -693,7 +693,7 @@
     /// Whether machines drop repeats of this task no longer. Met: an offer that had waited for its connection
     /// until then.
     fn is_past_window(&self, job: &Job) -> bool {
-        match self.settings.use_cases[job.order.use_case.0].effect {
+        match self.settings.use_cases[job.order.use_case.0].idempotency {
             Idempotency::Keyed { window, .. } => job.may_have_run.is_some_and(|at| self.now - at > window),
             Idempotency::Idempotent | Idempotency::NonIdempotent => false,
         }
@@ -739,9 +739,9 @@
         }
         if let (Some(quota), Some(ticket)) = (&mut self.quota, job.ticket) {
             match answer {
-                Answer::Ended(ending) => quota.over(self.now, ticket, ending.comes_again()),
-                _ if job.may_have_run.is_some() => quota.may_run(self.now, ticket),
-                _ => quota.never_ran(self.now, ticket),
+                Answer::Ended(ending) => quota.on_ended(self.now, ticket, ending.comes_again()),
+                _ if job.may_have_run.is_some() => quota.on_possible_run(self.now, ticket),
+                _ => quota.on_never_ran(self.now, ticket),
             }
         }
         let _task = tracing::debug_span!("task", id = id.0, owner = job.owner).entered();
@@ -846,7 +846,7 @@
         if !std::mem::replace(&mut self.hears_clients, true)
             && let Some(quota) = &mut self.quota
         {
-            quota.all_told(self.now);
+            quota.on_recovery_complete(self.now);
         }
     }
 
@@ -901,7 +901,7 @@
         desk.timers.set(now + time_out, Due::Send(task, number));
         let spot = desk.machines.get(&machine).expect("the module sends to listed machines");
         assert!(spot.mode == Mode::Active, "task {}: a send to a machine that drains or is gone", task.0);
-        let shut = spot.gate.shut_until(now, desk.settings.cold.fall);
+        let shut = spot.gate.shut_until(now, desk.settings.cold.budget_window);
         match spot.reach {
             Reach::Ready(_) if shut.is_some() => {
                 desk.machines.get_mut(&machine).expect("is there").waiting.push((task.0, number));
@@ -910,7 +910,7 @@
             Reach::Ready(link) => desk.write_offer(task, link),
             // One that has not refused since it was there last is tried at once.
             Reach::Down if spot.failures > 0 && spot.retry_at > now => {
-                desk.closings.push_back((task, number, Outcome::NoConnection));
+                desk.closings.push_back((task, number, Outcome::ConnectionFailed));
             }
             _ => {
                 desk.machines.get_mut(&machine).expect("is there").waiting.push((task.0, number));
@@ -940,8 +940,8 @@
         let desk = &mut *self.0.borrow_mut();
         let job = &desk.jobs[&task];
         assert!(job.open.is_none(), "task {}: nacked with a send out", task.0);
-        let harmless = match desk.settings.use_cases[job.order.use_case.0].effect {
-            Idempotency::Idempotent | Idempotency::Keyed { domain: Group::All, .. } => true,
+        let harmless = match desk.settings.use_cases[job.order.use_case.0].idempotency {
+            Idempotency::Idempotent | Idempotency::Keyed { domain: Group::Cluster, .. } => true,
             Idempotency::Keyed { .. } | Idempotency::NonIdempotent => job.may_have_run.is_none(),
         };
         assert!(harmless, "task {}: nacked though it may have run", task.0);
--- a/crates/engine/src/lib.rs
+++ b/crates/engine/src/lib.rs
@@ -36,12 +36,14 @@
     pub fn new(settings: Settings, life: u64, saved: Option<Vec<u8>>) -> Self {
         let brain = PlacementPolicy::new(
             desk::own_seed(&settings, life),
-            settings.use_cases.clone(),
-            settings.kinds.clone(),
-            settings.taking,
-            settings.cold,
-            settings.listing,
-            settings.home,
+            mulleinhub_interface::PolicySettings {
+                use_cases: settings.use_cases.clone(),
+                machine_kinds: settings.kinds.clone(),
+                acceptance: settings.taking,
+                slow_start: settings.cold,
+                discovery: settings.listing,
+                locality: settings.home,
+            },
         );
         Self::with_mind(Box::new(brain), settings, life, saved)
     }
--- a/crates/engine/src/properties.rs
+++ b/crates/engine/src/properties.rs
@@ -245,15 +245,15 @@
 fn settings() -> Settings {
     let window = Duration::from_secs(5);
     let case = |effect, priority, spread| UseCase {
-        soft_limit: Duration::from_secs(1),
+        latency_objective: Duration::from_secs(1),
         client_timeout: Duration::from_secs(8),
-        effect,
-        earnings: 1.0,
+        idempotency: effect,
+        value_per_second: 1.0,
         priority,
-        kind: None,
+        machine_kind: None,
         spread,
-        full_up_to: 1.0,
-        fade: 1.0,
+        saturation_threshold: 1.0,
+        degradation_range: 1.0,
     };
     Settings {
         name: "planner-1".to_owned(),
@@ -266,22 +266,22 @@
         ],
         kinds: vec![Resources::new(16.0, 32.0)],
         taking: AcceptanceRules {
-            cores: 2.0,
-            memory: 1.5,
-            yes_when_running: false,
-            max_sends: 4,
-            tells_pressure: true,
-            recalls: true,
+            cores_overcommit: 2.0,
+            memory_overcommit: 1.5,
+            accepts_when_running: false,
+            max_attempts: 4,
+            reports_pressure: true,
+            supports_cancel: true,
         },
         cold: SlowStart {
-            warm_after: Duration::from_secs(12),
-            fall: Duration::from_secs(1),
-            young_limit: YOUNG_LIMIT as f64,
-            schedulers: 1,
-            number: 0,
+            warm_up_time: Duration::from_secs(12),
+            budget_window: Duration::from_secs(1),
+            attempt_budget: YOUNG_LIMIT as f64,
+            scheduler_count: 1,
+            scheduler_index: 0,
         },
-        listing: Discovery { asked: false, ask_within: Duration::from_secs(10) },
-        home: LocalityCosts { zone: ZoneId(0), cross_zone_price: 0.0, machine_price: 0.0 },
+        listing: Discovery { watch_required: false, max_staleness: Duration::from_secs(10) },
+        home: LocalityCosts { local_zone: ZoneId(0), cross_zone_cost: 0.0, machine_cost: 0.0 },
         list_address: "list".to_owned(),
         reconnect: Duration::from_nanos(200 * MS),
         lost_after: Duration::from_secs(2),
@@ -610,7 +610,7 @@
         assert!(time_out > 0, "task {id} is offered when its own time-out has passed");
         self.met.sent_again += u64::from(!task.sends.is_empty());
         if let Some(first) = task.sends.values().find(|sent| !sent.never_ran) {
-            match case.effect {
+            match case.idempotency {
                 Idempotency::Idempotent => {}
                 Idempotency::NonIdempotent => {
                     panic!("rule 2: single-use task {id} is sent again: {:?}", task.sends)
@@ -625,11 +625,11 @@
         assert!(!self.machines[m].closed, "rule 3: task {id} is offered to machine {m}, which is closed");
         let cold = settings().cold;
         let machine = &mut self.machines[m];
-        let is_cold = machine.up_at.is_some_and(|up| now < up + cold.warm_after.nanos());
+        let is_cold = machine.up_at.is_some_and(|up| now < up + cold.warm_up_time.nanos());
         if is_cold && machine.cold_known_at.is_some() {
             self.met.cold_offers += 1;
             machine.cold_offers.push_back(now);
-            machine.cold_offers.retain(|at| now - at < cold.fall.nanos());
+            machine.cold_offers.retain(|at| now - at < cold.budget_window.nanos());
             let many = machine.cold_offers.len();
             assert!(many <= YOUNG_LIMIT, "rule 4: {many} offers reach cold machine {m} within its window");
         }
--- a/crates/engine/src/receive/client.rs
+++ b/crates/engine/src/receive/client.rs
@@ -178,14 +178,14 @@
 /// For how long its owner is to stay away.
 fn admit(desk: &mut Desk, name: &str, shape: &Shape, order: &TaskSpec) -> Result<Option<Ticket>, Duration> {
     let ticket = match &mut desk.quota {
-        Some(quota) => quota.ask(desk.now, name, order.key, order.ask, desk.chance.part())?,
+        Some(quota) => quota.admit(desk.now, name, order.key, order.request, desk.chance.fraction())?,
         None => None,
     };
     let admitted = desk.admission.ask(desk.now, shape.service);
     if admitted.is_err()
         && let (Some(quota), Some(ticket)) = (&mut desk.quota, ticket)
     {
-        quota.never_ran(desk.now, ticket);
+        quota.on_never_ran(desk.now, ticket);
     }
     admitted.map(|()| ticket)
 }
--- a/crates/engine/src/receive/disconnect.rs
+++ b/crates/engine/src/receive/disconnect.rs
@@ -50,7 +50,7 @@
     unwritten: Vec<(TaskId, u32, Unsent)>,
 ) -> Vec<(TaskId, u32, Outcome)> {
     let (now, reconnect, lost_after) = (desk.now, desk.settings.reconnect, desk.settings.lost_after);
-    let drawn = desk.chance.part();
+    let drawn = desk.chance.fraction();
     let mut unanswered: Vec<(TaskId, Open)> = desk.jobs_on(id);
     unanswered.retain(|(_, open)| !open.placed && open.link.is_some());
     let spot = desk.machines.get_mut(&id).filter(|spot| spot.link() == Some(link));
@@ -68,8 +68,8 @@
     desk.timers.set(now + lost_after, Due::Lost(id));
     let never_left = unwritten.into_iter().filter(|(.., how)| *how == Unsent::Whole);
     let mut resolved: Vec<_> =
-        never_left.map(|(task, send, _)| (task, send, Outcome::NoConnection)).collect();
-    resolved.extend(waiting.into_iter().map(|(task, send)| (TaskId(task), send, Outcome::NoConnection)));
+        never_left.map(|(task, send, _)| (task, send, Outcome::ConnectionFailed)).collect();
+    resolved.extend(waiting.into_iter().map(|(task, send)| (TaskId(task), send, Outcome::ConnectionFailed)));
     if failed {
         // It can't be asked what it took: each open send may run.
         let may_run =
--- a/crates/engine/src/receive/inventory.rs
+++ b/crates/engine/src/receive/inventory.rs
@@ -84,7 +84,8 @@
             stopping: false,
         };
         let adopted = new_job(order, held.shape, held.owner, link, desk.now);
-        let ticket = desk.quota.as_mut().and_then(|q| q.adopted(desk.now, held.owner, order.key, order.ask));
+        let ticket =
+            desk.quota.as_mut().and_then(|q| q.adopt(desk.now, held.owner, order.key, order.request));
         let adopted = Job {
             ticket,
             owner_link: None,
--- a/crates/engine/src/receive/machine.rs
+++ b/crates/engine/src/receive/machine.rs
@@ -79,7 +79,7 @@
     if spot.life.replace(life).unwrap_or(spot.listed_life) == life {
         return Ok(());
     }
-    spot.gate.is_cold_until(desk.now + desk.settings.cold.warm_after);
+    spot.gate.is_cold_until(desk.now + desk.settings.cold.warm_up_time);
     // What waits was decided on for a warm machine. Met: all of it reached the cold one at once.
     let waiting = std::mem::take(&mut spot.waiting);
     // Whatever the former life was sent or held went with it. An answer of it can't come any more: its
--- a/crates/engine/src/receive/machine_list.rs
+++ b/crates/engine/src/receive/machine_list.rs
@@ -20,7 +20,7 @@
         None => {}
     }
     let desk = &mut *shared.borrow_mut();
-    if !desk.settings.listing.asked {
+    if !desk.settings.listing.watch_required {
         desk.open_list();
     }
     let start_at = desk.now + desk.settings.start_wait;
@@ -40,11 +40,11 @@
     let desk = &mut *borrowed;
     desk.list_link = None;
     desk.list_reader.clear();
-    if desk.settings.listing.asked {
+    if desk.settings.listing.watch_required {
         drop(borrowed);
         return round.on_watch_failed();
     }
-    let (drawn, failures) = (desk.chance.part(), desk.list_failures);
+    let (drawn, failures) = (desk.chance.fraction(), desk.list_failures);
     desk.list_failures += 1;
     let retry_at = desk.now + backoff::after_failures(desk.settings.reconnect, failures, drawn);
     desk.timers.set(retry_at, Due::List);
@@ -131,14 +131,14 @@
     let spot = desk.machines.entry(id).or_insert_with(|| Spot::new(entry, now));
     spot.update(entry, now);
     if let Some(since) = spot.since {
-        spot.gate.is_cold_until(since + desk.settings.cold.warm_after);
+        spot.gate.is_cold_until(since + desk.settings.cold.warm_up_time);
     }
     if entry.mode != protocol::Mode::Active || spot.reach != Reach::Down || spot.retry_at > now {
         return;
     }
     if desk.hears_clients {
         // Many planners read this at one instant; whoever sends to it does not wait.
-        let at = now + backoff::after_end(desk.settings.reconnect, desk.chance.part());
+        let at = now + backoff::after_end(desk.settings.reconnect, desk.chance.fraction());
         desk.timers.set(at, Due::Reconnect(id));
     } else {
         desk.open_machine(id);
@@ -187,12 +187,12 @@
         kind: spot.kind,
         cell: spot.cell,
         zone: spot.zone,
-        mode: match spot.mode {
+        state: match spot.mode {
             protocol::Mode::Active => MachineState::Active,
             protocol::Mode::Leaving => MachineState::Draining,
             protocol::Mode::Left => MachineState::Removed,
         },
-        since: spot.since,
-        left: spot.left.map(|(cores, memory)| Resources::new(cores, memory)),
+        started_at: spot.since,
+        available: spot.left.map(|(cores, memory)| Resources::new(cores, memory)),
     }
 }
--- a/crates/engine/src/receive/outcome.rs
+++ b/crates/engine/src/receive/outcome.rs
@@ -12,14 +12,14 @@
 /// An ending that a machine told, as the module knows it.
 pub(super) fn module_ending(ending: protocol::Ending, reason: Reason) -> Outcome {
     match ending {
-        protocol::Ending::Done | protocol::Ending::Stopped => Outcome::Ok,
+        protocol::Ending::Done | protocol::Ending::Stopped => Outcome::Succeeded,
         protocol::Ending::Errored => Outcome::Failed,
         protocol::Ending::Nacked => Outcome::Rejected(match reason {
             Reason::Untold => Rejection::Unspecified,
             Reason::NoCores => Rejection::InsufficientCores,
             Reason::NoMemory => Rejection::InsufficientMemory,
             Reason::LineFull => Rejection::QueueFull,
-            Reason::NotHere => Rejection::NotHere,
+            Reason::NotHere => Rejection::Ineligible,
             Reason::HandedBack => Rejection::Returned,
         }),
         // The machine's own word that it dropped the offer before it accepted: proof.
@@ -27,7 +27,7 @@
         protocol::Ending::Lost => Outcome::Lost(FailureCause::Unspecified),
         protocol::Ending::Evicted => Outcome::Lost(FailureCause::Evicted),
         protocol::Ending::PushedOut => Outcome::Lost(FailureCause::Preempted),
-        protocol::Ending::SentAway | protocol::Ending::Moved => Outcome::Lost(FailureCause::SentAway),
+        protocol::Ending::SentAway | protocol::Ending::Moved => Outcome::Lost(FailureCause::Relocated),
     }
 }
 
@@ -44,7 +44,7 @@
     let desk = &mut *borrowed;
     // The answer came before the end that this side made in this turn was told: the answer counts.
     desk.closings.retain(|(task, number, ending)| {
-        (*task, *number) != (id, send) || matches!(ending, Outcome::Lost(_) | Outcome::NoConnection)
+        (*task, *number) != (id, send) || matches!(ending, Outcome::Lost(_) | Outcome::ConnectionFailed)
     });
     let Some(job) = desk.jobs.get_mut(&id) else { return accepted_late(desk, link, machine, id, send) };
     let (withdrawn, claiming, order) = (job.withdrawn, job.claiming, job.order);
@@ -61,8 +61,8 @@
     job.may_have_run.get_or_insert(open.decided);
     if let Some(quota) = &mut desk.quota {
         match job.ticket {
-            Some(ticket) => quota.runs(desk.now, ticket),
-            None if claiming => job.ticket = quota.adopted(desk.now, &job.owner, order.key, order.ask),
+            Some(ticket) => quota.on_running(desk.now, ticket),
+            None if claiming => job.ticket = quota.adopt(desk.now, &job.owner, order.key, order.request),
             None => {}
         }
     }
@@ -121,7 +121,7 @@
         return;
     };
     let case = &desk.settings.use_cases[late.shape.use_case as usize];
-    if !late.wanted || case.effect == Idempotency::Idempotent {
+    if !late.wanted || case.idempotency == Idempotency::Idempotent {
         desk.write(link, &Message::Stop { task: id.0, send, moves: false });
         return;
     }
@@ -148,7 +148,7 @@
     let Some(job) = desk.jobs.get_mut(&id) else { return };
     let Some(open) = job.open.filter(|open| open.number == send) else { return };
     job.open = None;
-    let never_ran = matches!(ending, Outcome::Rejected(_) | Outcome::NoConnection | Outcome::NotSent);
+    let never_ran = matches!(ending, Outcome::Rejected(_) | Outcome::ConnectionFailed | Outcome::NotSent);
     if !never_ran {
         job.may_have_run.get_or_insert(open.decided);
     }
--- a/crates/engine/src/receive/task.rs
+++ b/crates/engine/src/receive/task.rs
@@ -13,9 +13,9 @@
         key: TaskKey(shape.key),
         use_case: UseCaseId(shape.use_case as usize),
         service: ServiceId(shape.service),
-        ask: Resources::new(shape.cores, shape.memory),
+        request: Resources::new(shape.cores, shape.memory),
         deadline,
-        again: shape.again,
+        is_resubmitted: shape.again,
     }
 }
 
--- a/crates/engine/src/receive/timers.rs
+++ b/crates/engine/src/receive/timers.rs
@@ -66,7 +66,7 @@
         }
         _ => {}
     }
-    let next = now + backoff::sign(silence, desk.chance.part());
+    let next = now + backoff::sign(silence, desk.chance.fraction());
     desk.timers.set(next, Due::Ping(id, link));
 }
 
--- a/crates/engine/tests/same_moment/mod.rs
+++ b/crates/engine/tests/same_moment/mod.rs
@@ -15,7 +15,7 @@
     (0..PLANNERS).map(move |n| {
         let mut settings = settings();
         settings.name = format!("planner-{n}");
-        settings.listing.asked = asked;
+        settings.listing.watch_required = asked;
         Host::up(settings, 1)
     })
 }
--- a/crates/engine/tests/stories.rs
+++ b/crates/engine/tests/stories.rs
@@ -23,7 +23,7 @@
 /// One where yes means that a task runs: nothing is called back before its time-out.
 fn that_calls_nothing_back(machines: u64) -> Host {
     let mut settings = settings();
-    settings.taking.yes_when_running = true;
+    settings.taking.accepts_when_running = true;
     Host::up(settings, machines)
 }
 
--- a/crates/interface/src/quota.rs
+++ b/crates/interface/src/quota.rs
@@ -1,51 +1,60 @@
-//! Who counts what a tenant may use, as the planner sees it.
+//! Admission of tasks against the quota of their tenants, as the scheduler uses it.
 
 use crate::{Duration, Resources, TaskKey, Timestamp};
 
-/// A place that was given to a task, kept with it until it is over. Figures are micro-units.
+/// An admission: the quota reserved for one task, held until the task has ended.
+///
+/// Amounts are micro-units of the quota's currency.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Ticket {
+    /// The index of the tenant that pays.
     pub team: u32,
+    /// The task.
     pub key: TaskKey,
-    /// What it costs in a second.
+    /// Cost per second, in micro-units.
     pub rate: u64,
-    /// Reserved for it out of what new workers may use, and out of the last part.
-    pub open: u64,
-    pub last: u64,
+    /// Reserved out of the part that new tasks may use, in micro-units.
+    pub reserved_open: u64,
+    /// Reserved out of the last part, which is kept for tasks that run, in micro-units.
+    pub reserved_last: u64,
 }
 
-/// Asked before a task is taken, and told what becomes of it. Who counts for nothing has no ticket.
+/// Admission control: asked before a task is taken, and notified of what becomes of it.
+///
+/// Clients that no quota applies to are admitted without a ticket.
 pub trait Quota: Send {
-    /// `drawn` is a part of a whole, by chance: those who are refused together don't come back together.
+    /// Admits a task of `client`, or says why not. `jitter` is a random fraction (0 to 1) by which waits differ,
+    /// so that clients that are rejected together do not return together.
     ///
     /// # Errors
-    /// For how long the owner is to stay away.
-    fn ask(
+    /// The time after which the client may retry.
+    fn admit(
         &mut self,
         now: Timestamp,
-        owner: &str,
+        client: &str,
         key: TaskKey,
-        ask: Resources,
-        drawn: f64,
+        request: Resources,
+        jitter: f64,
     ) -> Result<Option<Ticket>, Duration>;
 
-    /// It had its final answer, and never ran.
-    fn never_ran(&mut self, now: Timestamp, ticket: Ticket);
+    /// The task got its final answer and never ran.
+    fn on_never_ran(&mut self, now: Timestamp, ticket: Ticket);
 
-    /// It had its final answer, and may run all the same.
-    fn may_run(&mut self, now: Timestamp, ticket: Ticket);
+    /// The task got its final answer, but may run all the same.
+    fn on_possible_run(&mut self, now: Timestamp, ticket: Ticket);
 
-    fn runs(&mut self, now: Timestamp, ticket: Ticket);
+    /// The task runs.
+    fn on_running(&mut self, now: Timestamp, ticket: Ticket);
 
-    /// It ran already when this planner took it over: from its own earlier life, or handed over by its owner.
-    fn adopted(&mut self, now: Timestamp, owner: &str, key: TaskKey, ask: Resources) -> Option<Ticket>;
+    /// The task ran already when this scheduler took it over, from its own earlier incarnation or from a client.
+    fn adopt(&mut self, now: Timestamp, client: &str, key: TaskKey, request: Resources) -> Option<Ticket>;
 
-    /// It runs no longer; `comes_again` where it was lost, moved or evicted.
-    fn over(&mut self, now: Timestamp, ticket: Ticket, comes_again: bool);
+    /// The task no longer runs; `will_return` where it was lost, preempted or evicted.
+    fn on_ended(&mut self, now: Timestamp, ticket: Ticket, will_return: bool);
 
-    /// All machines have told what they hold of this planner's earlier life, or can't be asked.
-    fn all_told(&mut self, now: Timestamp);
+    /// All machines have reported the tasks of this scheduler's earlier incarnation, or cannot be asked.
+    fn on_recovery_complete(&mut self, now: Timestamp);
 
-    /// How it is, in lines for a person.
+    /// The state of the quota, in lines for a person.
     fn status(&self, now: Timestamp) -> Vec<String>;
 }
--- a/crates/ledger/src/exchange/neighbors.rs
+++ b/crates/ledger/src/exchange/neighbors.rs
@@ -45,7 +45,7 @@
         if self.now < self.call_dead_at || self.keeper.phase() == Phase::CatchingUp {
             return;
         }
-        self.call_dead_at = self.now + CALL_DEAD_INTERVAL * (1.0 - REDRAW_JITTER * self.chance.part());
+        self.call_dead_at = self.now + CALL_DEAD_INTERVAL * (1.0 - REDRAW_JITTER * self.chance.fraction());
         let presence = |name: &&Name| self.keeper.roll.presence(self.now, name);
         let silent = self.addresses.keys().filter(|name| presence(name) != MemberState::Alive).count();
         // One that is late is not called for that, unless many are at once: a cut.
--- a/crates/ledger/src/exchange/status.rs
+++ b/crates/ledger/src/exchange/status.rs
@@ -44,8 +44,8 @@
             membership.members().filter(|name| membership.presence(now, name) == presence).count()
         };
         let newest = membership.members().filter_map(|name| membership.silent(now, name)).min();
-        let news =
-            newest.map_or("none".to_owned(), |span| format!("{:.1} s", span.over(Duration::from_secs(1))));
+        let news = newest
+            .map_or("none".to_owned(), |span| format!("{:.1} s", span.ratio_to(Duration::from_secs(1))));
         format!(
             "books {:?}, connections {}, members there {} slow {} gone {}, newest news {news}, rows here {}",
             keeper.phase(),
--- a/crates/ledger/src/shared_pools.rs
+++ b/crates/ledger/src/shared_pools.rs
@@ -131,7 +131,7 @@
 }
 
 impl Quota for AdmissionHandle {
-    fn ask(
+    fn admit(
         &mut self,
         now: Timestamp,
         owner: &str,
@@ -148,29 +148,29 @@
         answer.map(Some)
     }
 
-    fn never_ran(&mut self, now: Timestamp, ticket: Ticket) {
+    fn on_never_ran(&mut self, now: Timestamp, ticket: Ticket) {
         self.shelf.till(ticket.team as usize, |till| till.never_ran(now, ticket));
     }
 
-    fn may_run(&mut self, now: Timestamp, ticket: Ticket) {
+    fn on_possible_run(&mut self, now: Timestamp, ticket: Ticket) {
         self.shelf.till(ticket.team as usize, |till| till.may_run(now, ticket));
     }
 
-    fn runs(&mut self, now: Timestamp, ticket: Ticket) {
+    fn on_running(&mut self, now: Timestamp, ticket: Ticket) {
         self.shelf.till(ticket.team as usize, |till| till.runs(now, ticket));
     }
 
-    fn adopted(&mut self, now: Timestamp, owner: &str, key: TaskKey, ask: Resources) -> Option<Ticket> {
+    fn adopt(&mut self, now: Timestamp, owner: &str, key: TaskKey, ask: Resources) -> Option<Ticket> {
         let team = self.team(owner)?;
         let rate = self.prices.rate(ask);
         Some(self.shelf.till(team as usize, |till| till.adopt(now, team, key, rate)))
     }
 
-    fn over(&mut self, now: Timestamp, ticket: Ticket, comes_again: bool) {
+    fn on_ended(&mut self, now: Timestamp, ticket: Ticket, comes_again: bool) {
         self.shelf.till(ticket.team as usize, |till| till.over(now, ticket, comes_again));
     }
 
-    fn all_told(&mut self, _: Timestamp) {
+    fn on_recovery_complete(&mut self, _: Timestamp) {
         self.shelf.told.store(true, Ordering::Release);
     }
 
--- a/crates/ledger/tests/books.rs
+++ b/crates/ledger/tests/books.rs
@@ -181,18 +181,18 @@
     net.run(ms(300));
     let now = net.now;
     let room = Resources::new(2.0, 1.0);
-    let taken = net.node(3).teller.ask(now, "pay/tool", TaskKey(50), room, 0.5).expect("there is room");
+    let taken = net.node(3).teller.admit(now, "pay/tool", TaskKey(50), room, 0.5).expect("there is room");
     net.order(0, acme(), 1, Word::Held { finish_by: None });
     net.run(ms(400));
     for n in 0..4 {
         assert!(net.add(n, 60 + n as u64).is_err(), "scheduler {n}");
         let now = net.now;
-        let free = net.node(n).teller.ask(now, "free/tool", TaskKey(70), room, 0.5);
+        let free = net.node(n).teller.admit(now, "free/tool", TaskKey(70), room, 0.5);
         assert!(free.is_err(), "a team of the same account, without a cap");
-        assert_eq!(net.node(n).teller.ask(now, "other", TaskKey(80), room, 0.5), Ok(None));
+        assert_eq!(net.node(n).teller.admit(now, "other", TaskKey(80), room, 0.5), Ok(None));
     }
     // It could not be placed, and its owner asks another scheduler.
-    net.node(3).teller.never_ran(now, taken.expect("its tenant is of a team"));
+    net.node(3).teller.on_never_ran(now, taken.expect("its tenant is of a team"));
     assert_eq!(net.fill(1, 50, 1).len(), 1);
     net.order(2, acme(), 2, Word::Cleared {});
     net.run(ms(400));
@@ -266,7 +266,7 @@
     assert!(net.add(0, 999).is_err(), "this month is spent");
     let now = net.now;
     for (n, ticket) in more.iter().enumerate().flat_map(|(n, all)| all.iter().map(move |t| (n, *t))) {
-        net.node(n).teller.over(now, ticket, false);
+        net.node(n).teller.on_ended(now, ticket, false);
     }
     net.run(ms(8_000));
     assert_eq!(net.fill(0, 1_000, 1).len(), 1, "the next one isn't");
--- a/crates/ledger/tests/connections.rs
+++ b/crates/ledger/tests/connections.rs
@@ -32,7 +32,7 @@
         net.run(Duration::from_secs(1));
         let now = net.now;
         for (n, ticket) in running.drain(..) {
-            net.node(n).teller.over(now, ticket, false);
+            net.node(n).teller.on_ended(now, ticket, false);
         }
     }
 }
--- a/crates/ledger/tests/net/mod.rs
+++ b/crates/ledger/tests/net/mod.rs
@@ -350,9 +350,9 @@
     pub fn add(&mut self, n: usize, key: u64) -> Result<Ticket, Duration> {
         let now = self.now;
         let teller = &mut self.node(n).teller;
-        let ticket = teller.ask(now, "pay/tool", TaskKey(key), Resources::new(2.0, 1.0), 0.5)?;
+        let ticket = teller.admit(now, "pay/tool", TaskKey(key), Resources::new(2.0, 1.0), 0.5)?;
         let ticket = ticket.expect("its tenant is of a team");
-        teller.runs(now, ticket);
+        teller.on_running(now, ticket);
         Ok(ticket)
     }
 
--- a/crates/ledger/tests/work_logs.rs
+++ b/crates/ledger/tests/work_logs.rs
@@ -82,19 +82,19 @@
 
 fn ends(net: &mut Net, n: usize, ticket: Ticket, comes_again: bool) {
     let now = net.now;
-    net.node(n).teller.over(now, ticket, comes_again);
+    net.node(n).teller.on_ended(now, ticket, comes_again);
 }
 
 fn adopts(net: &mut Net, n: usize, keys: &[u64]) -> Vec<Ticket> {
     let now = net.now;
     let teller = &mut net.node(n).teller;
-    let mut adopt = |key: &u64| teller.adopted(now, "pay/tool", TaskKey(*key), room());
+    let mut adopt = |key: &u64| teller.adopt(now, "pay/tool", TaskKey(*key), room());
     keys.iter().map(|key| adopt(key).expect("its tenant is of a team")).collect()
 }
 
 fn all_told(net: &mut Net, n: usize) {
     let now = net.now;
-    net.node(n).teller.all_told(now);
+    net.node(n).teller.on_recovery_complete(now);
 }
 
 /// All of these come again, at the schedulers in turn, while nothing new may be added.
--- a/crates/planner/src/conf.rs
+++ b/crates/planner/src/conf.rs
@@ -96,20 +96,20 @@
     let none = Scope::new(&[], place.clone());
     let mut taking = scope.once("taking", faults).map_or(none, Scope::of);
     let taking_ = AcceptanceRules {
-        cores: taking.or("accepts-cores", 1.0, faults),
-        memory: taking.or("accepts-memory", 1.0, faults),
-        yes_when_running: taking.or("yes-when-running", false, faults),
-        max_sends: rules.most_sends,
-        tells_pressure: taking.or("tells-pressure", true, faults),
-        recalls: taking.or("recalls", true, faults),
+        cores_overcommit: taking.or("accepts-cores", 1.0, faults),
+        memory_overcommit: taking.or("accepts-memory", 1.0, faults),
+        accepts_when_running: taking.or("yes-when-running", false, faults),
+        max_attempts: rules.most_sends,
+        reports_pressure: taking.or("tells-pressure", true, faults),
+        supports_cancel: taking.or("recalls", true, faults),
     };
     taking.finish(faults);
     let none = Scope::new(&[], place.clone());
     let mut prices = scope.once("prices", faults).map_or(none, Scope::of);
     let home = LocalityCosts {
-        zone: ZoneId(hall),
-        cross_zone_price: prices.or("cross-hall", 0.0, faults),
-        machine_price: prices.or("machine", 0.0, faults),
+        local_zone: ZoneId(hall),
+        cross_zone_cost: prices.or("cross-hall", 0.0, faults),
+        machine_cost: prices.or("machine", 0.0, faults),
     };
     prices.finish(faults);
     let none = Scope::new(&[], place.clone());
@@ -162,13 +162,13 @@
         kinds: kinds.iter().map(|kind| kind.size).collect(),
         taking: taking_,
         cold: SlowStart {
-            warm_after: rules.warm_after,
-            fall: rules.fall,
-            young_limit: f64::from(rules.young_limit),
-            schedulers,
-            number,
+            warm_up_time: rules.warm_after,
+            budget_window: rules.fall,
+            attempt_budget: f64::from(rules.young_limit),
+            scheduler_count: schedulers,
+            scheduler_index: number,
         },
-        listing: Discovery { asked, ask_within: rules.ask_within },
+        listing: Discovery { watch_required: asked, max_staleness: rules.ask_within },
         home,
         list_address: list_address?,
         reconnect,
--- a/crates/platform-settings/src/lib.rs
+++ b/crates/platform-settings/src/lib.rs
@@ -56,28 +56,28 @@
             use_cases: use_cases(config, facts)?,
             kinds: kinds(facts)?,
             taking: AcceptanceRules {
-                cores: number(facts, "acceptsCores")?,
-                memory: number(facts, "acceptsMemory")?,
-                yes_when_running: facts.get("yesAt").and_then(Value::as_str) == Some("running"),
-                max_sends: number(limits, "maxAttempts")? as u32,
-                tells_pressure: facts.get("tellsPressure").and_then(Value::as_bool) == Some(true),
-                recalls: limits.get("cancel").and_then(Value::as_bool) == Some(true),
+                cores_overcommit: number(facts, "acceptsCores")?,
+                memory_overcommit: number(facts, "acceptsMemory")?,
+                accepts_when_running: facts.get("yesAt").and_then(Value::as_str) == Some("running"),
+                max_attempts: number(limits, "maxAttempts")? as u32,
+                reports_pressure: facts.get("tellsPressure").and_then(Value::as_bool) == Some(true),
+                supports_cancel: limits.get("cancel").and_then(Value::as_bool) == Some(true),
             },
             cold: SlowStart {
-                warm_after: span(rules, "warmAfter")?,
-                fall: span(rules, "fall")?,
-                young_limit: number(facts, "youngLimit")?,
-                schedulers: number(config, "balancers")? as u32,
-                number: number(config, "index")? as u32,
+                warm_up_time: span(rules, "warmAfter")?,
+                budget_window: span(rules, "fall")?,
+                attempt_budget: number(facts, "youngLimit")?,
+                scheduler_count: number(config, "balancers")? as u32,
+                scheduler_index: number(config, "index")? as u32,
             },
             listing: Discovery {
-                asked: config.get("discovery").and_then(Value::as_str) == Some("ask"),
-                ask_within: span(rules, "askWithin")?,
+                watch_required: config.get("discovery").and_then(Value::as_str) == Some("ask"),
+                max_staleness: span(rules, "askWithin")?,
             },
             home: LocalityCosts {
-                zone,
-                cross_zone_price: number(tariffs, "crossZone").unwrap_or(0.0),
-                machine_price: number(tariffs, "fleet").unwrap_or(0.0),
+                local_zone: zone,
+                cross_zone_cost: number(tariffs, "crossZone").unwrap_or(0.0),
+                machine_cost: number(tariffs, "fleet").unwrap_or(0.0),
             },
             names: Names {
                 use_cases: class_names.map(|name| name.unwrap_or_default().to_owned()).collect(),
@@ -94,12 +94,14 @@
     pub fn brain(&self, seed: u64) -> PlacementPolicy {
         PlacementPolicy::new(
             seed,
-            self.use_cases.clone(),
-            self.kinds.clone(),
-            self.taking,
-            self.cold,
-            self.listing,
-            self.home,
+            PolicySettings {
+                use_cases: self.use_cases.clone(),
+                machine_kinds: self.kinds.clone(),
+                acceptance: self.taking,
+                slow_start: self.cold,
+                discovery: self.listing,
+                locality: self.home,
+            },
         )
     }
 }
@@ -138,7 +140,7 @@
     let figure = |key: &str, n: usize| at(key, n).and_then(Value::as_f64);
     let read = |(n, class): (usize, &Value)| {
         let group = match class.get("group").and_then(Value::as_str) {
-            Some("all") => FailureDomain::All,
+            Some("all") => FailureDomain::Cluster,
             Some("zone") => FailureDomain::Zone,
             _ => FailureDomain::Cell,
         };
@@ -154,15 +156,17 @@
             _ => None,
         };
         Ok(UseCase {
-            soft_limit: span(class, "target")?,
+            latency_objective: span(class, "target")?,
             client_timeout: span(class, "deadline")?,
-            effect,
-            earnings: number(class, "gain")?,
+            idempotency: effect,
+            value_per_second: number(class, "gain")?,
             priority: figure("precedence", n).unwrap_or(0.0) as u8,
-            kind: figure("kindByClass", n).filter(|kind| *kind >= 0.0).map(|kind| KindId(kind as usize)),
+            machine_kind: figure("kindByClass", n)
+                .filter(|kind| *kind >= 0.0)
+                .map(|kind| KindId(kind as usize)),
             spread: reach.zip(figure("togetherMax", n).map(|most| most as usize)),
-            full_up_to: figure("fullUpTo", n).unwrap_or(1.0),
-            fade: figure("classFade", n).unwrap_or(0.0),
+            saturation_threshold: figure("fullUpTo", n).unwrap_or(1.0),
+            degradation_range: figure("classFade", n).unwrap_or(0.0),
         })
     };
     list(config, "classes")?.iter().enumerate().map(read).collect()
--- a/crates/platform/src/desk.rs
+++ b/crates/platform/src/desk.rs
@@ -174,7 +174,7 @@
             timers: Timers::default(),
             next_mark: 0,
             stood: PauseDetector::default(),
-            chance: Pcg::new(mix(conf.seed, conf.site.cold.number.into())),
+            chance: Pcg::new(mix(conf.seed, conf.site.cold.scheduler_index.into())),
             ending: None,
             told_end: false,
             counts: Counts::default(),
@@ -591,7 +591,7 @@
 
     /// It is looked at from now on, as long as there is anything to look after.
     pub fn look_after(&mut self, id: MachineId) {
-        let drawn = self.now + backoff::sign(self.patience.look * 2.0, self.chance.part());
+        let drawn = self.now + backoff::sign(self.patience.look * 2.0, self.chance.fraction());
         if let Some(machine) = self.machines.by_id.get_mut(&id)
             && !std::mem::replace(&mut machine.looked_after, true)
         {
@@ -687,7 +687,7 @@
         if self.is_closing(id, open.number) {
             return;
         }
-        let cut = self.site.use_cases[job.order.use_case.0].effect == Idempotency::Idempotent;
+        let cut = self.site.use_cases[job.order.use_case.0].idempotency == Idempotency::Idempotent;
         let ending = self.retract(id, open, cut).unwrap_or(may_run);
         self.closings.push_back((id, open.number, ending));
     }
@@ -733,11 +733,14 @@
         else {
             return never;
         };
-        let window = match (self.site.use_cases[job.order.use_case.0].effect, job.may_have_run) {
+        let window = match (self.site.use_cases[job.order.use_case.0].idempotency, job.may_have_run) {
             (Idempotency::Keyed { window, .. }, Some(first)) => first + window,
             _ => never,
         };
-        machine.gate.stale_after(self.now, self.site.cold.fall).map_or(window, |cold| cold.min(window))
+        machine
+            .gate
+            .stale_after(self.now, self.site.cold.budget_window)
+            .map_or(window, |cold| cold.min(window))
     }
 
     /// What proves that a send never ran, once it is taken back; nothing where it may.
@@ -752,7 +755,7 @@
         let connection = self.machines.connections.get_mut(&link)?;
         connection.open.retain(|task| *task != id);
         if back {
-            return Some(if connection.up { Outcome::NotSent } else { Outcome::NoConnection });
+            return Some(if connection.up { Outcome::NotSent } else { Outcome::ConnectionFailed });
         }
         connection.gives_up(id, cut);
         self.send(link, |out| protocol::write_with_cause(out, kind::RELEASE, id.0, why::ENDED));
@@ -762,7 +765,7 @@
     /// Writes the set-ups that the gate held back, as far as it lets them. What waited too long for a cold
     /// machine goes back to the module, whose budget counts it no longer.
     pub fn release(&mut self, id: MachineId) {
-        let (now, fall) = (self.now, self.site.cold.fall);
+        let (now, fall) = (self.now, self.site.cold.budget_window);
         let Some(machine) = self.machines.by_id.get_mut(&id).filter(|m| !m.waiting.is_empty()) else {
             return;
         };
@@ -774,7 +777,7 @@
             let Some(open) = open.filter(is_it) else { continue };
             let machine = &self.machines.by_id[&id];
             let stale = machine.gate.is_stale(now, fall, open.decided) || open.write_by < now;
-            if stale || machine.entry.mode != MachineState::Active {
+            if stale || machine.entry.state != MachineState::Active {
                 self.closings.push_back((task, send, Outcome::NotSent));
             } else if shut.is_some() || open.due <= now {
                 waits_on.push((task, send));
@@ -793,7 +796,7 @@
     pub fn waits_for_connection(&mut self, task: TaskId, send: u32, id: MachineId) {
         let machine = self.machines.by_id.get_mut(&id).expect("a machine that is sent to");
         if machine.replaced {
-            return self.closings.push_back((task, send, Outcome::NoConnection));
+            return self.closings.push_back((task, send, Outcome::ConnectionFailed));
         }
         machine.waiting.push((task, send));
         self.timers.set(self.now + self.patience.connect * CONNECTION_PART, Due::Release(id));
@@ -845,7 +848,7 @@
         if failures == 0 {
             self.open_watch();
         } else {
-            let wait = backoff::after_failures(watch::AGAIN, failures - 1, self.chance.part());
+            let wait = backoff::after_failures(watch::AGAIN, failures - 1, self.chance.fraction());
             self.timers.set(self.now + wait, Due::OpenWatch);
         }
     }
--- a/crates/platform/src/hear.rs
+++ b/crates/platform/src/hear.rs
@@ -84,7 +84,7 @@
         let d = &mut *desk.borrow_mut();
         let entries: Vec<MachineEntry> = targets.iter().map(|listed| entry(d, listed)).collect();
         if kind != ListKind::Delta {
-            d.machines.by_id.values_mut().for_each(|machine| machine.entry.mode = MachineState::Removed);
+            d.machines.by_id.values_mut().for_each(|machine| machine.entry.state = MachineState::Removed);
         }
         let mut by_address = None;
         for (listed, entry) in targets.iter().zip(&entries) {
@@ -97,7 +97,7 @@
         let d = &mut *desk.borrow_mut();
         let known = &d.machines.by_id;
         let closed = |(_, machine): &(&MachineId, &Machine)| {
-            (machine.entry.mode != MachineState::Active || machine.replaced)
+            (machine.entry.state != MachineState::Active || machine.replaced)
                 && !(machine.connections.is_empty() && machine.waiting.is_empty())
         };
         let closed: Vec<MachineId> = known.iter().filter(closed).map(|(id, _)| *id).collect();
@@ -125,14 +125,15 @@
         // A number that only has to differ.
         cell: CellId(listed.pod_group as u32),
         zone: ZoneId(place(&d.site.names.zones, &listed.az).map_or(u32::MAX, |at| at as u32)),
-        mode: match listed.state.as_str() {
+        state: match listed.state.as_str() {
             "in_service" => MachineState::Active,
             "terminated" => MachineState::Removed,
             // Nothing new goes where the state is not understood.
             _ => MachineState::Draining,
         },
-        since: (listed.boot_ms > 0).then(|| Timestamp::from_nanos(listed.boot_ms.saturating_mul(1_000_000))),
-        left: listed.room.map(|(cores, memory)| Resources::new(cores, memory)),
+        started_at: (listed.boot_ms > 0)
+            .then(|| Timestamp::from_nanos(listed.boot_ms.saturating_mul(1_000_000))),
+        available: listed.room.map(|(cores, memory)| Resources::new(cores, memory)),
     }
 }
 
@@ -153,8 +154,9 @@
     let (now, id) = (d.now, entry.id);
     let known = d.machines.by_id.get(&id);
     tracing::debug!(address, ?entry, "listed");
-    let (moved, before) = (known.is_none_or(|m| m.address != address), known.and_then(|m| m.entry.since));
-    if moved && entry.mode != MachineState::Removed {
+    let (moved, before) =
+        (known.is_none_or(|m| m.address != address), known.and_then(|m| m.entry.started_at));
+    if moved && entry.state != MachineState::Removed {
         let at_address = index.get_or_insert_with(|| by_address(d)).get(address);
         let is_there = |other: &&MachineId| {
             **other != id && d.machines.by_id.get(*other).is_some_and(|machine| machine.address == address)
@@ -170,7 +172,7 @@
             idle.into_iter().for_each(|link| d.end_connection(link));
         }
     }
-    if let Some(since) = entry.since.filter(|since| before != Some(*since)) {
+    if let Some(since) = entry.started_at.filter(|since| before != Some(*since)) {
         d.is_lost(id, since, "it started anew");
     }
     let machine = d.machines.by_id.entry(id).or_insert_with(|| Machine::new(entry, address.to_owned(), now));
@@ -181,8 +183,8 @@
     if let (true, Some(index)) = (moved, index) {
         index.entry(address.to_owned()).or_default().insert(id);
     }
-    if let Some(since) = entry.since {
-        let until = since + d.site.cold.warm_after;
+    if let Some(since) = entry.started_at {
+        let until = since + d.site.cold.warm_up_time;
         if until > now {
             machine.gate.is_cold_until(until);
         }
@@ -407,7 +409,7 @@
     greets(d, owner);
     proves(d, owner);
     d.counts.handed += 1;
-    tracing::debug!(task = hex(id), machine = machine.0, ask = ?order.ask, "handed over");
+    tracing::debug!(task = hex(id), machine = machine.0, ask = ?order.request, "handed over");
     if let Some(cause) = d.handovers.end_of(id, machine) {
         return d.tell_end(Some(owner), id, cause);
     }
@@ -432,16 +434,16 @@
     let case = d.site.names.use_cases.iter().position(|name| name == setup.class);
     let case = case.ok_or(Unusable("an unknown class"))?;
     let use_case = &d.site.use_cases[case];
-    if matches!(use_case.effect, Idempotency::Keyed { .. }) && setup.key.is_none() {
+    if matches!(use_case.idempotency, Idempotency::Keyed { .. }) && setup.key.is_none() {
         return Err(Unusable("no key in a class that has keys"));
     }
     if std::str::from_utf8(setup.description).is_err() {
         return Err(Unusable("a description that is no text"));
     }
     let taking = &d.site.taking;
-    let largest = d.site.kinds.iter().fold(Resources::ZERO, |most, size| most.at_least(*size));
+    let largest = d.site.kinds.iter().fold(Resources::ZERO, |most, size| most.max(*size));
     let asked = Resources::new(setup.figures.cores, setup.figures.memory);
-    if !(largest + taking.beyond(largest)).fits(asked) {
+    if !(largest + taking.overcommit_allowance(largest)).fits(asked) {
         return Err(Unusable("more than any machine takes"));
     }
     let longest = use_case.client_timeout.nanos() / 1_000_000;
@@ -457,9 +459,9 @@
         key: TaskKey(setup.name_number),
         use_case,
         service: ServiceId(setup.figures.service),
-        ask: Resources::new(setup.figures.cores, setup.figures.memory),
+        request: Resources::new(setup.figures.cores, setup.figures.memory),
         deadline,
-        again: setup.again,
+        is_resubmitted: setup.again,
     }
 }
 
@@ -690,7 +692,7 @@
 
 /// A machine said something of a send: what was written before it has arrived too.
 fn answered_by(d: &mut Desk, machine: MachineId, id: TaskId, send: u32) {
-    let (now, fall) = (d.now, d.site.cold.fall);
+    let (now, fall) = (d.now, d.site.cold.budget_window);
     if let Some(machine) = d.machines.by_id.get_mut(&machine) {
         machine.gate.answered(now, fall, id.0, send);
     }
@@ -743,7 +745,7 @@
             Some(Why::NoCores) => Rejection::InsufficientCores,
             Some(Why::NoMemory) => Rejection::InsufficientMemory,
             Some(Why::LineFull) => Rejection::QueueFull,
-            Some(Why::NotHere) => Rejection::NotHere,
+            Some(Why::NotHere) => Rejection::Ineligible,
             Some(Why::Evicted | Why::PushedOut | Why::SentAway) => Rejection::Returned,
         }),
         why::ERROR => Outcome::Failed,
@@ -754,12 +756,12 @@
 
 fn after_answer(cause: Cause, told: Option<Why>) -> Outcome {
     match cause {
-        why::ENDED => Outcome::Ok,
+        why::ENDED => Outcome::Succeeded,
         why::CANCELLED => Outcome::Cancelled,
         _ => Outcome::Lost(match told {
             Some(Why::Evicted) => FailureCause::Evicted,
             Some(Why::PushedOut) => FailureCause::Preempted,
-            Some(Why::SentAway) => FailureCause::SentAway,
+            Some(Why::SentAway) => FailureCause::Relocated,
             _ => FailureCause::Unspecified,
         }),
     }
@@ -805,7 +807,7 @@
             }
             true
         } else {
-            if !matches!(ending, Outcome::Rejected(_) | Outcome::NoConnection | Outcome::NotSent) {
+            if !matches!(ending, Outcome::Rejected(_) | Outcome::ConnectionFailed | Outcome::NotSent) {
                 job.may_have_run.get_or_insert(open.decided);
             }
             let abandoned = job.abandoned;
@@ -833,7 +835,7 @@
             "a connection is over"
         );
     }
-    let drawn = d.chance.part();
+    let drawn = d.chance.fraction();
     let others: Vec<ConnectionId> =
         d.machines.connections_of(id).filter(|(_, other)| other.up).map(|(link, _)| link).collect();
     let refused = end == CloseReason::Refused;
@@ -880,7 +882,7 @@
             }
         }
         let ending =
-            if never_left { Outcome::NoConnection } else { Outcome::Lost(FailureCause::Unspecified) };
+            if never_left { Outcome::ConnectionFailed } else { Outcome::Lost(FailureCause::Unspecified) };
         d.closings.push_back((task, open.number, ending));
     }
     d.look_after(id);
--- a/crates/platform/src/machines.rs
+++ b/crates/platform/src/machines.rs
@@ -211,7 +211,7 @@
     /// Machines that are over, and of which nothing is left.
     pub fn forget_gone(&mut self, still_needed: impl Fn(MachineId) -> bool) {
         self.by_id.retain(|id, machine| {
-            machine.entry.mode != MachineState::Removed
+            machine.entry.state != MachineState::Removed
                 || !machine.connections.is_empty()
                 || still_needed(*id)
         });
--- a/crates/platform/src/pen.rs
+++ b/crates/platform/src/pen.rs
@@ -46,11 +46,11 @@
         job.open = Some(Open { write_by, ..Open::new(number, machine, now, due) });
         let spot = desk.machines.by_id.get_mut(&machine).expect("the module sends to listed machines");
         assert!(
-            spot.entry.mode == MachineState::Active,
+            spot.entry.state == MachineState::Active,
             "task {}: a send to a machine that drains or is gone",
             task.0
         );
-        if let Some(until) = spot.gate.shut_until(now, desk.site.cold.fall) {
+        if let Some(until) = spot.gate.shut_until(now, desk.site.cold.budget_window) {
             spot.waiting.push((task, number));
             desk.timers.set(until, Due::Release(machine));
         } else if !desk.write_setup(task) {
@@ -70,8 +70,8 @@
         let desk = &mut *self.0.borrow_mut();
         let job = &desk.tasks.by_id[&task];
         assert!(job.open.is_none(), "task {}: nacked with a send out", task.0);
-        let harmless = match desk.site.use_cases[job.order.use_case.0].effect {
-            Idempotency::Idempotent | Idempotency::Keyed { domain: FailureDomain::All, .. } => true,
+        let harmless = match desk.site.use_cases[job.order.use_case.0].idempotency {
+            Idempotency::Idempotent | Idempotency::Keyed { domain: FailureDomain::Cluster, .. } => true,
             Idempotency::Keyed { .. } | Idempotency::NonIdempotent => job.may_have_run.is_none(),
         };
         assert!(harmless, "task {}: nacked though it may have run", task.0);
--- a/crates/platform/src/stories/ramp.rs
+++ b/crates/platform/src/stories/ramp.rs
@@ -72,7 +72,7 @@
                 let bulletin = one.rig.on(BULLETIN)[0];
                 one.rig.say(bulletin, text.as_bytes());
             }
-            if self.chance.part() < tasks {
+            if self.chance.fraction() < tasks {
                 let class = if self.next_task.is_multiple_of(3) { "batch" } else { "front" };
                 let task = set_up(self.next_task, class, "");
                 self.next_task += 1;
@@ -145,7 +145,7 @@
         if n == 130 || n == 160 {
             let now = fleet.all[0].rig.now;
             for at in 0..schedulers {
-                if fleet.chance.part() >= restarts {
+                if fleet.chance.fraction() >= restarts {
                     continue;
                 }
                 let knows = [&[no_room(listed(FULL, "in_service", 0))], &lines[..]].concat();
--- a/crates/quota/src/keeper.rs
+++ b/crates/quota/src/keeper.rs
@@ -293,7 +293,7 @@
     }
 
     pub fn part(&mut self) -> f64 {
-        self.chance.part()
+        self.chance.fraction()
     }
 
     pub fn below(&mut self, below: usize) -> usize {
@@ -478,7 +478,7 @@
     /// Another's answer to what we asked for: nothing, or a gift whose row comes with its column.
     pub fn answered(&mut self, now: Timestamp, from: &Name, team: &Name, parts: Parts) {
         let Some(team) = self.settings.teams.iter().position(|t| t.name == *team) else { return };
-        let rest = now + REST * (1.0 + self.chance.part());
+        let rest = now + REST * (1.0 + self.chance.fraction());
         let desk = &mut self.desks[team];
         if desk.asking.as_ref().is_some_and(|(name, _)| name == from) {
             desk.asking = None;
--- a/crates/quota/src/pace.rs
+++ b/crates/quota/src/pace.rs
@@ -39,7 +39,7 @@
         let bytes = (members as u64).saturating_mul(each);
         let period = Duration::from_secs(1) * (bytes as f64 / BUDGET as f64);
         let period = period.max(LEAST_PERIOD);
-        Self { period, block: (2.0 * period.over(Duration::from_secs(1))).max(BLOCK) }
+        Self { period, block: (2.0 * period.ratio_to(Duration::from_secs(1))).max(BLOCK) }
     }
 }
 
--- a/crates/quota/src/reservation_pool.rs
+++ b/crates/quota/src/reservation_pool.rs
@@ -181,7 +181,7 @@
         self.accrue(now);
         self.asks += 1;
         let need = cost(rate, self.stretch);
-        let none = Ticket { team, key, rate, open: 0, last: 0 };
+        let none = Ticket { team, key, rate, reserved_open: 0, reserved_last: 0 };
         let place = self.names.get_mut(&key.0).filter(|place| !place.in_hand && !self.terms.finished);
         if let Some(place) = place {
             place.in_hand = true;
@@ -217,7 +217,7 @@
         }
         self.has.open -= need;
         self.reserved += need;
-        Some(Ticket { open: need, ..none })
+        Some(Ticket { reserved_open: need, ..none })
     }
 
     fn not_in_hand(&mut self, key: u64) {
@@ -242,12 +242,12 @@
         let open = (need - last).min(self.has.open);
         self.has = self.has.less(Parts { open, last });
         self.reserved += open + last;
-        Ticket { open, last, ..ticket }
+        Ticket { reserved_open: open, reserved_last: last, ..ticket }
     }
 
     fn give_back(&mut self, ticket: Ticket) {
-        self.reserved -= ticket.open + ticket.last;
-        self.has = self.has.plus(Parts { open: ticket.open, last: ticket.last });
+        self.reserved -= ticket.reserved_open + ticket.reserved_last;
+        self.has = self.has.plus(Parts { open: ticket.reserved_open, last: ticket.reserved_last });
         self.pay();
     }
 
@@ -262,7 +262,7 @@
     /// It had its final answer and may run all the same, for a stretch at the most.
     pub fn may_run(&mut self, now: Timestamp, ticket: Ticket) {
         self.accrue(now);
-        let reserve = ticket.open + ticket.last;
+        let reserve = ticket.reserved_open + ticket.reserved_last;
         self.reserved -= reserve;
         self.spent += reserve;
         self.not_in_hand(ticket.key.0);
@@ -283,7 +283,7 @@
         let need = cost(rate, self.stretch);
         self.rate += rate;
         self.news.push(News::Adopted { key: key.0, rate, at: now });
-        self.reserve(Ticket { team, key, rate, open: 0, last: 0 }, need)
+        self.reserve(Ticket { team, key, rate, reserved_open: 0, reserved_last: 0 }, need)
     }
 
     pub fn over(&mut self, now: Timestamp, ticket: Ticket, comes_again: bool) {
@@ -491,7 +491,7 @@
         till.take_back(Parts { open: 1_000, last: 0 });
         assert!(till.ask(at(1_500), 0, TaskKey(2), 10, 0.0).is_err());
         let again = till.ask(at(1_500), 0, TaskKey(1), 10, 0.0).expect("it ran before");
-        assert_eq!((again.open, again.last), (0, 100));
+        assert_eq!((again.reserved_open, again.reserved_last), (0, 100));
         assert!(till.ask(at(1_500), 0, TaskKey(1), 10, 0.0).is_err(), "it is asked for already");
         till.never_ran(at(1_600), again);
         assert!(till.ask(at(1_700), 0, TaskKey(1), 10, 0.0).is_ok());
@@ -531,7 +531,10 @@
         till.over(at(20), ran, true);
         let again = till.ask(at(30), 0, TaskKey(1), 10, 0.0).expect("it ran");
         let taken = till.ask(at(30), 0, TaskKey(2), 10, 0.0).expect("it was taken before");
-        assert_eq!((again.open, again.last, taken.open, taken.last), (0, 100, 100, 0));
+        assert_eq!(
+            (again.reserved_open, again.reserved_last, taken.reserved_open, taken.reserved_last),
+            (0, 100, 100, 0)
+        );
         till.never_ran(at(40), again);
         till.refresh(at(1_000_000), AWAY, Terms { finished: true, ..held });
         assert!(till.ask(at(50), 0, TaskKey(1), 10, 0.0).is_err(), "the time to finish is over");
--- a/crates/quota/src/shares.rs
+++ b/crates/quota/src/shares.rs
@@ -98,7 +98,7 @@
 /// Which of the others to ask, by what each is believed to have.
 pub fn whom<'a>(chance: &mut Pcg, others: &[(&'a Name, u64)]) -> Option<&'a Name> {
     let all = others.iter().fold(0u64, |sum, (_, has)| sum.saturating_add(*has));
-    let mut drawn = (all as f64 * chance.part()) as u64;
+    let mut drawn = (all as f64 * chance.fraction()) as u64;
     for (name, has) in others {
         if *has > 0 && drawn < *has {
             return Some(name);
--- a/crates/replay/src/bound.rs
+++ b/crates/replay/src/bound.rs
@@ -56,7 +56,7 @@
         }
         let (mut room, mut up) = (Resources::ZERO, 0.0);
         for spot in fleet.spots.iter().filter(|spot| spot.is_up(at)) {
-            room += day.kinds[spot.kind].size.times(accepts.0, accepts.1);
+            room += day.kinds[spot.kind].size.scaled(accepts.0, accepts.1);
             up += 1.0;
         }
         let asked = sums.iter().fold(Resources::ZERO, |all, sum| all + *sum);
--- a/crates/replicated-log/src/membership.rs
+++ b/crates/replicated-log/src/membership.rs
@@ -61,8 +61,8 @@
         if let Some(heard) = member.heard.replace(now) {
             let gap = now - heard;
             let off = if gap > member.mean { gap - member.mean } else { member.mean - gap };
-            member.mean = member.mean.toward(gap, NEWEST).max(every * LEAST_DEVIATION);
-            member.deviation = member.deviation.toward(off, NEWEST).max(every * LEAST_DEVIATION);
+            member.mean = member.mean.moved_towards(gap, NEWEST).max(every * LEAST_DEVIATION);
+            member.deviation = member.deviation.moved_towards(off, NEWEST).max(every * LEAST_DEVIATION);
         }
         (member.beat, member.suspected) = (beat, false);
         true
--- a/crates/scale/src/ledgers/load.rs
+++ b/crates/scale/src/ledgers/load.rs
@@ -142,7 +142,7 @@
         for n in 0..running {
             let Some((member, team)) = self.place(n) else { return };
             let mut own = Pcg::new(mix(self.seed, mix(member as u64, team as u64)));
-            let later = BALANCES_APART * own.part();
+            let later = BALANCES_APART * own.fraction();
             fleet.cue(nth(caught_up, n, running as f64, span) + later, Cue::Fill(n));
         }
     }
@@ -174,7 +174,7 @@
             Cue::Change(n) => {
                 // Looks at quotas come at even intervals: changes don't, or all would meet the same instant.
                 let at = nth(self.filled, n + 1, self.plan.size.changes, SECOND);
-                fleet.cue(at + CHANGE_SPREAD * self.chance.part(), Cue::Change(n + 1));
+                fleet.cue(at + CHANGE_SPREAD * self.chance.fraction(), Cue::Change(n + 1));
                 return self.change(n, fleet).map(Note::Changed);
             }
             Cue::Fail(n) => return self.fail(n, fleet).map(Note::Killed),
@@ -210,7 +210,7 @@
     fn try_start(&mut self, n: u64, fleet: &mut Fleet) {
         let Some(Task { member, team, .. }) = self.tasks.get(&n).copied() else { return };
         let Some(member) = next_up(fleet, member) else { return };
-        let (now, key, drawn) = (fleet.now(), mix(self.seed, n), self.chance.part());
+        let (now, key, drawn) = (fleet.now(), mix(self.seed, n), self.chance.fraction());
         let asked = fleet.with_ledger(member, |ledger| ledger.start_task(now, team, key, drawn));
         match asked {
             Some(Ok(ticket)) => {
--- a/crates/scale/src/ledgers/member.rs
+++ b/crates/scale/src/ledgers/member.rs
@@ -324,25 +324,25 @@
         key: u64,
         drawn: f64,
     ) -> Result<Ticket, Duration> {
-        let ticket = self.teller.ask(now, &owner(team), TaskKey(key), TASK, drawn)?;
+        let ticket = self.teller.admit(now, &owner(team), TaskKey(key), TASK, drawn)?;
         let ticket = ticket.expect("its tenant is of a team");
-        self.teller.runs(now, ticket);
+        self.teller.on_running(now, ticket);
         Ok(ticket)
     }
 
     /// A task that an earlier life started still runs.
     pub fn adopt_task(&mut self, now: Timestamp, team: usize, key: u64) -> Ticket {
-        let ticket = self.teller.adopted(now, &owner(team), TaskKey(key), TASK);
+        let ticket = self.teller.adopt(now, &owner(team), TaskKey(key), TASK);
         ticket.expect("its tenant is of a team")
     }
 
     /// All tasks that run from earlier lives were adopted.
     pub fn all_adopted(&mut self, now: Timestamp) {
-        self.teller.all_told(now);
+        self.teller.on_recovery_complete(now);
     }
 
     pub fn end_task(&mut self, now: Timestamp, ticket: Ticket) {
-        self.teller.over(now, ticket, false);
+        self.teller.on_ended(now, ticket, false);
     }
 
     pub fn change(&mut self, change: ConfigChange) {
--- a/crates/scale/src/ledgers/mod.rs
+++ b/crates/scale/src/ledgers/mod.rs
@@ -165,7 +165,7 @@
         }
         let Some(start) = self.start.take() else { unreachable!("was measured just now") };
         let span = if self.is_partial { self.fleet.now() - start.at } else { self.end - start.at };
-        let seconds = span.over(Duration::from_secs(1));
+        let seconds = span.ratio_to(Duration::from_secs(1));
         let counts: Vec<Counts> =
             self.counts().into_iter().zip(&start.counts).map(|(now, then)| now.since(*then)).collect();
         let kinds = kinds_since(self.fleet.kinds(), &start.kinds);
--- a/crates/scale/src/ledgers/watch.rs
+++ b/crates/scale/src/ledgers/watch.rs
@@ -16,7 +16,7 @@
 const DIGITS: u8 = 3;
 
 fn seconds(span: Duration) -> f64 {
-    span.over(Duration::from_secs(1))
+    span.ratio_to(Duration::from_secs(1))
 }
 
 /// A change that isn't in force everywhere yet.
--- a/crates/scale/src/limits.rs
+++ b/crates/scale/src/limits.rs
@@ -102,7 +102,7 @@
     let tasks = 2.0 * (size.starts / schedulers).min(LOOKS);
     let balances = (f64::from(size.running) / schedulers).min(size.teams.into());
     let changes = size.changes / schedulers;
-    let written = (tasks + balances + changes) * span.over(Duration::from_secs(1));
+    let written = (tasks + balances + changes) * span.ratio_to(Duration::from_secs(1));
     (written as u64 + u64::from(size.teams)).min(ROWS)
 }
 
--- a/crates/scale/src/targets.rs
+++ b/crates/scale/src/targets.rs
@@ -182,8 +182,8 @@
         machine_failures_a_day: machine_failures_a_day?,
         restarts_a_day: restarts_a_day?,
         control_machines: control_machines?,
-        urgent_start_seconds: urgent_start?.over(Duration::from_secs(1)),
-        in_force_seconds: in_force?.over(Duration::from_secs(1)),
+        urgent_start_seconds: urgent_start?.ratio_to(Duration::from_secs(1)),
+        in_force_seconds: in_force?.ratio_to(Duration::from_secs(1)),
         budget: Budget { cores: cores?.0, memory_bytes: memory?.0 as f64, bytes_a_second: bytes?.0 as f64 },
     })
 }
--- a/crates/scenario/src/script.rs
+++ b/crates/scenario/src/script.rs
@@ -423,7 +423,7 @@
         use mulleinhub_interface::FailureDomain;
         let wide = |case: &CaseDay| match case.case.effect {
             Idempotency::Keyed { domain: group, .. } => {
-                matches!(group, FailureDomain::Zone | FailureDomain::All)
+                matches!(group, FailureDomain::Zone | FailureDomain::Cluster)
             }
             _ => false,
         };
--- a/crates/scenario/src/stage.rs
+++ b/crates/scenario/src/stage.rs
@@ -199,7 +199,7 @@
         FailureDomain::Machine => capture::Reach::Machine,
         FailureDomain::Cell => capture::Reach::Cell,
         FailureDomain::Zone => capture::Reach::Zone,
-        FailureDomain::All => capture::Reach::All,
+        FailureDomain::Cluster => capture::Reach::All,
     }
 }
 
@@ -416,10 +416,10 @@
             .map(|CaseDay { case, work, .. }| {
                 let (effect, group, window) = match case.effect {
                     Idempotency::Idempotent => {
-                        (capture::Effect::Replayable, FailureDomain::All, Duration::ZERO)
+                        (capture::Effect::Replayable, FailureDomain::Cluster, Duration::ZERO)
                     }
                     Idempotency::NonIdempotent => {
-                        (capture::Effect::SingleUse, FailureDomain::All, Duration::ZERO)
+                        (capture::Effect::SingleUse, FailureDomain::Cluster, Duration::ZERO)
                     }
                     Idempotency::Keyed { domain: group, window } => {
                         (capture::Effect::Referenced, group, window)
--- a/crates/simulation/src/lib.rs
+++ b/crates/simulation/src/lib.rs
@@ -242,7 +242,7 @@
             };
             let (low, high) = self.syncs;
             let chance = &mut self.chance;
-            if books.turn(self.now, *ahead, disk, *disk_full, || low + (high - low) * chance.part()) {
+            if books.turn(self.now, *ahead, disk, *disk_full, || low + (high - low) * chance.fraction()) {
                 self.carry_out_planner(Seat { planner, books: true });
             }
         }
--- a/crates/workload-settings/src/lib.rs
+++ b/crates/workload-settings/src/lib.rs
@@ -93,7 +93,7 @@
         "machine" => Some(FailureDomain::Machine),
         "rack" => Some(FailureDomain::Cell),
         "hall" => Some(FailureDomain::Zone),
-        "all" => Some(FailureDomain::All),
+        "all" => Some(FailureDomain::Cluster),
         other => {
             let words = format!("{other} is no group (machine, rack, hall and all are)");
             faults.add_with_hint(&word.place, words, suggest(other, &known));
@@ -107,7 +107,7 @@
         FailureDomain::Machine => "machine",
         FailureDomain::Cell => "rack",
         FailureDomain::Zone => "hall",
-        FailureDomain::All => "all",
+        FailureDomain::Cluster => "all",
     }
 }
 
@@ -236,15 +236,15 @@
             None => None,
         };
         Some(UseCase {
-            soft_limit: self.soft_limit,
+            latency_objective: self.soft_limit,
             client_timeout: self.client_timeout,
-            effect: self.effect,
-            earnings: self.earnings,
+            idempotency: self.effect,
+            value_per_second: self.earnings,
             priority: self.priority,
-            kind,
+            machine_kind: kind,
             spread: self.spread,
-            full_up_to: self.full_up_to,
-            fade: self.fade,
+            saturation_threshold: self.full_up_to,
+            degradation_range: self.fade,
         })
     }
 
--- a/src/state.rs
+++ b/src/state.rs
@@ -1,216 +1,298 @@
-//! What is held of each task and each machine. Nothing here decides anything.
+//! The records that the policy keeps of each task and each machine, in memory only. Nothing here decides.
 
 use crate::interface::*;
-use crate::peak::Peak;
+use crate::slot_map::Slot;
+use crate::windowed_max::WindowedMax;
 use std::collections::VecDeque;
 
+/// Changes beyond so many are merged with their successor, which bounds memory without endpoint lists.
+const MAX_UNREPORTED_CHANGES: usize = 64;
+
+/// The slot of a task record.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct TaskSlot(usize);
+
+/// The slot of a machine record.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct MachineSlot(usize);
+
+impl Slot for TaskSlot {
+    fn from_index(index: usize) -> Self {
+        Self(index)
+    }
+    fn index(self) -> usize {
+        self.0
+    }
+}
+
+impl Slot for MachineSlot {
+    fn from_index(index: usize) -> Self {
+        Self(index)
+    }
+    fn index(self) -> usize {
+        self.0
+    }
+}
+
+/// Where a task is in its life.
 #[derive(Clone, Copy, PartialEq)]
-pub enum State {
+pub enum TaskState {
+    /// No attempt is in flight.
     Pending,
+    /// An attempt is in flight and not accepted yet.
     Sent,
+    /// A machine has accepted it.
     Placed,
-    /// Over for its owner; only the end of its last send is still to come.
-    Over,
+    /// Cancelled by its client or preempted; only the end of its last attempt is still to come.
+    Terminating,
+}
+
+/// A machine and the failure domains that it belongs to.
+#[derive(Clone, Copy)]
+pub struct Location {
+    pub machine: MachineId,
+    pub cell: CellId,
+    pub zone: ZoneId,
 }
 
-/// The places that a machine is in.
-pub type Spot = (MachineId, CellId, ZoneId);
+/// The first attempt that may have executed a task.
+#[derive(Clone, Copy)]
+pub struct PossibleRun {
+    pub sent_at: Timestamp,
+    pub location: Location,
+}
 
+/// A task that this scheduler answers for.
 pub struct Task {
-    pub order: TaskSpec,
-    pub state: State,
-    pub came: Timestamp,
-    /// What it is sized at: its ask, or its peak use where we moved it off.
-    pub size: Resources,
-    /// Found no machine the last time that it was looked at.
-    pub waited: bool,
-    /// Sent, and not known to run yet.
-    pub starting: bool,
-    pub sends: u32,
-    /// Sent to a machine that held no task of its service.
-    pub bare: bool,
-    /// Where its open send went, and when.
-    pub machine: usize,
+    pub spec: TaskSpec,
+    pub state: TaskState,
+    pub arrived_at: Timestamp,
+    /// What placement reserves for it: its request, or its peak usage where this scheduler preempted it.
+    pub reservation: Resources,
+    /// No machine was found the last time that it was considered.
+    pub is_waiting: bool,
+    /// An attempt was sent, and the task is not known to run yet.
+    pub is_starting: bool,
+    /// Number of attempts so far.
+    pub attempts: u32,
+    /// The last attempt went to a machine without its service's program.
+    pub started_without_program: bool,
+    /// The machine of its last attempt.
+    pub machine: Option<MachineSlot>,
+    /// When its last attempt was sent.
     pub sent_at: Timestamp,
-    /// The first send that may have run: when, and to which machine's places.
-    pub may_run: Option<(Timestamp, Spot)>,
-    pub turned_down: Option<usize>,
-    /// A machine erred on it.
-    pub erred: bool,
-    pub cores: Peak,
-    pub memory: Peak,
-    pub last_use: Resources,
+    pub possible_run: Option<PossibleRun>,
+    /// The machine whose attempt ended last; the next attempt avoids it.
+    pub avoided_machine: Option<MachineSlot>,
+    /// A machine failed to run it.
+    pub has_failed: bool,
+    pub peak_cores: WindowedMax,
+    pub peak_memory: WindowedMax,
+    pub last_usage: Resources,
+    /// Its part of its machine's slack.
     pub slack: Resources,
 }
 
-/// When a machine last answered a use case, until when it is taken not to, and how often in a row.
+/// A circuit breaker: no attempt is made while it is open.
 #[derive(Clone, Copy)]
-pub struct Dealing {
-    pub answered_at: Timestamp,
-    pub barred_until: Timestamp,
-    pub times: u32,
+pub struct CircuitBreaker {
+    /// When the machine last answered.
+    pub last_answer_at: Timestamp,
+    pub open_until: Timestamp,
+    /// How often in a row it opened.
+    pub trips: u32,
 }
 
-/// Bad service, or short memory, was noted, with no better note of its kind since; trusted until then.
-pub struct Pressed {
+/// Until when a machine counts as under pressure, by resource, unless a better report comes.
+pub struct PressureUntil {
     pub cores: Timestamp,
     pub memory: Timestamp,
 }
 
+/// A task of this scheduler on a machine.
+#[derive(Clone, Copy)]
+pub struct HostedTask {
+    pub slot: TaskSlot,
+    pub service: ServiceId,
+}
+
+/// A machine as this scheduler sees it.
 pub struct Machine {
     pub id: MachineId,
     pub kind: KindId,
     pub cell: CellId,
     pub zone: ZoneId,
-    pub size: Resources,
-    /// As the list has it; one that no list names has left.
-    pub mode: MachineState,
-    pub since: Option<Timestamp>,
-    pub left: Resources,
-    /// Our own asks (below nought) and ends (above) that the view may not show yet.
-    unseen: VecDeque<(Timestamp, Resources)>,
-    unseen_sum: Resources,
-    /// Places of our tasks whose last send has not ended, oldest first, and their services.
-    pub tasks: Vec<(usize, ServiceId)>,
-    /// What those of them use that a use was noted of.
-    pub used: Resources,
-    /// Services of our tasks that ended here last, oldest first.
-    pub lately: VecDeque<ServiceId>,
+    pub capacity: Resources,
+    /// As the endpoint list has it; one that no list names counts as removed.
+    pub state: MachineState,
+    pub started_at: Option<Timestamp>,
+    /// Capacity minus the requests of all tasks, by the last endpoint list.
+    pub reported_available: Resources,
+    /// Own requests (negative) and ends (positive) that the endpoint list may not show yet.
+    unreported: VecDeque<(Timestamp, Resources)>,
+    unreported_sum: Resources,
+    /// Own tasks whose last attempt has not ended, oldest first.
+    pub tasks: Vec<HostedTask>,
+    /// Sum of the last reported usage of these tasks.
+    pub usage: Resources,
+    /// Services whose tasks ended here most recently, oldest first.
+    pub recent_services: VecDeque<ServiceId>,
+    /// Predicted slack: request minus peak usage, over own tasks of high priority.
     pub slack: Resources,
-    pub use_cores: Peak,
-    pub use_memory: Peak,
-    /// The worst share of service missed within the window.
-    pub poor: Peak,
-    pub pressed: Pressed,
+    pub cores_utilization: WindowedMax,
+    pub memory_utilization: WindowedMax,
+    /// The share of service that a task missed.
+    pub missed_service: WindowedMax,
+    pub pressure_until: PressureUntil,
+    /// Starts in flight.
     pub starting: usize,
-    pub cap: f64,
-    /// When a send or a task was last lost with it.
+    /// How many starts may be in flight.
+    pub start_limit: f64,
+    /// When it restarted by its own word, or an attempt or a task was lost with it.
     pub lost_at: Option<Timestamp>,
-    /// By use case, as it may be one alone that the machine leaves unanswered or turns away.
-    pub dealings: Vec<Dealing>,
-    pub cold_sends: VecDeque<Timestamp>,
+    /// By use case, as a machine may leave only one of them unanswered or rejected.
+    pub breakers: Vec<CircuitBreaker>,
+    /// When attempts were sent while it was warming up.
+    pub warm_up_attempts: VecDeque<Timestamp>,
 }
 
 impl Task {
-    pub fn new(order: TaskSpec, state: State, window: Duration, now: Timestamp) -> Self {
+    /// A record without attempts. Peaks are kept over `peak_window`.
+    pub fn new(spec: TaskSpec, state: TaskState, peak_window: Duration, now: Timestamp) -> Self {
         Self {
-            order,
+            spec,
             state,
-            came: now,
-            size: order.ask,
-            waited: false,
-            starting: false,
-            sends: 0,
-            bare: false,
-            machine: usize::MAX,
+            arrived_at: now,
+            reservation: spec.request,
+            is_waiting: false,
+            is_starting: false,
+            attempts: 0,
+            started_without_program: false,
+            machine: None,
             sent_at: now,
-            may_run: None,
-            turned_down: None,
-            erred: false,
-            cores: Peak::new(window),
-            memory: Peak::new(window),
-            last_use: Resources::ZERO,
+            possible_run: None,
+            avoided_machine: None,
+            has_failed: false,
+            peak_cores: WindowedMax::new(peak_window),
+            peak_memory: WindowedMax::new(peak_window),
+            last_usage: Resources::ZERO,
             slack: Resources::ZERO,
         }
     }
 
-    /// The most it used within the window; its ask where nothing was noted.
-    pub fn peak(&self, now: Timestamp) -> Resources {
-        let ask = self.order.ask;
-        Resources::new(self.cores.peak(now).unwrap_or(ask.cores), self.memory.peak(now).unwrap_or(ask.memory))
+    /// Its peak usage within the window; its request where none was reported.
+    pub fn peak_usage(&self, now: Timestamp) -> Resources {
+        let request = self.spec.request;
+        Resources::new(
+            self.peak_cores.max(now).unwrap_or(request.cores),
+            self.peak_memory.max(now).unwrap_or(request.memory),
+        )
+    }
+
+    /// The machine of its last attempt.
+    ///
+    /// # Panics
+    /// Before its first attempt.
+    pub fn attempt_machine(&self) -> MachineSlot {
+        self.machine.expect("a task with an attempt has a machine")
     }
 }
 
 impl Machine {
-    pub fn new(id: MachineId, window: Duration, cap: f64, use_cases: usize, now: Timestamp) -> Self {
+    /// A machine that no endpoint list has named yet. Peaks are kept over `peak_window`.
+    pub fn new(id: MachineId, peak_window: Duration, use_cases: usize, now: Timestamp) -> Self {
         Self {
             id,
             kind: KindId(usize::MAX),
             cell: CellId(u32::MAX),
             zone: ZoneId(u32::MAX),
-            size: Resources::ZERO,
-            mode: MachineState::Removed,
-            since: None,
-            left: Resources::ZERO,
-            unseen: VecDeque::with_capacity(16),
-            unseen_sum: Resources::ZERO,
+            capacity: Resources::ZERO,
+            state: MachineState::Removed,
+            started_at: None,
+            reported_available: Resources::ZERO,
+            unreported: VecDeque::with_capacity(16),
+            unreported_sum: Resources::ZERO,
             tasks: Vec::with_capacity(32),
-            used: Resources::ZERO,
-            lately: VecDeque::with_capacity(16),
+            usage: Resources::ZERO,
+            recent_services: VecDeque::with_capacity(16),
             slack: Resources::ZERO,
-            use_cores: Peak::new(window),
-            use_memory: Peak::new(window),
-            poor: Peak::new(window),
-            pressed: Pressed { cores: now, memory: now },
+            cores_utilization: WindowedMax::new(peak_window),
+            memory_utilization: WindowedMax::new(peak_window),
+            missed_service: WindowedMax::new(peak_window),
+            pressure_until: PressureUntil { cores: now, memory: now },
             starting: 0,
-            cap,
+            start_limit: f64::INFINITY,
             lost_at: None,
-            dealings: vec![Dealing { answered_at: now, barred_until: now, times: 0 }; use_cases],
-            cold_sends: VecDeque::new(),
+            breakers: vec![CircuitBreaker { last_answer_at: now, open_until: now, trips: 0 }; use_cases],
+            warm_up_attempts: VecDeque::new(),
         }
     }
 
-    pub fn spot(&self) -> Spot {
-        (self.id, self.cell, self.zone)
+    /// The machine and its failure domains.
+    pub fn location(&self) -> Location {
+        Location { machine: self.id, cell: self.cell, zone: self.zone }
     }
 
-    pub fn is_calm(&self, now: Timestamp) -> bool {
-        self.pressed.cores <= now && self.pressed.memory <= now
+    /// Whether a report says that cores or memory are short.
+    pub fn is_under_pressure(&self, now: Timestamp) -> bool {
+        self.pressure_until.cores > now || self.pressure_until.memory > now
     }
 
-    pub fn is_within(&self, reach: FailureDomain, of: Spot) -> bool {
-        match reach {
-            FailureDomain::All => true,
-            FailureDomain::Zone => self.zone == of.2,
-            FailureDomain::Cell => self.cell == of.1,
-            FailureDomain::Machine => self.id == of.0,
+    /// Whether it is in the same domain of this kind as `other`.
+    pub fn shares_domain(&self, domain: FailureDomain, other: Location) -> bool {
+        match domain {
+            FailureDomain::Cluster => true,
+            FailureDomain::Zone => self.zone == other.zone,
+            FailureDomain::Cell => self.cell == other.cell,
+            FailureDomain::Machine => self.id == other.machine,
         }
     }
 
+    /// Number of own tasks of the service here.
     pub fn tasks_of(&self, service: ServiceId) -> usize {
-        self.tasks.iter().filter(|(_, of)| *of == service).count()
+        self.tasks.iter().filter(|task| task.service == service).count()
     }
 
-    /// Neither holds a task of the service nor is taken to keep its program.
-    pub fn is_bare(&self, service: ServiceId) -> bool {
-        !self.lately.contains(&service) && self.tasks_of(service) == 0
+    /// It neither hosts a task of the service nor is assumed to cache its program.
+    pub fn lacks_program(&self, service: ServiceId) -> bool {
+        !self.recent_services.contains(&service) && self.tasks_of(service) == 0
     }
 
-    /// Notes a change of our own asks that views can't show yet. A long list without a new view is merged.
-    pub fn changes(&mut self, now: Timestamp, change: Resources) {
-        if self.unseen.len() >= 64 {
-            let (_, oldest) = self.unseen.pop_front().expect("is long");
-            self.unseen.front_mut().expect("is long").1 += oldest;
+    /// Records a change of own requests that endpoint lists cannot show yet.
+    pub fn record_change(&mut self, now: Timestamp, change: Resources) {
+        if self.unreported.len() >= MAX_UNREPORTED_CHANGES {
+            let (_, oldest) = self.unreported.pop_front().expect("is long");
+            self.unreported.front_mut().expect("is long").1 += oldest;
         }
-        self.unseen.push_back((now, change));
-        self.unseen_sum += change;
+        self.unreported.push_back((now, change));
+        self.unreported_sum += change;
     }
 
-    /// Forgets the changes that are older than a view.
-    pub fn seen(&mut self, now: Timestamp, view_age: Duration) {
-        while self.unseen.front().is_some_and(|(at, _)| now - *at > view_age) {
-            self.unseen.pop_front();
+    /// Drops the changes that are older than `max_age`: a new endpoint list shows them.
+    pub fn drop_reported_changes(&mut self, now: Timestamp, max_age: Duration) {
+        while self.unreported.front().is_some_and(|(at, _)| now - *at > max_age) {
+            self.unreported.pop_front();
         }
-        self.unseen_sum = self.unseen.iter().fold(Resources::ZERO, |sum, (_, change)| sum + *change);
+        self.unreported_sum = self.unreported.iter().fold(Resources::ZERO, |sum, (_, change)| sum + *change);
     }
 
-    /// Notes a send to this cold machine, and forgets those of long ago.
-    pub fn sent_cold(&mut self, now: Timestamp, forget: Duration) {
-        self.cold_sends.retain(|sent| now - *sent <= forget);
-        self.cold_sends.push_back(now);
+    /// Records an attempt while it is warming up, and drops those older than `window`.
+    pub fn record_warm_up_attempt(&mut self, now: Timestamp, window: Duration) {
+        self.warm_up_attempts.retain(|sent_at| now - *sent_at <= window);
+        self.warm_up_attempts.push_back(now);
     }
 
-    /// Notes that a task of the service ended here; of so many services its program is taken to be kept.
-    pub fn keeps(&mut self, service: ServiceId, most: usize) {
-        self.lately.retain(|kept| *kept != service);
-        self.lately.push_back(service);
-        if self.lately.len() > most {
-            self.lately.pop_front();
+    /// Records that a task of the service ended here, and keeps the latest `capacity` services.
+    pub fn record_recent_service(&mut self, service: ServiceId, capacity: usize) {
+        self.recent_services.retain(|recent| *recent != service);
+        self.recent_services.push_back(service);
+        if self.recent_services.len() > capacity {
+            self.recent_services.pop_front();
         }
     }
 
-    /// What the view shows as left, less our own asks and plus our own ends that it can't show yet.
-    pub fn free(&self) -> Resources {
-        self.left + self.unseen_sum
+    /// What the endpoint list shows as available, corrected by the changes that it cannot show yet.
+    pub fn available(&self) -> Resources {
+        self.reported_available + self.unreported_sum
     }
 }
--- a/tests/host/mod.rs
+++ b/tests/host/mod.rs
@@ -70,15 +70,15 @@
 impl Host {
     pub fn new() -> Self {
         let use_case = |priority| UseCase {
-            soft_limit: secs(1),
+            latency_objective: secs(1),
             client_timeout: secs(8),
-            effect: Idempotency::Idempotent,
-            earnings: f64::from(priority) + 1.0,
+            idempotency: Idempotency::Idempotent,
+            value_per_second: f64::from(priority) + 1.0,
             priority,
-            kind: None,
+            machine_kind: None,
             spread: None,
-            full_up_to: 0.8,
-            fade: 0.2,
+            saturation_threshold: 0.8,
+            degradation_range: 0.2,
         };
         let use_cases = vec![use_case(1), use_case(0)];
         Self {
@@ -106,25 +106,31 @@
     pub fn restart(&mut self) {
         self.brain = Some(PlacementPolicy::new(
             self.seed,
-            self.use_cases.clone(),
-            vec![Resources::new(10.0, 10.0), Resources::new(20.0, 20.0)],
-            AcceptanceRules {
-                cores: self.accepts,
-                memory: self.accepts,
-                yes_when_running: false,
-                max_sends: 3,
-                tells_pressure: self.tells_pressure,
-                recalls: true,
+            PolicySettings {
+                use_cases: self.use_cases.clone(),
+                machine_kinds: vec![Resources::new(10.0, 10.0), Resources::new(20.0, 20.0)],
+                acceptance: AcceptanceRules {
+                    cores_overcommit: self.accepts,
+                    memory_overcommit: self.accepts,
+                    accepts_when_running: false,
+                    max_attempts: 3,
+                    reports_pressure: self.tells_pressure,
+                    supports_cancel: true,
+                },
+                slow_start: SlowStart {
+                    warm_up_time: secs(10),
+                    budget_window: secs(1),
+                    attempt_budget: self.young_limit,
+                    scheduler_count: self.schedulers,
+                    scheduler_index: self.number,
+                },
+                discovery: Discovery { watch_required: self.asked, max_staleness: secs(10) },
+                locality: LocalityCosts {
+                    local_zone: ZoneId(0),
+                    cross_zone_cost: 0.1,
+                    machine_cost: self.machine_price,
+                },
             },
-            SlowStart {
-                warm_after: secs(10),
-                fall: secs(1),
-                young_limit: self.young_limit,
-                schedulers: self.schedulers,
-                number: self.number,
-            },
-            Discovery { asked: self.asked, ask_within: secs(10) },
-            LocalityCosts { zone: ZoneId(0), cross_zone_price: 0.1, machine_price: self.machine_price },
         ));
     }
 
@@ -152,9 +158,9 @@
             key: TaskKey(id),
             use_case: UseCaseId(use_case),
             service: ServiceId(id),
-            ask: Resources::new(ask, ask),
+            request: Resources::new(ask, ask),
             deadline: self.now() + self.use_cases[use_case].client_timeout,
-            again: false,
+            is_resubmitted: false,
         }
     }
 
@@ -180,9 +186,9 @@
         kind: KindId(0),
         cell: CellId(0),
         zone: ZoneId(0),
-        mode: MachineState::Active,
-        since: None,
-        left: Some(Resources::new(left, left)),
+        state: MachineState::Active,
+        started_at: None,
+        available: Some(Resources::new(left, left)),
     }
 }
 
--- a/tests/stories.rs
+++ b/tests/stories.rs
@@ -11,7 +11,8 @@
 #[test]
 fn the_least_asked_machine_gets_the_task_and_memory_weighs_more_than_cores() {
     let mut roomy = [machine(1, 0.0), machine(2, 0.0)];
-    (roomy[0].left, roomy[1].left) = (Some(Resources::new(9.5, 1.0)), Some(Resources::new(1.0, 9.5)));
+    (roomy[0].available, roomy[1].available) =
+        (Some(Resources::new(9.5, 1.0)), Some(Resources::new(1.0, 9.5)));
     assert_eq!(Host::new().up(&roomy).ask(1, HIGH, 1.0), [Said::Send(1, 2)]);
     let mut host = Host::new().up(&[machine(1, 1.0), machine(2, 9.9), machine(3, 2.0)]);
     assert_eq!(host.ask(1, HIGH, 1.0), [Said::Send(1, 2)]);
@@ -100,7 +101,7 @@
 #[test]
 fn a_task_goes_only_to_its_kind_of_machine() {
     let mut host = Host::new();
-    host.use_cases[HIGH].kind = Some(KindId(1));
+    host.use_cases[HIGH].machine_kind = Some(KindId(1));
     let mut big = machine(2, 2.0);
     big.kind = KindId(1);
     let mut host = host.up(&[machine(1, 9.0), big]);
@@ -124,7 +125,7 @@
     assert_eq!(host.tell(|r| r.on_machine_memory(TaskId(3), 1.2)), [Said::Move(4)], "2.5 too much: one goes");
     assert_eq!(host.after(100), [], "no more before the next report");
     assert_eq!(host.tell(|r| r.on_machine_memory(TaskId(3), 1.2)), [], "the first is not off yet");
-    host.ends(4, Outcome::Lost(FailureCause::SentAway));
+    host.ends(4, Outcome::Lost(FailureCause::Relocated));
     host.runs_on(5, HIGH, 1.0, 1);
     host.tell(|r| (r.on_usage(TaskId(5), Some(2.5), None), r.on_usage(TaskId(5), None, Some(2.5))));
     assert_eq!(host.tell(|r| r.on_machine_memory(TaskId(3), 1.2)), [Said::Move(2)]);
@@ -170,7 +171,7 @@
     assert_eq!(host.tell(|r| r.on_machine_memory(TaskId(1), 1.2)), [Said::Move(1)]);
     host.tell(|r| r.on_attempt_ended(TaskId(1), Outcome::Cancelled, true, LoadReport::default()));
     host.tell(|r| r.on_endpoint_list(ListKind::Delta, &[machine(1, 0.0), machine(2, 3.0)]));
-    let back = TaskSpec { id: TaskId(2), key: TaskKey(1), again: true, ..host.order(2, LOW, 4.0) };
+    let back = TaskSpec { id: TaskId(2), key: TaskKey(1), is_resubmitted: true, ..host.order(2, LOW, 4.0) };
     assert_eq!(
         host.tell(|r| r.on_new_task(back)),
         [Said::Send(2, 2)],
@@ -237,7 +238,7 @@
 
 fn with_effect(effect: Idempotency) -> Host {
     let mut host = Host::new();
-    host.use_cases[HIGH].effect = effect;
+    host.use_cases[HIGH].idempotency = effect;
     let mut far = machine(2, 4.0);
     (far.cell, far.zone) = (CellId(1), ZoneId(0));
     let mut host = host.up(&[machine(1, 9.5), far]);
@@ -261,7 +262,10 @@
         with_effect(Idempotency::NonIdempotent).ends(1, Outcome::Rejected(Rejection::QueueFull)),
         [Said::Send(1, 2)]
     );
-    assert_eq!(with_effect(Idempotency::NonIdempotent).ends(1, Outcome::NoConnection), [Said::Send(1, 2)]);
+    assert_eq!(
+        with_effect(Idempotency::NonIdempotent).ends(1, Outcome::ConnectionFailed),
+        [Said::Send(1, 2)]
+    );
 }
 
 #[test]
@@ -279,7 +283,9 @@
 
 #[test]
 fn after_the_window_a_referenced_task_is_nacked_only_where_all_machines_drop_repeats() {
-    for (group, answer) in [(FailureDomain::Cell, Said::Error(1)), (FailureDomain::All, Said::Rejection(1))] {
+    for (group, answer) in
+        [(FailureDomain::Cell, Said::Error(1)), (FailureDomain::Cluster, Said::Rejection(1))]
+    {
         let mut host = with_effect(Idempotency::Keyed { domain: group, window: secs(5) });
         host.millis += 4_600;
         assert_eq!(host.ends(1, Outcome::TimedOut), [answer], "a send now might arrive too late");
@@ -288,7 +294,7 @@
 
 #[test]
 fn an_early_send_that_may_have_run_binds_the_later_ones() {
-    let mut host = with_effect(Idempotency::Keyed { domain: FailureDomain::All, window: secs(5) });
+    let mut host = with_effect(Idempotency::Keyed { domain: FailureDomain::Cluster, window: secs(5) });
     host.millis += 1_000;
     assert_eq!(host.ends(1, Outcome::TimedOut), [Said::Send(1, 2)]);
     host.millis += 3_700;
@@ -302,7 +308,7 @@
 fn nothing_goes_to_a_machine_that_drains_or_is_gone() {
     let mut host = Host::new().up(&[machine(1, 9.9), machine(2, 9.0), machine(3, 2.0)]);
     host.runs_on(100, HIGH, 1.0, 5);
-    let leaving = MachineEntry { mode: MachineState::Draining, ..machine(1, 9.0) };
+    let leaving = MachineEntry { state: MachineState::Draining, ..machine(1, 9.0) };
     host.tell(|r| r.on_endpoint_list(ListKind::Delta, &[leaving]));
     assert_eq!(host.ask(1, HIGH, 1.0), [Said::Send(1, 2)]);
     host.tell(|r| r.on_endpoint_list(ListKind::Snapshot, &[machine(3, 2.0)]));
@@ -334,7 +340,7 @@
     let mut host = Host::new();
     host.young_limit = 300.0;
     let mut host = host.up(&[machine(1, 9.0)]);
-    let cold = MachineEntry { since: Some(host.now()), ..machine(1, 9.0) };
+    let cold = MachineEntry { started_at: Some(host.now()), ..machine(1, 9.0) };
     host.tell(|r| r.on_endpoint_list(ListKind::Delta, &[cold]));
     let sent: usize = (0..8).map(|id| host.ask(id, LOW, 0.1).len()).sum();
     assert_eq!(sent, 2, "few are in flight at first");
@@ -472,7 +478,7 @@
         let (held, next) = (homed_on_one(&host, 50, HIGH, 0.1), homed_on_one(&host, 1, HIGH, 0.1));
         host.tell(|r| r.on_adopted_task(held, MachineId(2)));
         if ended {
-            host.tell(|r| r.on_attempt_ended(TaskId(50), Outcome::Ok, true, LoadReport::default()));
+            host.tell(|r| r.on_attempt_ended(TaskId(50), Outcome::Succeeded, true, LoadReport::default()));
             host.millis += 1_000;
             host.tell(|r| r.on_endpoint_list(ListKind::Delta, &[]));
         }
@@ -493,13 +499,13 @@
 #[test]
 fn odd_input_neither_panics_nor_sends_astray() {
     let mut host = Host::new().up(&[machine(1, 9.0)]);
-    let sizeless = MachineEntry { kind: KindId(9), left: None, ..machine(2, 99.0) };
+    let sizeless = MachineEntry { kind: KindId(9), available: None, ..machine(2, 99.0) };
     host.tell(|r| r.on_endpoint_list(ListKind::Delta, &[sizeless]));
     assert_eq!(host.ask(1, HIGH, 99.0), [], "larger than any machine");
     assert_eq!(host.ask(2, LOW, 0.0), [Said::Send(2, 1)]);
     host.tell(|r| (r.on_usage(TaskId(2), Some(f64::MAX), None), r.on_usage(TaskId(2), None, Some(-1.0))));
     host.tell(|r| (r.on_service_level(TaskId(2), -5.0), r.on_machine_memory(TaskId(77), 2.0)));
-    host.tell(|r| r.on_attempt_ended(TaskId(1), Outcome::Ok, true, LoadReport::default()));
+    host.tell(|r| r.on_attempt_ended(TaskId(1), Outcome::Succeeded, true, LoadReport::default()));
     host.millis -= 50_000;
     host.after(0);
     host.tell(|r| r.on_endpoint_list(ListKind::Snapshot, &[]));
@@ -537,7 +543,7 @@
             host.tell(|r| r.on_endpoint_list(ListKind::Delta, &[]));
             let order = homed_on_one(&host, id, HIGH, 0.1);
             assert_eq!(sent_to(&host.tell(|r| r.on_new_task(order))), Some(to));
-            host.ends(id, Outcome::Ok);
+            host.ends(id, Outcome::Succeeded);
         }
     }
 }
@@ -560,11 +566,11 @@
         for number in 0..schedulers {
             let all = Host { schedulers, number, young_limit: f64::from(limit), ..Host::new() };
             let mut host = all.up(&[]);
-            let cold = MachineEntry { since: Some(host.now()), ..machine(1, 9.0) };
+            let cold = MachineEntry { started_at: Some(host.now()), ..machine(1, 9.0) };
             host.tell(|r| r.on_endpoint_list(ListKind::Delta, &[cold]));
             for id in 0..20 {
                 sent += host.ask(id, LOW, 0.1).len();
-                host.ends(id, Outcome::Rejected(Rejection::NotHere));
+                host.ends(id, Outcome::Rejected(Rejection::Ineligible));
                 host.millis += 10;
             }
         }
@@ -574,13 +580,14 @@
 
 #[test]
 fn a_cold_machine_that_drains_and_comes_back_has_no_budget_anew() {
-    let fresh = |host: &Host, mode| MachineEntry { mode, since: Some(host.now()), ..machine(1, 10.0) };
+    let fresh =
+        |host: &Host, mode| MachineEntry { state: mode, started_at: Some(host.now()), ..machine(1, 10.0) };
     let mut host = Host::new().up(&[]);
     let (cold, drains) = (fresh(&host, MachineState::Active), fresh(&host, MachineState::Draining));
     host.tell(|r| r.on_endpoint_list(ListKind::Delta, &[cold]));
     for id in 1..=4 {
         assert_eq!(host.ask(id, HIGH, 1.0), [Said::Send(id, 1)], "it is dealt four of twelve");
-        host.ends(id, Outcome::Rejected(Rejection::NotHere));
+        host.ends(id, Outcome::Rejected(Rejection::Ineligible));
     }
     host.tell(|r| r.on_endpoint_list(ListKind::Delta, &[drains]));
     host.tell(|r| r.on_endpoint_list(ListKind::Delta, &[cold]));
@@ -595,7 +602,7 @@
     host.tell(|r| {
         r.on_endpoint_list(
             ListKind::Delta,
-            &[MachineEntry { mode: MachineState::Draining, ..machine(1, 10.0) }],
+            &[MachineEntry { state: MachineState::Draining, ..machine(1, 10.0) }],
         )
     });
     let service = ServiceId(7);
