--- a/crates/baselines/src/lib.rs
+++ b/crates/baselines/src/lib.rs
@@ -1,92 +1,110 @@
-//! Plain policies behind the same interface: random choice and least requested.
+//! Simple reference policies behind the same interface: random choice, least requested and most requested.
 //!
-//! For: comparison on the same days, never for service. They keep the rules (kind, spread, drains, effects,
-//! the cold budget) and know nothing of health, slack, pressure, programs or prices.
-//! May not touch: the module, the engine, the stand-ins.
+//! They serve comparison on the same scenarios, never production. They keep the rules (machine kind, spread,
+//! draining, idempotency, the warm-up budget) and know nothing of health, slack, pressure, programs or costs.
+//! State is in memory only, driven by one thread. The crate depends on the interface alone.
+#![warn(missing_docs)]
+
+mod events;
 
 use mulleinhub_interface::*;
 use std::collections::BTreeMap;
 
+/// How a baseline chooses among the machines that a task fits on.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Rule {
-    /// Any machine that fits.
+pub enum Ranking {
+    /// Any of them, at random.
     Random,
-    /// The one with the least asked, cores and memory weighing the same.
+    /// The one with the least requested, cores and memory weighing the same.
     LeastRequested,
-    /// The one with the most asked on which it still fits.
-    TightFit,
+    /// The one with the most requested.
+    MostRequested,
 }
 
-/// A pending task is looked at again after so long.
-const TICK: Duration = Duration::from_nanos(50_000_000);
-/// A send is waited for during this part of the client timeout.
-const WAIT: f64 = 0.25;
+/// Pending tasks are considered again after so long.
+const TICK_INTERVAL: Duration = Duration::from_nanos(50_000_000);
+/// An attempt is waited for during this part of the client timeout.
+const ATTEMPT_TIMEOUT_SHARE: f64 = 0.25;
 /// So near its client timeout (as a part of it) a task gets its final answer.
-const GIVE_UP: f64 = 0.05;
+const GIVE_UP_SHARE: f64 = 0.05;
+/// A keyed task is sent again only within this part of its window.
+const KEY_WINDOW_SHARE: f64 = 0.9;
+/// The warm-up budget is counted over this many times the rule's window.
+const BUDGET_WINDOW_FACTOR: f64 = 1.5;
 
 #[derive(Clone, Copy, PartialEq)]
-enum State {
+enum TaskState {
     Pending,
     Sent,
     Placed,
 }
 
+/// The first attempt that may have executed a task.
+#[derive(Clone, Copy)]
+struct PossibleRun {
+    sent_at: Timestamp,
+    machine: MachineId,
+}
+
 struct Task {
-    order: TaskSpec,
-    state: State,
+    spec: TaskSpec,
+    state: TaskState,
+    /// Where its attempt in flight went, or where it runs.
     machine: Option<MachineId>,
     sent_at: Timestamp,
-    sends: u32,
-    may_run: Option<(Timestamp, MachineId)>,
-    last: Option<MachineId>,
+    attempts: u32,
+    possible_run: Option<PossibleRun>,
+    /// The machine of its last attempt; the next one avoids it.
+    last_machine: Option<MachineId>,
 }
 
 struct Machine {
     entry: MachineEntry,
-    left: Resources,
-    cold_sends: Vec<Timestamp>,
+    /// As the last list has it, less the requests of attempts since.
+    available: Resources,
+    warm_up_attempts: Vec<Timestamp>,
 }
 
+/// A reference policy.
 pub struct Baseline {
-    rule: Rule,
-    use_cases: Vec<UseCase>,
-    kinds: Vec<Resources>,
-    taking: AcceptanceRules,
-    cold: SlowStart,
-    listing: Discovery,
+    ranking: Ranking,
+    settings: PolicySettings,
     tasks: BTreeMap<TaskId, Task>,
     machines: BTreeMap<MachineId, Machine>,
-    ticking: bool,
-    chance: u64,
+    is_tick_scheduled: bool,
+    random_state: u64,
 }
 
 impl Baseline {
-    pub fn new(
-        rule: Rule,
-        seed: u64,
-        use_cases: Vec<UseCase>,
-        kinds: Vec<Resources>,
-        taking: AcceptanceRules,
-        cold: SlowStart,
-        listing: Discovery,
-    ) -> Self {
-        let (tasks, machines) = (BTreeMap::new(), BTreeMap::new());
-        let chance = seed | 1;
-        Self { rule, use_cases, kinds, taking, cold, listing, tasks, machines, ticking: false, chance }
+    /// A policy that knows no tasks and no machines yet. The same seed and events give the same commands.
+    pub fn new(ranking: Ranking, seed: u64, settings: PolicySettings) -> Self {
+        Self {
+            ranking,
+            settings,
+            tasks: BTreeMap::new(),
+            machines: BTreeMap::new(),
+            is_tick_scheduled: false,
+            random_state: seed | 1,
+        }
     }
 
-    fn draw(&mut self, below: usize) -> usize {
+    /// A random number below `bound`; 0 where `bound` is 0.
+    fn random_below(&mut self, bound: usize) -> usize {
         // Knuth's multiplier; the high bits are the good ones.
-        self.chance =
-            self.chance.wrapping_mul(6_364_136_223_846_793_005).wrapping_add(1_442_695_040_888_963_407);
-        ((self.chance >> 33) % below.max(1) as u64) as usize
+        self.random_state =
+            self.random_state.wrapping_mul(6_364_136_223_846_793_005).wrapping_add(1_442_695_040_888_963_407);
+        ((self.random_state >> 33) % bound.max(1) as u64) as usize
+    }
+
+    fn use_case(&self, task: &Task) -> &UseCase {
+        &self.settings.use_cases[task.spec.use_case.0]
     }
 
-    fn is_within(&self, reach: FailureDomain, one: MachineId, other: MachineId) -> bool {
+    fn share_domain(&self, domain: FailureDomain, one: MachineId, other: MachineId) -> bool {
         let (Some(a), Some(b)) = (self.machines.get(&one), self.machines.get(&other)) else {
             return one == other;
         };
-        match reach {
+        match domain {
             FailureDomain::Machine => one == other,
             FailureDomain::Cell => a.entry.cell == b.entry.cell,
             FailureDomain::Zone => a.entry.zone == b.entry.zone,
@@ -94,207 +112,118 @@
         }
     }
 
-    fn may_go(&self, now: Timestamp, task: &Task, to: MachineId, machine: &Machine) -> bool {
-        let case = &self.use_cases[task.order.use_case.0];
-        let size = self.kinds.get(machine.entry.kind.0).copied().unwrap_or(Resources::ZERO);
-        let fits = (machine.left + self.taking.overcommit_allowance(size)).fits(task.order.request);
-        if machine.entry.state != MachineState::Active || !fits || task.last == Some(to) {
-            return false;
-        }
-        if case.machine_kind.is_some_and(|kind| kind != machine.entry.kind) {
-            return false;
-        }
-        if let (Idempotency::Keyed { domain, .. }, Some((_, first))) = (case.idempotency, task.may_run)
-            && !self.is_within(domain, first, to)
-        {
-            return false;
-        }
-        if let Some((reach, most)) = case.spread {
-            let same = |other: &&Task| {
-                other.order.service == task.order.service
-                    && other.machine.is_some_and(|there| self.is_within(reach, there, to))
-            };
-            if self.tasks.values().filter(same).count() >= most {
-                return false;
-            }
-        }
-        let cold = machine.entry.started_at.is_some_and(|since| now - since < self.cold.warm_up_time);
-        let share = (self.cold.attempt_budget / f64::from(self.cold.scheduler_count.max(1))).floor() as usize;
-        let lately =
-            machine.cold_sends.iter().filter(|at| now - **at < self.cold.budget_window * 1.5).count();
-        !cold || lately < share
+    /// Whether the rules and the machine's resources let the task go there.
+    fn is_eligible(&self, now: Timestamp, task: &Task, id: MachineId, machine: &Machine) -> bool {
+        let kind = machine.entry.kind;
+        let capacity = self.settings.machine_kinds.get(kind.0).copied().unwrap_or(Resources::ZERO);
+        let accepted = machine.available + self.settings.acceptance.overcommit_allowance(capacity);
+        machine.entry.state == MachineState::Active
+            && accepted.fits(task.spec.request)
+            && task.last_machine != Some(id)
+            && self.use_case(task).machine_kind.is_none_or(|required| required == kind)
+            && self.respects_idempotency(task, id)
+            && self.respects_spread(task, id)
+            && self.has_warm_up_budget(now, machine)
     }
 
-    fn pick(&mut self, now: Timestamp, id: TaskId) -> Option<MachineId> {
-        let task = &self.tasks[&id];
-        let fits = self.machines.iter().filter(|(to, m)| self.may_go(now, task, **to, m));
-        match self.rule {
-            Rule::Random => {
-                let fits: Vec<MachineId> = fits.map(|(to, _)| *to).collect();
-                let n = self.draw(fits.len());
-                fits.get(n).copied()
-            }
-            Rule::LeastRequested | Rule::TightFit => {
-                let free = |m: &Machine| {
-                    let size = self.kinds[m.entry.kind.0];
-                    m.left.cores / size.cores + m.left.memory / size.memory
-                };
-                let best = match self.rule {
-                    Rule::TightFit => fits.min_by(|(_, a), (_, b)| free(a).total_cmp(&free(b))),
-                    _ => fits.max_by(|(_, a), (_, b)| free(a).total_cmp(&free(b))),
-                };
-                best.map(|(to, _)| *to)
-            }
+    /// A keyed task that may have run stays within the machines that drop repeated executions.
+    fn respects_idempotency(&self, task: &Task, machine: MachineId) -> bool {
+        match (self.use_case(task).idempotency, task.possible_run) {
+            (Idempotency::Keyed { domain, .. }, Some(run)) => self.share_domain(domain, run.machine, machine),
+            _ => true,
         }
     }
 
-    fn settle(&mut self, now: Timestamp, out: &mut dyn Dispatch, id: TaskId) {
-        let task = &self.tasks[&id];
-        let case = &self.use_cases[task.order.use_case.0];
-        let left = task.order.deadline - now;
-        let barred = match (case.idempotency, task.may_run) {
-            (_, None) | (Idempotency::Idempotent, _) => false,
-            (Idempotency::NonIdempotent, _) => true,
-            (Idempotency::Keyed { window, .. }, Some((first, _))) => now - first >= window * 0.9,
+    fn respects_spread(&self, task: &Task, machine: MachineId) -> bool {
+        let Some((domain, limit)) = self.use_case(task).spread else { return true };
+        let counts = |other: &&Task| {
+            other.spec.service == task.spec.service
+                && other.machine.is_some_and(|there| self.share_domain(domain, there, machine))
         };
-        if barred || task.sends >= self.taking.max_attempts || left <= case.client_timeout * GIVE_UP {
-            let anywhere = matches!(
-                case.idempotency,
-                Idempotency::Idempotent | Idempotency::Keyed { domain: FailureDomain::Cluster, .. }
-            );
-            if anywhere || task.may_run.is_none() {
-                out.reject(id, Duration::ZERO);
-            } else {
-                out.fail(id);
-            }
-            self.tasks.remove(&id);
-            return;
-        }
-        let time_out = (case.client_timeout * WAIT).min(left);
-        let Some(to) = self.pick(now, id) else { return };
-        let task = self.tasks.get_mut(&id).expect("is pending");
-        (task.state, task.machine, task.last) = (State::Sent, Some(to), Some(to));
-        task.sent_at = now;
-        task.sends += 1;
-        let ask = task.order.request;
-        let machine = self.machines.get_mut(&to).expect("was picked");
-        machine.left -= ask;
-        machine.cold_sends.retain(|at| now - *at < self.cold.budget_window * 1.5);
-        machine.cold_sends.push(now);
-        out.send(id, to, time_out);
+        self.tasks.values().filter(counts).count() < limit
     }
-}
 
-struct Heard<'a> {
-    b: &'a mut Baseline,
-    now: Timestamp,
-    out: &'a mut dyn Dispatch,
-}
-
-impl PolicyEvents for Heard<'_> {
-    fn on_start(&mut self) {
-        if self.b.listing.watch_required {
-            self.out.watch_endpoints();
-        }
+    fn has_warm_up_budget(&self, now: Timestamp, machine: &Machine) -> bool {
+        let SlowStart { warm_up_time, attempt_budget, scheduler_count, .. } = self.settings.slow_start;
+        let is_warming_up = machine.entry.started_at.is_some_and(|at| now - at < warm_up_time);
+        let share = (attempt_budget / f64::from(scheduler_count.max(1))).floor() as usize;
+        let window = self.budget_window();
+        let recent = machine.warm_up_attempts.iter().filter(|at| now - **at < window).count();
+        !is_warming_up || recent < share
     }
 
-    fn on_new_task(&mut self, order: TaskSpec) {
-        let state = State::Pending;
-        let task =
-            Task { order, state, machine: None, sent_at: self.now, sends: 0, may_run: None, last: None };
-        self.b.tasks.insert(order.id, task);
+    fn budget_window(&self) -> Duration {
+        self.settings.slow_start.budget_window * BUDGET_WINDOW_FACTOR
     }
 
-    fn on_adopted_task(&mut self, order: TaskSpec, machine: MachineId) {
-        let (state, machine) = (State::Placed, Some(machine));
-        self.b.tasks.insert(
-            order.id,
-            Task { order, state, machine, sent_at: self.now, sends: 1, may_run: None, last: machine },
-        );
-    }
-
-    fn on_accepted(&mut self, task: TaskId) {
-        if let Some(task) = self.b.tasks.get_mut(&task) {
-            task.state = State::Placed;
-        }
-    }
-
-    fn on_attempt_ended(&mut self, id: TaskId, ending: Outcome, over: bool, _: LoadReport) {
-        let Some(task) = self.b.tasks.get_mut(&id) else { return };
-        let Some(machine) = task.machine.take() else { return };
-        let never_ran = matches!(ending, Outcome::Rejected(_) | Outcome::ConnectionFailed | Outcome::NotSent);
-        if !never_ran && task.may_run.is_none() {
-            task.may_run = Some((task.sent_at, machine));
-        }
-        let (ask, placed) = (task.order.request, task.state == State::Placed);
-        task.state = State::Pending;
-        if let Some(machine) = self.b.machines.get_mut(&machine) {
-            machine.left += ask;
-        }
-        if over || placed {
-            self.b.tasks.remove(&id);
-        }
-    }
-
-    fn on_client_cancelled(&mut self, id: TaskId) {
-        if self.b.tasks.get(&id).is_some_and(|task| task.state == State::Pending) {
-            self.b.tasks.remove(&id);
-        }
-    }
-
-    fn on_shutdown(&mut self, at: Timestamp) {
-        self.b.tasks.values_mut().for_each(|task| task.order.deadline = task.order.deadline.min(at));
-    }
-
-    fn on_timer(&mut self, token: u64) {
-        match token {
-            0 => self.b.ticking = false,
-            _ if self.b.listing.watch_required => self.out.watch_endpoints(),
-            _ => {}
-        }
-    }
-
-    fn on_watch_failed(&mut self) {
-        self.out.wake_at(1, self.now + Duration::from_secs(1));
-    }
-
-    fn on_endpoint_list(&mut self, kind: ListKind, entries: &[MachineEntry]) {
-        if kind != ListKind::Delta {
-            self.b.machines.values_mut().for_each(|machine| machine.entry.state = MachineState::Removed);
-        }
-        for entry in entries {
-            let left = entry.available.unwrap_or(Resources::ZERO);
-            let machine = self.b.machines.entry(entry.id).or_insert(Machine {
-                entry: *entry,
-                left,
-                cold_sends: Vec::new(),
-            });
-            (machine.entry, machine.left) = (*entry, left);
+    fn select_machine(&mut self, now: Timestamp, task: TaskId) -> Option<MachineId> {
+        let task = &self.tasks[&task];
+        let eligible =
+            self.machines.iter().filter(|(id, machine)| self.is_eligible(now, task, **id, machine));
+        if self.ranking == Ranking::Random {
+            let eligible: Vec<MachineId> = eligible.map(|(id, _)| *id).collect();
+            let index = self.random_below(eligible.len());
+            return eligible.get(index).copied();
         }
+        let available_share = |machine: &Machine| {
+            let capacity = self.settings.machine_kinds[machine.entry.kind.0];
+            machine.available.cores / capacity.cores + machine.available.memory / capacity.memory
+        };
+        let best = match self.ranking {
+            Ranking::MostRequested => {
+                eligible.min_by(|(_, a), (_, b)| available_share(a).total_cmp(&available_share(b)))
+            }
+            _ => eligible.max_by(|(_, a), (_, b)| available_share(a).total_cmp(&available_share(b))),
+        };
+        best.map(|(id, _)| *id)
     }
 
-    fn on_machine_restarted(&mut self, machine: MachineId) {
-        if let Some(machine) = self.b.machines.get_mut(&machine) {
-            machine.entry.started_at = Some(self.now);
+    /// Sends a pending task, gives its final answer, or leaves it pending.
+    fn try_place(&mut self, now: Timestamp, dispatch: &mut dyn Dispatch, id: TaskId) {
+        if !self.may_attempt(now, &self.tasks[&id]) {
+            self.give_up(dispatch, id);
+            return;
         }
+        let task = &self.tasks[&id];
+        let client_timeout = self.use_case(task).client_timeout;
+        let timeout = (client_timeout * ATTEMPT_TIMEOUT_SHARE).min(task.spec.deadline - now);
+        let Some(machine_id) = self.select_machine(now, id) else { return };
+        let window = self.budget_window();
+        let task = self.tasks.get_mut(&id).expect("is pending");
+        (task.state, task.machine, task.last_machine) = (TaskState::Sent, Some(machine_id), Some(machine_id));
+        task.sent_at = now;
+        task.attempts += 1;
+        let machine = self.machines.get_mut(&machine_id).expect("was selected");
+        machine.available -= task.spec.request;
+        machine.warm_up_attempts.retain(|at| now - *at < window);
+        machine.warm_up_attempts.push(now);
+        dispatch.send(id, machine_id, timeout);
+    }
+
+    fn may_attempt(&self, now: Timestamp, task: &Task) -> bool {
+        let use_case = self.use_case(task);
+        let is_safe = match (use_case.idempotency, task.possible_run) {
+            (_, None) | (Idempotency::Idempotent, _) => true,
+            (Idempotency::NonIdempotent, _) => false,
+            (Idempotency::Keyed { window, .. }, Some(run)) => now - run.sent_at < window * KEY_WINDOW_SHARE,
+        };
+        is_safe
+            && task.attempts < self.settings.acceptance.max_attempts
+            && task.spec.deadline - now > use_case.client_timeout * GIVE_UP_SHARE
     }
 
-    fn on_running(&mut self, _: TaskId) {}
-    fn on_usage(&mut self, _: TaskId, _: Option<f64>, _: Option<f64>) {}
-    fn on_service_level(&mut self, _: TaskId, _: f64) {}
-    fn on_machine_memory(&mut self, _: TaskId, _: f64) {}
-    fn on_health_check(&mut self, _: MachineId, _: LoadReport) {}
-}
-
-impl Policy for Baseline {
-    fn round(&mut self, now: Timestamp, out: &mut dyn Dispatch, tell: &mut dyn FnMut(&mut dyn PolicyEvents)) {
-        tell(&mut Heard { b: self, now, out });
-        let pending = |(id, task): (&TaskId, &Task)| (task.state == State::Pending).then_some(*id);
-        let pending: Vec<TaskId> = self.tasks.iter().filter_map(pending).collect();
-        let waits = !pending.is_empty();
-        pending.into_iter().for_each(|id| self.settle(now, out, id));
-        if waits && !std::mem::replace(&mut self.ticking, true) {
-            out.wake_at(0, now + TICK);
+    /// Gives the final answer: a rejection where the client may safely submit the task again, else a failure.
+    fn give_up(&mut self, dispatch: &mut dyn Dispatch, id: TaskId) {
+        let task = &self.tasks[&id];
+        let is_safe_anywhere = matches!(
+            self.use_case(task).idempotency,
+            Idempotency::Idempotent | Idempotency::Keyed { domain: FailureDomain::Cluster, .. }
+        );
+        if is_safe_anywhere || task.possible_run.is_none() {
+            dispatch.reject(id, Duration::ZERO);
+        } else {
+            dispatch.fail(id);
         }
+        self.tasks.remove(&id);
     }
 }
--- a/crates/cli/src/day.rs
+++ b/crates/cli/src/day.rs
@@ -8,7 +8,7 @@
 use mulleinhub_load_test::play_over_sockets;
 use mulleinhub_scenario::{Day, Progress, Score, parse_day};
 use mulleinhub_settings::{Directive, Faults, parse, parse_text};
-use mulleinhub_simulation::{Rule, Runner};
+use mulleinhub_simulation::{Ranking, Runner};
 use std::fs::File;
 use std::io::{BufReader, BufWriter, IsTerminal, Write};
 use std::path::{Path, PathBuf};
@@ -86,11 +86,11 @@
 }
 
 impl Baseline {
-    pub fn rule(self) -> Rule {
+    pub fn rule(self) -> Ranking {
         match self {
-            Self::Random => Rule::Random,
-            Self::LeastRequested => Rule::LeastRequested,
-            Self::TightFit => Rule::TightFit,
+            Self::Random => Ranking::Random,
+            Self::LeastRequested => Ranking::LeastRequested,
+            Self::TightFit => Ranking::MostRequested,
         }
     }
 }
--- a/crates/cli/src/trace.rs
+++ b/crates/cli/src/trace.rs
@@ -7,7 +7,7 @@
 use mulleinhub_replay::{Bound, DEFAULT_MAP, Replay, Report, bound, build, html, play, read_map, text};
 use mulleinhub_scenario::Day;
 use mulleinhub_settings::{Faults, Value, parse, parse_text};
-use mulleinhub_simulation::Rule;
+use mulleinhub_simulation::Ranking;
 use mulleinhub_trace::{
     Inspection, LAYOUTS, Mapping, Model, Progress, Reader, Sample, Share, Work, by_name, collect,
     find_sources, inspect, make,
@@ -351,7 +351,7 @@
     }
 }
 
-fn play_watched(day: &Day, name: &str, rule: Option<Rule>) -> Result<mulleinhub_replay::Outcome, String> {
+fn play_watched(day: &Day, name: &str, rule: Option<Ranking>) -> Result<mulleinhub_replay::Outcome, String> {
     let began = Instant::now();
     let length = day.length.nanos() / 1_000_000_000;
     let bar = std::io::stderr().is_terminal().then(|| ProgressBar::new(length));
--- a/crates/engine/src/lib.rs
+++ b/crates/engine/src/lib.rs
@@ -18,7 +18,7 @@
 
 use desk::{Desk, Due, Pen};
 use mulleinhub::PlacementPolicy;
-use mulleinhub_interface::{Duration, Policy, Quota, Timestamp};
+use mulleinhub_interface::{Duration, Policy, PolicySettings, Quota, Timestamp};
 use mulleinhub_limits::Why;
 use mulleinhub_sans_io::{CloseReason, ConnectionId, Connections, ListenerId, StateMachine};
 use std::cell::RefCell;
@@ -36,7 +36,7 @@
     pub fn new(settings: Settings, life: u64, saved: Option<Vec<u8>>) -> Self {
         let brain = PlacementPolicy::new(
             desk::own_seed(&settings, life),
-            mulleinhub_interface::PolicySettings {
+            PolicySettings {
                 use_cases: settings.use_cases.clone(),
                 machine_kinds: settings.kinds.clone(),
                 acceptance: settings.taking,
--- a/crates/replay/src/play.rs
+++ b/crates/replay/src/play.rs
@@ -3,7 +3,7 @@
 use mulleinhub_checker::Verdict;
 use mulleinhub_interface::Timestamp;
 use mulleinhub_scenario::{Day, Look, Score};
-use mulleinhub_simulation::{Rule, Runner};
+use mulleinhub_simulation::{Ranking, Runner};
 use std::io::{BufReader, BufWriter, Seek, Write};
 
 /// How things were at an instant.
@@ -26,7 +26,7 @@
 ///
 /// # Errors
 /// Where the capture can't be kept or read back.
-pub fn play(day: &Day, rule: Option<Rule>, mut watch: impl FnMut(Timestamp)) -> Result<Outcome, String> {
+pub fn play(day: &Day, rule: Option<Ranking>, mut watch: impl FnMut(Timestamp)) -> Result<Outcome, String> {
     let words = |e: std::io::Error| format!("a file for the capture: {e}");
     let file = tempfile::tempfile().map_err(words)?;
     let every = (day.length.nanos() / POINTS).max(1);
--- a/crates/replay/tests/replays.rs
+++ b/crates/replay/tests/replays.rs
@@ -2,7 +2,7 @@
 
 use mulleinhub_replay::*;
 use mulleinhub_settings::{Faults, parse_text};
-use mulleinhub_simulation::Rule;
+use mulleinhub_simulation::Ranking;
 use mulleinhub_trace::*;
 use std::path::Path;
 
@@ -35,7 +35,7 @@
     folder
 }
 
-fn report(folder: &Path, sample: &Sample, rule: Option<Rule>) -> (String, Outcome) {
+fn report(folder: &Path, sample: &Sample, rule: Option<Ranking>) -> (String, Outcome) {
     let (work, replay) = read(folder, sample);
     let bound = bound(&replay.day, &replay.day.worth());
     let mut report = Report::new("made", sample.seed, &work, &replay, &bound);
@@ -92,7 +92,7 @@
     let worth = replay.day.worth();
     let bound = bound(&replay.day, &worth);
     assert!(bound.part() < 1.0, "eight machines have no room for all of it");
-    for rule in [None, Some(Rule::Random), Some(Rule::TightFit)] {
+    for rule in [None, Some(Ranking::Random), Some(Ranking::MostRequested)] {
         let outcome = play(&replay.day, rule, |_| ()).expect("is played");
         let service = outcome.points.last().expect("was looked at").look.earned;
         assert!(service <= bound.most * 1.02, "{service} over {}", bound.most);
--- a/crates/simulation/src/lib.rs
+++ b/crates/simulation/src/lib.rs
@@ -5,14 +5,14 @@
 //! it had asked to keep.
 //! May not touch: real clocks, sockets, threads.
 
-pub use mulleinhub_baselines::Rule;
+pub use mulleinhub_baselines::Ranking;
 
 mod books;
 
 use books::{Books, Disk};
 use mulleinhub_baselines::Baseline;
 use mulleinhub_engine::{Counts, Engine};
-use mulleinhub_interface::{Duration, Pcg, Timestamp};
+use mulleinhub_interface::{Duration, Pcg, PolicySettings, Timestamp};
 use mulleinhub_planner::{BooksText, Conf, ConfText, conf_of_text, parse_orders};
 use mulleinhub_sans_io::{CloseReason, Command, ConnectionId, ListenerId, StateMachine};
 use mulleinhub_scenario::{Behind, Day, Fate, PlannerDeed, Score, Stage, list_door};
@@ -84,7 +84,7 @@
     now: Timestamp,
     counts: Counts,
     /// In place of the module: for comparison only.
-    baseline: Option<Rule>,
+    baseline: Option<Ranking>,
 }
 
 /// The settings text of a day's planner. `listen` and `list` are what the host of the planner has for it.
@@ -172,7 +172,7 @@
     }
 
     /// Lets a plain policy decide in the module's place.
-    pub fn with_baseline(mut self, rule: Option<Rule>) -> Self {
+    pub fn with_baseline(mut self, rule: Option<Ranking>) -> Self {
         self.baseline = rule;
         self
     }
@@ -270,10 +270,15 @@
                 let engine = match self.baseline {
                     None => Engine::new(settings, life, kept),
                     Some(rule) => {
-                        let (cases, kinds) = (settings.use_cases.clone(), settings.kinds.clone());
-                        let (taking, cold, listing) = (settings.taking, settings.cold, settings.listing);
-                        let mind =
-                            Baseline::new(rule, settings.seed ^ life, cases, kinds, taking, cold, listing);
+                        let policy_settings = PolicySettings {
+                            use_cases: settings.use_cases.clone(),
+                            machine_kinds: settings.kinds.clone(),
+                            acceptance: settings.taking,
+                            slow_start: settings.cold,
+                            discovery: settings.listing,
+                            locality: settings.home,
+                        };
+                        let mind = Baseline::new(rule, settings.seed ^ life, policy_settings);
                         Engine::with_mind(Box::new(mind), settings, life, kept)
                     }
                 };
