--- a/crates/interface/src/lib.rs
+++ b/crates/interface/src/lib.rs
@@ -1,7 +1,7 @@
 //! The types that the scheduling policy shares with the programs around it.
 //!
-//! These are identifiers, resource amounts, durations, the description of tasks and machines, the settings of a
-//! policy, and the traits through which events reach a policy ([`PolicyEvents`]) and commands leave it
+//! These are identifiers, resource amounts, durations, the description of tasks and machines, the settings of
+//! a policy, and the traits through which events reach a policy ([`PolicyEvents`]) and commands leave it
 //! ([`Dispatch`]). The crate holds no state, starts no thread and decides nothing.
 #![warn(missing_docs)]
 
--- a/crates/interface/src/quota.rs
+++ b/crates/interface/src/quota.rs
@@ -23,8 +23,8 @@
 ///
 /// Clients that no quota applies to are admitted without a ticket.
 pub trait Quota: Send {
-    /// Admits a task of `client`, or says why not. `jitter` is a random fraction (0 to 1) by which waits differ,
-    /// so that clients that are rejected together do not return together.
+    /// Admits a task of `client`, or says why not. `jitter` is a random fraction (0 to 1) by which waits
+    /// differ, so that clients that are rejected together do not return together.
     ///
     /// # Errors
     /// The time after which the client may retry.
@@ -46,7 +46,8 @@
     /// The task runs.
     fn on_running(&mut self, now: Timestamp, ticket: Ticket);
 
-    /// The task ran already when this scheduler took it over, from its own earlier incarnation or from a client.
+    /// The task ran already when this scheduler took it over, from its own earlier incarnation or from a
+    /// client.
     fn adopt(&mut self, now: Timestamp, client: &str, key: TaskKey, request: Resources) -> Option<Ticket>;
 
     /// The task no longer runs; `will_return` where it was lost, preempted or evicted.
--- a/crates/interface/src/resources.rs
+++ b/crates/interface/src/resources.rs
@@ -4,7 +4,8 @@
 
 /// An amount of cores and memory: a capacity, a request, a usage or what is available.
 ///
-/// Cores are counted in cores, memory in the unit of the cluster's settings. Both may be negative in differences.
+/// Cores are counted in cores, memory in the unit of the cluster's settings. Both may be negative in
+/// differences.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Resources {
     /// Number of cores; fractions are allowed.
--- a/crates/interface/src/time.rs
+++ b/crates/interface/src/time.rs
@@ -14,7 +14,8 @@
 /// assert_eq!(start - (start + Duration::from_nanos(10)), Duration::ZERO, "a clock that jumps back");
 /// ```
 /// ```compile_fail
-/// let wrong = mulleinhub_interface::Timestamp::from_nanos(1) + mulleinhub_interface::Timestamp::from_nanos(1);
+/// # use mulleinhub_interface::Timestamp;
+/// let wrong = Timestamp::from_nanos(1) + Timestamp::from_nanos(1);
 /// ```
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Timestamp(u64);
@@ -59,8 +60,8 @@
         self.0 as f64 / other.0.max(1) as f64
     }
 
-    /// An exponential moving average: this duration moved towards `sample` by `weight` (0 to 1) of the distance.
-    /// A zero duration stands for no average yet and is replaced by the sample.
+    /// An exponential moving average: this duration moved towards `sample` by `weight` (0 to 1) of the
+    /// distance. A zero duration stands for no average yet and is replaced by the sample.
     pub fn moved_towards(self, sample: Self, weight: f64) -> Self {
         if self == Self::ZERO { sample } else { self * (1.0 - weight) + sample * weight }
     }
--- a/src/events.rs
+++ b/src/events.rs
@@ -1,4 +1,5 @@
-//! The traits of the interface, implemented by the policy: each event is one call of the module that handles it.
+//! The traits of the interface, implemented by the policy: each event is one call of the module that handles
+//! it.
 
 use crate::interface::*;
 use crate::policy::{PlacementPolicy, SchedulingRound, TICK_TIMER};
--- a/src/policy/admission.rs
+++ b/src/policy/admission.rs
@@ -5,7 +5,8 @@
 use crate::interface::*;
 use crate::state::{CircuitBreaker, Machine, Task};
 
-/// A circuit breaker opens for this part of the client timeout, doubled by each further trip, at most so often.
+/// A circuit breaker opens for this part of the client timeout, doubled by each further trip, at most so
+/// often.
 pub(super) const COOL_DOWN_SHARE: f64 = 0.35;
 const MAX_DOUBLINGS: u32 = 5;
 /// Starts in flight that a freshly started machine bears from all schedulers; each start in time adds one.
@@ -14,9 +15,9 @@
 const BUDGET_WINDOW_FACTOR: f64 = 1.5;
 
 impl CircuitBreaker {
-    /// Opens the breaker, for twice as long each time up to a bound. What ends while it is open was sent before
-    /// and is the same fault. Seen: one hang with many attempts in flight, each of which doubled the cool-down,
-    /// and a machine idle for a minute.
+    /// Opens the breaker, for twice as long each time up to a bound. What ends while it is open was sent
+    /// before and is the same fault. Seen: one hang with many attempts in flight, each of which doubled the
+    /// cool-down, and a machine idle for a minute.
     pub(super) fn trip(&mut self, now: Timestamp, cool_down: Duration) {
         if self.is_open(now) {
             return;
@@ -62,8 +63,8 @@
         start.is_some_and(|at| now - at < self.settings.slow_start.warm_up_time)
     }
 
-    /// Whether it started recently or was lost: a lost machine comes back cold, long before the endpoint list shows
-    /// its start.
+    /// Whether it started recently or was lost: a lost machine comes back cold, long before the endpoint list
+    /// shows its start.
     pub(super) fn is_warming_up(&self, machine: &Machine, now: Timestamp) -> bool {
         self.is_recent_start(machine.started_at, now) || self.is_recent_start(machine.lost_at, now)
     }
@@ -79,16 +80,17 @@
             return true;
         }
         let window = self.warm_up_window();
-        // Seen: seven in ten schedulers restarted, and each sent what its earlier incarnation had sent already.
+        // Seen: seven in ten schedulers restarted, and each sent what its earlier incarnation had sent
+        // already.
         let may_have_sent =
             now - self.started_at <= window && machine.started_at.is_some_and(|at| at < self.started_at);
         let attempts = machine.warm_up_attempts.iter().filter(|sent_at| now - **sent_at <= window).count();
         !may_have_sent && attempts < self.warm_up_share(machine)
     }
 
-    /// This scheduler's part of the machine's warm-up budget. The budget is dealt one by one over all schedulers,
-    /// from one that the machine's id determines: the sum holds whichever schedulers stall or fail, and some may
-    /// send where an equal part is below one.
+    /// This scheduler's part of the machine's warm-up budget. The budget is dealt one by one over all
+    /// schedulers, from one that the machine's id determines: the sum holds whichever schedulers stall or
+    /// fail, and some may send where an equal part is below one.
     fn warm_up_share(&self, machine: &Machine) -> usize {
         let SlowStart { attempt_budget, scheduler_index, .. } = self.settings.slow_start;
         let (budget, schedulers) = (attempt_budget as u64, u64::from(self.scheduler_count()));
--- a/src/policy/cluster_view.rs
+++ b/src/policy/cluster_view.rs
@@ -8,8 +8,8 @@
 const LIST_AGE: Duration = Duration::from_nanos(800_000_000);
 /// A list without news is trusted for this part of the longest silence that the rules allow.
 const TRUSTED_SILENCE_SHARE: f64 = 0.25;
-/// After a failure the watch is requested again after so many recheck intervals, doubled by each further failure,
-/// at most so often.
+/// After a failure the watch is requested again after so many recheck intervals, doubled by each further
+/// failure, at most so often.
 const WATCH_BACKOFF_INTERVALS: u32 = 8;
 const MAX_WATCH_DOUBLINGS: u32 = 4;
 
@@ -71,8 +71,8 @@
         machine.started_at = entry.started_at;
     }
 
-    /// Forgets one removed machine that nothing depends on. One that drains stays, as does one that is warming up:
-    /// it may come back, and its warm-up budget still counts.
+    /// Forgets one removed machine that nothing depends on. One that drains stays, as does one that is
+    /// warming up: it may come back, and its warm-up budget still counts.
     fn forget_removed_machine(&mut self) {
         let policy = &mut *self.policy;
         let is_unneeded = |machine: &Machine| {
@@ -81,10 +81,13 @@
                 && !policy.is_warming_up(machine, self.now)
         };
         let unneeded = policy.machines.iter().find(|(_, machine)| is_unneeded(machine)).map(|(slot, _)| slot);
-        unneeded.and_then(|slot| policy.machines.remove(slot));
+        if let Some(slot) = unneeded {
+            policy.machines.remove(slot);
+        }
     }
 
-    /// Machines that a list does not name have not changed: their view is as recent as that of the named ones.
+    /// Machines that a list does not name have not changed: their view is as recent as that of the named
+    /// ones.
     fn refresh_view(&mut self) {
         self.policy.last_list_at = self.now;
         let (mut available, mut capacity) = (Resources::ZERO, Resources::ZERO);
@@ -118,8 +121,8 @@
 }
 
 impl PlacementPolicy {
-    /// How little the last list is trusted: 0 while it is recent, towards 1 as it ages. Otherwise a scheduler that
-    /// gets no lists fills the machines that once were empty.
+    /// How little the last list is trusted: 0 while it is recent, towards 1 as it ages. Otherwise a scheduler
+    /// that gets no lists fills the machines that once were empty.
     pub(super) fn staleness(&self, now: Timestamp) -> f64 {
         let trusted = self.settings.discovery.max_staleness * TRUSTED_SILENCE_SHARE;
         let silence = (now - self.last_list_at).ratio_to(trusted);
--- a/src/policy/lifecycle.rs
+++ b/src/policy/lifecycle.rs
@@ -98,7 +98,8 @@
         }
     }
 
-    /// The scheduler shuts down: final answers are due by then. Seen: waits longer than the time that was left.
+    /// The scheduler shuts down: final answers are due by then. Seen: waits longer than the time that was
+    /// left.
     pub(crate) fn limit_deadlines(&mut self, deadline: Timestamp) {
         for (_, task) in self.policy.tasks.iter_mut() {
             task.spec.deadline = task.spec.deadline.min(deadline);
--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -1,20 +1,20 @@
 //! All decisions of mulleinhub, with every table and tuned value beside the code that uses it.
 //!
-//! A scheduling round, `policy.round(now, &mut dispatch, |events| { events.on_new_task(..); .. })`, delivers all
-//! events that arrived and ends with the placement of pending tasks. Events and commands are the traits of
-//! `crates/interface`; the design is docs/design.md.
+//! A scheduling round, `policy.round(now, &mut dispatch, |events| { events.on_new_task(..); .. })`, delivers
+//! all events that arrived and ends with the placement of pending tasks. Events and commands are the traits
+//! of `crates/interface`; the design is docs/design.md.
 //!
 //! `placement` is the ordinary path, to be read first. `preemption` relieves hot machines, `retry` decides on
-//! further attempts and final answers, `queue` on the order of pending tasks, and `lifecycle` follows a task from
-//! its arrival to its end. Beside the ordinary path stand these mechanisms, six at most:
+//! further attempts and final answers, `queue` on the order of pending tasks, and `lifecycle` follows a task
+//! from its arrival to its end. Beside the ordinary path stand these mechanisms, six at most:
 //! 1. circuit breakers and slow start (`admission`): a machine gets no attempts of a use case for a cool-down
 //!    after faults, longer each time; a machine that started recently has a limit of starts in flight
 //! 2. stale views (`cluster_view`): a rejection for lack of resources counts until a view can show it; a list
 //!    without news decays towards the mean of all machines
 //! 3. overcommit (`placement`): where few machines have the resources requested, what machines accept beyond
 //!    their capacity counts too
-//! 4. pressure (`pressure`): machines that serve poorly or start slowly come last; missed service and starts in
-//!    flight make a machine rank as fuller
+//! 4. pressure (`pressure`): machines that serve poorly or start slowly come last; missed service and starts
+//!    in flight make a machine rank as fuller
 //! 5. rank penalties (`placement`): for machines without the service's program, in the service's own order of
 //!    preferred machines, and for opening an unused machine
 //! 6. order of pending tasks (`queue`): by value, those that can still start in time before late ones
@@ -62,8 +62,8 @@
     /// Scratch memory of one placement: where tasks of the service are.
     service_counts: Vec<ServiceCount>,
     is_tick_scheduled: bool,
-    /// Starts in flight on all machines together, so that a large cluster is not walked to find that there are
-    /// none.
+    /// Starts in flight on all machines together, so that a large cluster is not walked to find that there
+    /// are none.
     starting: usize,
     /// Failures of the watch in a row.
     watch_failures: u32,
--- a/src/policy/placement.rs
+++ b/src/policy/placement.rs
@@ -1,8 +1,8 @@
 //! The ordinary path: which machine a task is placed on.
 //!
-//! Low-priority tasks use predicted slack: requests of high-priority tasks minus their peak usage. A machine is
-//! filtered by the rules and by its resources; the rest is ranked by the share of capacity that is requested,
-//! least first, and a random one of the best is selected.
+//! Low-priority tasks use predicted slack: requests of high-priority tasks minus their peak usage. A machine
+//! is filtered by the rules and by its resources; the rest is ranked by the share of capacity that is
+//! requested, least first, and a random one of the best is selected.
 
 use super::{PlacementPolicy, SchedulingRound};
 use crate::interface::*;
@@ -13,18 +13,19 @@
 const MEMORY_WEIGHT: f64 = 0.62;
 /// Machines whose score is so close to the best are equal (design).
 const TIE_MARGIN: f64 = 0.05;
-/// What a machine without the service's program must be emptier by, as a share of its capacity, for each position
-/// that it is further down in the service's order of preferred machines. The order is the same for all schedulers:
-/// none of them sees where the others started a program, and all see the same least requested machine.
+/// What a machine without the service's program must be emptier by, as a share of its capacity, for each
+/// position that it is further down in the service's order of preferred machines. The order is the same for
+/// all schedulers: none of them sees where the others started a program, and all see the same least requested
+/// machine.
 const PROGRAM_PENALTY: f64 = 6.0 * TIE_MARGIN;
 /// So many positions of that order count.
 const PREFERRED_MACHINES: usize = 6;
-/// A machine ranks as fuller by this part of the service that it missed at worst within the peak window: what was
-/// hot lately (a slow machine, a noisy neighbour, a hot service) soon is again.
+/// A machine ranks as fuller by this part of the service that it missed at worst within the peak window: what
+/// was hot lately (a slow machine, a noisy neighbour, a hot service) soon is again.
 const MISSED_SERVICE_PENALTY: f64 = 0.3;
-/// And by this for each start in flight, of this scheduler and as many of each other one: a machine starts few
-/// tasks at a time. Seen: a machine that had just been opened was the least requested for all schedulers, and 25
-/// starts queued there within two seconds.
+/// And by this for each start in flight, of this scheduler and as many of each other one: a machine starts
+/// few tasks at a time. Seen: a machine that had just been opened was the least requested for all schedulers,
+/// and 25 starts queued there within two seconds.
 const START_PENALTY: f64 = TIE_MARGIN / 2.0;
 /// Where machines in use have a cost, an unused machine is opened last, whatever else it offers.
 const OPENING_PENALTY: f64 = 1.0 + PROGRAM_PENALTY * PREFERRED_MACHINES as f64;
@@ -103,8 +104,8 @@
         selected
     }
 
-    /// Collects the machines that the task fits on. Returns how many machines are eligible, not under pressure and
-    /// not in a costly zone, whether they have the resources or not.
+    /// Collects the machines that the task fits on. Returns how many machines are eligible, not under
+    /// pressure and not in a costly zone, whether they have the resources or not.
     fn collect_candidates(
         &self,
         task: &Task,
@@ -187,8 +188,8 @@
 }
 
 impl PlacementPolicy {
-    /// Whether the resources available, plus predicted slack for low-priority tasks, suffice as far as the machine
-    /// accepts.
+    /// Whether the resources available, plus predicted slack for low-priority tasks, suffice as far as the
+    /// machine accepts.
     pub(super) fn has_resources(
         &self,
         task: &Task,
@@ -206,9 +207,9 @@
         machine.zone != locality.local_zone && locality.cross_zone_cost > 0.0
     }
 
-    /// Counts the tasks of a service by machine, for use cases that spread over more than single machines. Seen:
-    /// counted anew for each machine, which took all of a scheduler's part of a core where services spread over
-    /// zones of 133 machines.
+    /// Counts the tasks of a service by machine, for use cases that spread over more than single machines.
+    /// Seen: counted anew for each machine, which took all of a scheduler's part of a core where services
+    /// spread over zones of 133 machines.
     pub(super) fn count_service(
         &self,
         service: ServiceId,
@@ -250,8 +251,8 @@
     running < limit
 }
 
-/// Keeps the candidates of the ordinary tier where these are at least half of the healthy machines: otherwise all
-/// schedulers would pile on the few that have the resources, so the fallback tier counts too.
+/// Keeps the candidates of the ordinary tier where these are at least half of the healthy machines: otherwise
+/// all schedulers would pile on the few that have the resources, so the fallback tier counts too.
 fn keep_sufficient_tier(candidates: &mut Vec<Candidate>, healthy: usize) {
     let ordinary = candidates.iter().filter(|candidate| candidate.tier == Tier::Ordinary).count();
     let has_fallback = candidates.iter().any(|candidate| candidate.tier <= Tier::Fallback);
@@ -265,8 +266,8 @@
     candidates.retain(|candidate| candidate.tier <= worst);
 }
 
-/// Adds the penalty for a missing program: a start without the program takes many times the work and misses the
-/// latency objective.
+/// Adds the penalty for a missing program: a start without the program takes many times the work and misses
+/// the latency objective.
 fn add_program_penalties(candidates: &mut [Candidate]) {
     let preferred = PREFERRED_MACHINES.min(candidates.len());
     if preferred < candidates.len() {
--- a/src/policy/preemption.rs
+++ b/src/policy/preemption.rs
@@ -4,8 +4,8 @@
 use crate::interface::*;
 use crate::state::{Machine, MachineSlot, TaskSlot, TaskState};
 
-/// A machine is hot above this share of its capacity. The design's starting value is 0.8; but a preemption costs a
-/// start, and until a machine is nearly used up it does little harm.
+/// A machine is hot above this share of its capacity. The design's starting value is 0.8; but a preemption
+/// costs a start, and until a machine is nearly used up it does little harm.
 pub(super) const HOT_SHARE: f64 = 0.95;
 /// The peaks of so many preempted tasks are kept until the tasks return.
 pub(super) const HISTORY: usize = 64;
@@ -17,8 +17,8 @@
 }
 
 impl<D: Dispatch> SchedulingRound<'_, D> {
-    /// Preempts low-priority tasks until the usage that remains is below the hot mark. The machine's peaks are then
-    /// forgotten, so that a fresh report must come before more tasks go.
+    /// Preempts low-priority tasks until the usage that remains is below the hot mark. The machine's peaks
+    /// are then forgotten, so that a fresh report must come before more tasks go.
     pub(super) fn preempt_if_hot(&mut self, slot: MachineSlot) {
         let now = self.now;
         let machine = &mut self.policy.machines[slot];
@@ -29,8 +29,8 @@
         }
         machine.cores_utilization.clear();
         machine.memory_utilization.clear();
-        // What is being stopped, by this scheduler or a client, ends soon. Seen: one hot machine, and two tasks
-        // preempted for it.
+        // What is being stopped, by this scheduler or a client, ends soon. Seen: one hot machine, and two
+        // tasks preempted for it.
         let machine = &self.policy.machines[slot];
         let terminating = self.terminating_usage(machine);
         let (usage, own_usage) = (usage - terminating, machine.usage - terminating);
@@ -71,8 +71,8 @@
         }
     }
 
-    /// Whether a task may be preempted and would find resources elsewhere. One that was resubmitted stays: moving
-    /// it once more would only pass the load around.
+    /// Whether a task may be preempted and would find resources elsewhere. One that was resubmitted stays:
+    /// moving it once more would only pass the load around.
     fn is_preemptible(&self, slot: TaskSlot) -> bool {
         let task = &self.policy.tasks[slot];
         !task.spec.is_resubmitted
--- a/src/policy/pressure.rs
+++ b/src/policy/pressure.rs
@@ -1,7 +1,7 @@
 //! Signals of pressure on a machine: poor service, short memory, load reports and slow starts.
 //!
-//! A machine under pressure is considered last, whoever causes it: other tenants, load peaks or this scheduler.
-//! Each signal may also find the machine hot, which preempts tasks.
+//! A machine under pressure is considered last, whoever causes it: other tenants, load peaks or this
+//! scheduler. Each signal may also find the machine hot, which preempts tasks.
 
 use super::preemption::HOT_SHARE;
 use super::{PlacementPolicy, SchedulingRound};
@@ -18,8 +18,8 @@
 const TYPICAL_START_WEIGHT: f64 = 1.0 / 16.0;
 
 impl<D: Dispatch> SchedulingRound<'_, D> {
-    /// Records the share of complete service that a task gets. How busy the cores are follows from it by the use
-    /// case's own curve.
+    /// Records the share of complete service that a task gets. How busy the cores are follows from it by the
+    /// use case's own curve.
     pub(crate) fn record_service_level(&mut self, id: TaskId, share: f64) {
         let Some((slot, machine_slot)) = self.policy.placed_task(id) else { return };
         let use_case = self.policy.use_case(slot);
@@ -60,8 +60,8 @@
         machine.missed_service.record(self.now, 1.0);
     }
 
-    /// Updates the typical duration of starts. Far slower than typical means a slow or crowded machine, also where
-    /// nothing else reports pressure.
+    /// Updates the typical duration of starts. Far slower than typical means a slow or crowded machine, also
+    /// where nothing else reports pressure.
     pub(super) fn record_start_duration(
         &mut self,
         slot: MachineSlot,
@@ -76,8 +76,8 @@
         *typical = typical.moved_towards(duration, TYPICAL_START_WEIGHT);
     }
 
-    /// A start that is still in flight after far longer than typical says as much as one that completes so late.
-    /// Seen: a slow machine on which more than a third of what was placed ended before it ever ran.
+    /// A start that is still in flight after far longer than typical says as much as one that completes so
+    /// late. Seen: a slow machine on which more than a third of what was placed ended before it ever ran.
     pub(super) fn detect_slow_starts(&mut self) {
         let now = self.now;
         let PlacementPolicy { machines, tasks, typical_start, .. } = &mut *self.policy;
@@ -93,8 +93,8 @@
     }
 }
 
-/// Until when a machine is under pressure by this report. A better report of the same kind ends it; one of another
-/// kind does not. Seen: a machine that had just evicted took tasks again, as its cores were idle.
+/// Until when a machine is under pressure by this report. A better report of the same kind ends it; one of
+/// another kind does not. Seen: a machine that had just evicted took tasks again, as its cores were idle.
 fn pressure_end(now: Timestamp, is_under_pressure: bool) -> Timestamp {
     if is_under_pressure { now + PRESSURE_DURATION } else { now }
 }
--- a/src/policy/retry.rs
+++ b/src/policy/retry.rs
@@ -5,19 +5,21 @@
 use crate::interface::*;
 use crate::state::{MachineSlot, PossibleRun, TaskSlot, TaskState};
 
-/// Where acceptance comes before the start, a silent machine is waited for during this part of the client timeout.
+/// Where acceptance comes before the start, a silent machine is waited for during this part of the client
+/// timeout.
 const SILENCE_SHARE: f64 = 0.1;
-/// One that answers others, or may only be slow in starting, is waited for during this part: a cancelled attempt
-/// goes on as a copy that nobody waits for, and queues grow by it.
+/// One that answers others, or may only be slow in starting, is waited for during this part: a cancelled
+/// attempt goes on as a copy that nobody waits for, and queues grow by it.
 const PATIENCE_SHARE: f64 = 0.75;
 /// A task that still waits so near its client timeout (as a part of it) gets its final answer.
 const GIVE_UP_SHARE: f64 = 0.03;
 /// A keyed task is sent again only within this part of its window, so that the attempt arrives inside it.
 const KEY_WINDOW_SHARE: f64 = 0.9;
-/// Waits are longer by up to this random part, so that schedulers that learn something at one instant do not all
-/// return at one. Seen: 120 that had lost a machine or the list together sent again in the same ten milliseconds.
+/// Waits are longer by up to this random part, so that schedulers that learn something at one instant do not
+/// all return at one. Seen: 120 that had lost a machine or the list together sent again in the same ten
+/// milliseconds.
 const JITTER: f64 = 0.25;
-/// Machines cache programs for a while: of so many services, those whose tasks ended last, they are assumed to.
+/// Machines are assumed to cache the programs of so many services: those whose tasks ended there last.
 const CACHED_PROGRAMS: usize = 8;
 /// A rejection shows that slightly less than the request is available.
 const REJECTED_REQUEST_FACTOR: f64 = 0.99;
@@ -37,7 +39,7 @@
         }
         let machine_slot = task.attempt_machine();
         self.release_resources(slot, machine_slot);
-        self.judge_machine(slot, machine_slot, outcome, cool_down);
+        self.assess_machine(slot, machine_slot, outcome, cool_down);
         self.record_attempt_end(slot, machine_slot, outcome);
         if is_final || state != TaskState::Sent {
             self.policy.tasks.remove(slot);
@@ -73,7 +75,7 @@
     }
 
     /// What the outcome says about the machine.
-    fn judge_machine(
+    fn assess_machine(
         &mut self,
         slot: TaskSlot,
         machine_slot: MachineSlot,
@@ -85,7 +87,8 @@
         let machine = &mut self.policy.machines[machine_slot];
         let breaker = &mut machine.breakers[task.spec.use_case.0];
         match outcome {
-            // The machine answered others since this was sent, or the task was preempted: a long queue, no fault.
+            // The machine answered others since this was sent, or the task was preempted: a long queue, no
+            // fault.
             Outcome::TimedOut | Outcome::Cancelled
                 if task.state != TaskState::Sent || breaker.last_answer_at > task.sent_at => {}
             Outcome::ConnectionFailed
@@ -93,8 +96,8 @@
             | Outcome::Rejected(Rejection::QueueFull) => {
                 machine.breakers.iter_mut().for_each(|breaker| breaker.trip(now, cool_down));
             }
-            // Where another machine failed it too, the fault is the task's. Seen: start requests that no machine
-            // could use, each of which opened the breakers of four machines.
+            // Where another machine failed it too, the fault is the task's. Seen: start requests that no
+            // machine could use, each of which opened the breakers of four machines.
             Outcome::Failed if std::mem::replace(&mut task.has_failed, true) => {}
             // Failures, silence, or a rejection without a reason: this use case alone may be affected.
             Outcome::Failed
--- a/src/policy/tests/mod.rs
+++ b/src/policy/tests/mod.rs
@@ -1,6 +1,7 @@
 //! The five rules as properties of the policy: three schedulers that share machines and nothing else, random
-//! events, and an oracle that states the rules in their own words. What a whole scheduler process makes of them is
-//! tested in `crates/engine`; here are the outcomes that no wire of ours carries, and the sum over schedulers.
+//! events, and an oracle that states the rules in their own words. What a whole scheduler process makes of
+//! them is tested in `crates/engine`; here are the outcomes that no wire of ours carries, and the sum over
+//! schedulers.
 
 mod accounting;
 mod cluster;
--- a/src/policy/tests/rules.rs
+++ b/src/policy/tests/rules.rs
@@ -90,12 +90,12 @@
             FailureDomain::Machine => attempt.machine == machine,
             _ => attempt.machine / 2 == machine / 2,
         };
-        let is_held = |task: &&TaskRecord| {
+        let is_hosted = |task: &&TaskRecord| {
             task.service == service
                 && task.attempts.iter().any(|attempt| !attempt.has_ended && is_near(attempt))
         };
-        let held = self.schedulers[s].tasks.values().filter(is_held).count();
-        assert!(held <= limit, "rule 5: {held} tasks of one service by machine {machine}");
+        let hosted = self.schedulers[s].tasks.values().filter(is_hosted).count();
+        assert!(hosted <= limit, "rule 5: {hosted} tasks of one service by machine {machine}");
         self.coverage.spread_attempts += 1;
     }
 }
--- a/src/windowed_max.rs
+++ b/src/windowed_max.rs
@@ -6,8 +6,8 @@
 
 /// The maximum of the values recorded within a sliding window.
 ///
-/// Time is cut into buckets of a fifth of the window, so a value counts for at least the window and for at most
-/// one bucket longer. Recording allocates nothing.
+/// Time is cut into buckets of a fifth of the window, so a value counts for at least the window and for at
+/// most one bucket longer. Recording allocates nothing.
 #[derive(Clone, Debug)]
 pub struct WindowedMax {
     bucket_length: Duration,
--- a/tests/scenarios/placement.rs
+++ b/tests/scenarios/placement.rs
@@ -124,7 +124,7 @@
 }
 
 #[test]
-fn machine_with_program_beats_preferred_machine() {
+fn machine_with_program_outranks_preferred_machine() {
     for ended in [false, true] {
         let mut harness = Harness::new().start(&[machine(1, 8.0), machine(2, 8.9)]);
         let (running, next) = (
@@ -166,8 +166,9 @@
 
 #[test]
 fn zone_spread_costs_little_more_than_machine_spread() {
-    // Seen: with 400 machines in three zones, each selection visited all machines for each machine, and a scheduler
-    // with a fifth of a core answered seconds late. The shortest of several runs, as others use this computer.
+    // Seen: with 400 machines in three zones, each selection visited all machines for each machine, and a
+    // scheduler with a fifth of a core answered seconds late. The shortest of several runs, as others use
+    // this computer.
     let fleet: Vec<MachineEntry> =
         (1..=400).map(|n| MachineEntry { zone: ZoneId(n as u32 % 3), ..machine(n, 1_000.0) }).collect();
     let shortest = |domain| {
--- a/tests/scenarios/preemption.rs
+++ b/tests/scenarios/preemption.rs
@@ -43,7 +43,8 @@
     assert_eq!(harness.report_machine_memory(3, 1.2), [], "its usage is discounted once");
 }
 
-/// A high-priority task that uses all of machine 1, with two units more; what comes on top is this scheduler's to shed.
+/// A high-priority task that uses all of machine 1, with two units more; what comes on top is this
+/// scheduler's to shed.
 fn fill_machine(harness: &mut Harness) {
     harness.adopt(900, HIGH, 1.0, 1);
     harness.report_usage(900, 10.0);
@@ -62,7 +63,7 @@
 }
 
 #[test]
-fn preempted_task_returns_at_peak_usage_and_is_not_preempted_again() {
+fn preempted_task_returns_at_peak_usage_and_is_preempted_once() {
     let mut harness =
         Harness { overcommit: 1.5, ..Harness::new() }.start(&[machine(1, 9.0), machine(2, 5.0)]);
     fill_machine(&mut harness);
--- a/tests/scenarios/rules.rs
+++ b/tests/scenarios/rules.rs
@@ -95,7 +95,7 @@
 }
 
 #[test]
-fn keyed_task_that_may_have_run_stays_in_its_domain() {
+fn keyed_task_that_may_have_run_is_retried_in_its_domain() {
     let cell = Idempotency::Keyed { domain: FailureDomain::Cell, window: Duration::from_secs(5) };
     let mut harness = harness_with_idempotency(cell);
     assert_eq!(harness.end_attempt(1, Outcome::TimedOut), [], "the other machine is of another cell");
