--- a/crates/ledger/src/shared_pools.rs
+++ b/crates/ledger/src/shared_pools.rs
@@ -134,7 +134,7 @@
 }
 
 impl Quota for AdmissionHandle {
-    fn ask(
+    fn admit(
         &mut self,
         now: Timestamp,
         owner: &str,
@@ -163,7 +163,7 @@
         self.shelf.till(ticket.team as usize, |till| till.start(now, ticket));
     }
 
-    fn adopted(&mut self, now: Timestamp, owner: &str, key: TaskKey, ask: Resources) -> Option<Ticket> {
+    fn adopt(&mut self, now: Timestamp, owner: &str, key: TaskKey, ask: Resources) -> Option<Ticket> {
         let team = self.team(owner)?;
         let rate = self.prices.rate(ask);
         Some(self.shelf.till(team as usize, |till| till.adopt(now, team, key, rate)))
@@ -173,7 +173,7 @@
         self.shelf.till(ticket.team as usize, |till| till.end(now, ticket, comes_again));
     }
 
-    fn all_told(&mut self, _: Timestamp) {
+    fn on_recovery_complete(&mut self, _: Timestamp) {
         self.shelf.told.store(true, Ordering::Release);
     }
 
--- a/crates/planner/src/conf.rs
+++ b/crates/planner/src/conf.rs
@@ -96,20 +96,20 @@
     let none = Scope::new(&[], place.clone());
     let mut taking = scope.once("taking", faults).map_or(none, Scope::of);
     let taking_ = AcceptanceRules {
-        cores: taking.or("accepts-cores", 1.0, faults),
-        memory: taking.or("accepts-memory", 1.0, faults),
-        yes_when_running: taking.or("yes-when-running", false, faults),
-        max_sends: rules.most_sends,
-        tells_pressure: taking.or("tells-pressure", true, faults),
-        recalls: taking.or("recalls", true, faults),
+        cores_overcommit: taking.or("accepts-cores", 1.0, faults),
+        memory_overcommit: taking.or("accepts-memory", 1.0, faults),
+        accepts_when_running: taking.or("yes-when-running", false, faults),
+        max_attempts: rules.most_sends,
+        reports_pressure: taking.or("tells-pressure", true, faults),
+        supports_cancel: taking.or("recalls", true, faults),
     };
     taking.finish(faults);
     let none = Scope::new(&[], place.clone());
     let mut prices = scope.once("prices", faults).map_or(none, Scope::of);
     let home = LocalityCosts {
-        zone: ZoneId(hall),
-        cross_zone_price: prices.or("cross-hall", 0.0, faults),
-        machine_price: prices.or("machine", 0.0, faults),
+        local_zone: ZoneId(hall),
+        cross_zone_cost: prices.or("cross-hall", 0.0, faults),
+        machine_cost: prices.or("machine", 0.0, faults),
     };
     prices.finish(faults);
     let none = Scope::new(&[], place.clone());
--- a/crates/simulation/src/lib.rs
+++ b/crates/simulation/src/lib.rs
@@ -5,7 +5,7 @@
 //! it had asked to keep.
 //! May not touch: real clocks, sockets, threads.
 
-pub use mulleinhub_baselines::Rule;
+pub use mulleinhub_baselines::Ranking;
 
 mod books;
 
@@ -86,7 +86,7 @@
     now: Timestamp,
     counts: Counts,
     /// In place of the module: for comparison only.
-    baseline: Option<Rule>,
+    baseline: Option<Ranking>,
 }
 
 /// The settings text of a day's planner. `listen` and `list` are what the host of the planner has for it.
@@ -174,7 +174,7 @@
     }
 
     /// Lets a plain policy decide in the module's place.
-    pub fn with_baseline(mut self, rule: Option<Rule>) -> Self {
+    pub fn with_baseline(mut self, rule: Option<Ranking>) -> Self {
         self.baseline = rule;
         self
     }
@@ -244,7 +244,7 @@
             };
             let (low, high) = self.syncs;
             let chance = &mut self.chance;
-            if books.turn(self.now, *ahead, disk, *disk_full, || low + (high - low) * chance.part()) {
+            if books.turn(self.now, *ahead, disk, *disk_full, || low + (high - low) * chance.fraction()) {
                 self.carry_out_planner(Seat { planner, books: true });
             }
         }
