--- a/crates/engine/examples/idle.rs
+++ b/crates/engine/examples/idle.rs
@@ -35,22 +35,22 @@
         }],
         machine_kinds: vec![Resources::new(16.0, 32.0)],
         acceptance: AcceptanceRules {
-            cores: 1.0,
-            memory: 1.0,
-            yes_when_running: false,
-            max_sends: 4,
-            tells_pressure: true,
-            recalls: true,
+            cores_overcommit: 1.0,
+            memory_overcommit: 1.0,
+            accepts_when_running: false,
+            max_attempts: 4,
+            reports_pressure: true,
+            supports_cancel: true,
         },
         slow_start: SlowStart {
-            warm_after: Duration::from_secs(12),
-            fall: Duration::from_secs(1),
-            young_limit: 9.0,
-            schedulers: 1,
-            number: 0,
+            warm_up_time: Duration::from_secs(12),
+            budget_window: Duration::from_secs(1),
+            attempt_budget: 9.0,
+            scheduler_count: 1,
+            scheduler_index: 0,
         },
-        discovery: Discovery { asked: false, ask_within: Duration::from_secs(10) },
-        locality: LocalityCosts { zone: ZoneId(0), cross_zone_price: 0.0, machine_price: 0.0 },
+        discovery: Discovery { watch_required: false, max_staleness: Duration::from_secs(10) },
+        locality: LocalityCosts { local_zone: ZoneId(0), cross_zone_cost: 0.0, machine_cost: 0.0 },
         endpoint_list_address: "list".to_owned(),
         reconnect_backoff: Duration::from_nanos(200_000_000),
         lost_after: Duration::from_secs(2),
@@ -58,9 +58,9 @@
         answer_retention: Duration::from_secs(3600),
         startup_grace: Duration::from_nanos(1),
         client_limits: mulleinhub_limits::Settings {
-            most,
-            most_of_a_tenant: most,
-            most_strangers: most,
+            max_connections: most,
+            max_per_tenant: most,
+            max_unidentified: most,
             ..mulleinhub_limits::Settings::default()
         },
         max_open_tasks: 20_000,
@@ -140,7 +140,7 @@
         self.cpu += elapsed;
         self.longest = self.longest.max(elapsed);
         self.iterations += 1;
-        while let Some(connection) = self.engine.connections().next_dirty() {
+        while let Some(connection) = self.engine.connections().next_with_output() {
             let bytes = self.engine.connections().outgoing(connection);
             // The kind of a message is the first item of its frame.
             match bytes.get(5).copied() {
@@ -149,10 +149,10 @@
                 _ => {}
             }
             let len = bytes.len();
-            self.engine.connections().wrote(connection, len);
+            self.engine.connections().mark_written(connection, len);
         }
         while let Some(command) = self.engine.connections().next_command() {
-            if let Command::End { link: connection, .. } = command {
+            if let Command::Close { connection: connection, .. } = command {
                 self.engine.connections().discard(connection);
                 self.closed += 1;
             }
--- a/crates/engine/examples/ordinary_path.rs
+++ b/crates/engine/examples/ordinary_path.rs
@@ -36,22 +36,22 @@
         }],
         machine_kinds: vec![Resources::new(10_000.0, 10_000.0)],
         acceptance: AcceptanceRules {
-            cores: 1.0,
-            memory: 1.0,
-            yes_when_running: false,
-            max_sends: 4,
-            tells_pressure: true,
-            recalls: true,
+            cores_overcommit: 1.0,
+            memory_overcommit: 1.0,
+            accepts_when_running: false,
+            max_attempts: 4,
+            reports_pressure: true,
+            supports_cancel: true,
         },
         slow_start: SlowStart {
-            warm_after: Duration::from_secs(12),
-            fall: Duration::from_secs(1),
-            young_limit: 9.0,
-            schedulers: 1,
-            number: 0,
+            warm_up_time: Duration::from_secs(12),
+            budget_window: Duration::from_secs(1),
+            attempt_budget: 9.0,
+            scheduler_count: 1,
+            scheduler_index: 0,
         },
-        discovery: Discovery { asked: false, ask_within: Duration::from_secs(10) },
-        locality: LocalityCosts { zone: ZoneId(0), cross_zone_price: 0.0, machine_price: 0.0 },
+        discovery: Discovery { watch_required: false, max_staleness: Duration::from_secs(10) },
+        locality: LocalityCosts { local_zone: ZoneId(0), cross_zone_cost: 0.0, machine_cost: 0.0 },
         endpoint_list_address: "list".to_owned(),
         reconnect_backoff: Duration::from_nanos(200_000_000),
         lost_after: Duration::from_secs(2),
@@ -83,7 +83,7 @@
 
     fn iterate(&mut self) {
         self.engine.poll(self.now);
-        while let Some(connection) = self.engine.connections().next_dirty() {
+        while let Some(connection) = self.engine.connections().next_with_output() {
             // Connections are numbered in the order in which they were asked for.
             let machine = self.machines.binary_search(&connection).ok();
             let bytes = self.engine.connections().outgoing(connection);
@@ -95,7 +95,7 @@
                 }
                 at += size;
             }
-            self.engine.connections().wrote(connection, len);
+            self.engine.connections().mark_written(connection, len);
         }
     }
 
--- a/crates/engine/src/dispatcher.rs
+++ b/crates/engine/src/dispatcher.rs
@@ -25,16 +25,16 @@
         let now = state.now;
         let slot = state.machines.get_mut(&machine).expect("the policy sends to listed machines");
         assert!(slot.mode == Mode::Active, "task {}: a send to a machine that drains or is gone", task.0);
-        let shut_until = slot.gate.shut_until(now, state.settings.slow_start.fall);
+        let shut_until = slot.gate.closed_until(now, state.settings.slow_start.budget_window);
         match (slot.connection, shut_until) {
             (ConnectionState::Ready(_), Some(until)) => {
                 slot.waiting.push(attempt);
-                state.timers.set(until, Timer::ReleaseOffers(machine));
+                state.timers.schedule(until, Timer::ReleaseOffers(machine));
             }
             (ConnectionState::Ready(connection), None) => state.write_offer(task, connection),
             // One that has not refused since it was connected last is tried at once.
             (ConnectionState::Down, _) if slot.failures > 0 && slot.retry_at > now => {
-                state.outcomes.push(attempt, Outcome::NoConnection);
+                state.outcomes.push(attempt, Outcome::ConnectionFailed);
             }
             (ConnectionState::Down | ConnectionState::Connecting(_), _) => {
                 slot.waiting.push(attempt);
@@ -65,8 +65,8 @@
         let state = &mut *self.0.borrow_mut();
         let record = &state.tasks[&task];
         assert!(record.attempt.is_none(), "task {}: nacked with a send out", task.0);
-        let is_harmless = match state.settings.use_cases[record.spec.use_case.0].effect {
-            Idempotency::Idempotent | Idempotency::Keyed { domain: FailureDomain::All, .. } => true,
+        let is_harmless = match state.settings.use_cases[record.spec.use_case.0].idempotency {
+            Idempotency::Idempotent | Idempotency::Keyed { domain: FailureDomain::Cluster, .. } => true,
             Idempotency::Keyed { .. } | Idempotency::NonIdempotent => record.may_have_run_since.is_none(),
         };
         assert!(is_harmless, "task {}: nacked though it may have run", task.0);
@@ -93,7 +93,7 @@
     }
 
     fn wake_at(&mut self, token: u64, at: Timestamp) {
-        self.0.borrow_mut().timers.set(at, Timer::Policy(token));
+        self.0.borrow_mut().timers.schedule(at, Timer::Policy(token));
     }
 
     fn watch_endpoints(&mut self) {
@@ -138,6 +138,6 @@
     });
     state.counts.attempts += 1;
     let attempt = AttemptId { task, number };
-    state.timers.set(times_out_at, Timer::AttemptTimeout(attempt));
+    state.timers.schedule(times_out_at, Timer::AttemptTimeout(attempt));
     attempt
 }
--- a/crates/engine/src/engine.rs
+++ b/crates/engine/src/engine.rs
@@ -7,8 +7,8 @@
 use crate::state::{NotReady, SchedulerState, instance_seed};
 use crate::timer::Timer;
 use mulleinhub::PlacementPolicy;
-use mulleinhub_interface::{Duration, Policy, PolicyEvents, Quota, Timestamp};
-use mulleinhub_limits::Why;
+use mulleinhub_interface::{Duration, Policy, PolicyEvents, PolicySettings, Quota, Timestamp};
+use mulleinhub_limits::DisconnectReason;
 use mulleinhub_sans_io::{CloseReason, ConnectionId, Connections, ListenerId, StateMachine};
 use std::cell::RefCell;
 
@@ -29,12 +29,14 @@
     pub fn new(settings: Settings, incarnation: u64, cached_list: Option<Vec<u8>>) -> Self {
         let policy = PlacementPolicy::new(
             instance_seed(&settings, incarnation),
-            settings.use_cases.clone(),
-            settings.machine_kinds.clone(),
-            settings.acceptance,
-            settings.slow_start,
-            settings.discovery,
-            settings.locality,
+            PolicySettings {
+                use_cases: settings.use_cases.clone(),
+                machine_kinds: settings.machine_kinds.clone(),
+                acceptance: settings.acceptance,
+                slow_start: settings.slow_start,
+                discovery: settings.discovery,
+                locality: settings.locality,
+            },
         );
         Self::with_policy(Box::new(policy), settings, incarnation, cached_list)
     }
@@ -95,50 +97,53 @@
         settings.client_limits = new.client_limits.clone();
         settings.max_open_tasks = new.max_open_tasks;
         settings.max_unsent_bytes = new.max_unsent_bytes;
-        state.clients.limits.change(new.client_limits.clone());
-        state.clients.admission.change(new.max_open_tasks);
+        state.clients.limits.update_settings(new.client_limits.clone());
+        state.clients.admission.set_capacity(new.max_open_tasks);
         fixed_directives(&state.settings, new)
     }
 
     /// Clients' connections that were closed or refused by limits, by reason.
     pub fn closed_clients(&self) -> Vec<(&'static str, u64)> {
-        let closed = &self.state.borrow().clients.limits.ended;
-        Why::ALL.into_iter().map(|why| (why.name(), closed.get(&why).copied().unwrap_or(0))).collect()
+        let closed = &self.state.borrow().clients.limits.disconnects;
+        DisconnectReason::ALL
+            .into_iter()
+            .map(|why| (why.metric_key(), closed.get(&why).copied().unwrap_or(0)))
+            .collect()
     }
 
     /// Bytes of all buffers that are held for connections, spare ones included.
     pub fn buffered_bytes(&self) -> usize {
         let state = self.state.borrow();
         let partial: usize = state.peers.values().map(|peer| peer.frames.owned()).sum();
-        state.connections.held() + state.spare_buffers.held() + partial
+        state.connections.buffer_capacity() + state.spare_buffers.held() + partial
     }
 
     /// How long the last iteration took, from whoever has a clock: where iterations take long, fewer
     /// connections are allowed.
     pub fn on_iteration_time(&mut self, now: Timestamp, took: Duration) {
-        self.state.get_mut().clients.limits.turn_took(now, took);
+        self.state.get_mut().clients.limits.record_iteration_time(now, took);
     }
 
     /// How many descriptors this process may have: clients get what machines and the endpoint list leave.
     pub fn set_descriptor_limit(&mut self, limit: usize) {
-        self.state.get_mut().clients.limits.descriptors(limit);
+        self.state.get_mut().clients.limits.set_descriptor_limit(limit);
     }
 
     /// Clients' connections that are open, and deadlines that are held for them.
     pub fn open_clients(&self) -> (usize, usize) {
         let state = self.state.borrow();
-        (state.clients.limits.len(), state.clients.limits.timers())
+        (state.clients.limits.len(), state.clients.limits.timer_entries())
     }
 
     /// Nothing waits to be sent to clients.
     pub fn is_flushed(&self) -> bool {
         let state = self.state.borrow();
-        state.clients.newest.values().all(|connection| state.connections.unwritten(*connection) == 0)
+        state.clients.newest.values().all(|connection| state.connections.pending_bytes(*connection) == 0)
     }
 
     /// Every task that was accepted has its final answer.
     pub fn is_idle(&self) -> bool {
-        self.state.borrow().clients.admission.in_hand() == 0
+        self.state.borrow().clients.admission.in_flight() == 0
     }
 }
 
@@ -161,7 +166,7 @@
 fn handle_events(state: &RefCell<SchedulerState>, events: &mut dyn PolicyEvents) {
     handlers::handle_arrivals(state, events);
     // Timers only now: an answer that waited while this process was paused came before its timeout.
-    let mark = state.borrow().timers.mark();
+    let mark = state.borrow().timers.last_sequence();
     loop {
         let due = state.borrow_mut().next_due_timer(mark);
         match due {
@@ -238,7 +243,7 @@
     }
 
     fn accept_budget(&self, _: ListenerId) -> usize {
-        self.state.borrow().clients.limits.takes()
+        self.state.borrow().clients.limits.accept_budget()
     }
 
     fn on_descriptors_exhausted(&mut self, now: Timestamp) {
--- a/crates/engine/src/handlers/arrivals.rs
+++ b/crates/engine/src/handlers/arrivals.rs
@@ -68,7 +68,7 @@
     connection: ConnectionId,
     frames: &mut Frames,
 ) -> Option<Batch> {
-    let mut budget = shared.borrow().clients.limits.frames_a_turn();
+    let mut budget = shared.borrow().clients.limits.max_frames_per_iteration();
     let mut handled_any = false;
     while budget > 0 {
         let handled = match frames.next_frame() {
@@ -103,15 +103,15 @@
     peer.frames = frames;
     let closed = peer.closed;
     if batch.handled_any {
-        state.clients.limits.frame_heard(connection.0);
+        state.clients.limits.frame_completed(connection.0);
     }
     if batch.is_used_up && is_partial && peer.frames.peek().is_some() {
         state.defer(connection);
         return None;
     }
     if peer.kind.is_inbound() {
-        state.connections.pause(connection, false);
-        state.clients.limits.read(state.now, connection.0, is_partial);
+        state.connections.set_reading_paused(connection, false);
+        state.clients.limits.set_partial_frame(state.now, connection.0, is_partial);
     }
     closed
 }
--- a/crates/engine/src/handlers/attempt.rs
+++ b/crates/engine/src/handlers/attempt.rs
@@ -13,14 +13,14 @@
 /// The outcome that a machine reported, as the policy knows it.
 pub(super) fn policy_outcome(ending: protocol::Ending, reason: Reason) -> Outcome {
     match ending {
-        protocol::Ending::Done | protocol::Ending::Stopped => Outcome::Ok,
+        protocol::Ending::Done | protocol::Ending::Stopped => Outcome::Succeeded,
         protocol::Ending::Errored => Outcome::Failed,
         protocol::Ending::Nacked => Outcome::Rejected(match reason {
             Reason::Untold => Rejection::Unspecified,
             Reason::NoCores => Rejection::InsufficientCores,
             Reason::NoMemory => Rejection::InsufficientMemory,
             Reason::LineFull => Rejection::QueueFull,
-            Reason::NotHere => Rejection::NotHere,
+            Reason::NotHere => Rejection::Ineligible,
             Reason::HandedBack => Rejection::Returned,
         }),
         // The machine's own statement that it dropped the offer before it accepted: proof.
@@ -28,7 +28,7 @@
         protocol::Ending::Lost => Outcome::Lost(FailureCause::Unspecified),
         protocol::Ending::Evicted => Outcome::Lost(FailureCause::Evicted),
         protocol::Ending::PushedOut => Outcome::Lost(FailureCause::Preempted),
-        protocol::Ending::SentAway | protocol::Ending::Moved => Outcome::Lost(FailureCause::SentAway),
+        protocol::Ending::SentAway | protocol::Ending::Moved => Outcome::Lost(FailureCause::Relocated),
     }
 }
 
@@ -60,9 +60,9 @@
     record.may_have_run_since.get_or_insert(attempt.decided_at);
     if let Some(quota) = &mut state.quota {
         match record.ticket {
-            Some(ticket) => quota.runs(state.now, ticket),
+            Some(ticket) => quota.on_running(state.now, ticket),
             None if claiming => {
-                record.ticket = quota.adopted(state.now, &record.client, spec.key, spec.ask);
+                record.ticket = quota.adopt(state.now, &record.client, spec.key, spec.request);
             }
             None => {}
         }
@@ -127,7 +127,7 @@
         return;
     };
     let use_case = &state.settings.use_cases[unresolved.shape.use_case as usize];
-    if !unresolved.wanted || use_case.effect == Idempotency::Idempotent {
+    if !unresolved.wanted || use_case.idempotency == Idempotency::Idempotent {
         state.write(connection, &Message::Stop { task: id.task.0, send: id.number, moves: false });
         return;
     }
@@ -154,7 +154,7 @@
     let Some(record) = state.tasks.get_mut(&id.task) else { return };
     let Some(attempt) = record.attempt.filter(|attempt| attempt.number == id.number) else { return };
     record.attempt = None;
-    let never_ran = matches!(outcome, Outcome::Rejected(_) | Outcome::NoConnection | Outcome::NotSent);
+    let never_ran = matches!(outcome, Outcome::Rejected(_) | Outcome::ConnectionFailed | Outcome::NotSent);
     if !never_ran {
         record.may_have_run_since.get_or_insert(attempt.decided_at);
     }
--- a/crates/engine/src/handlers/client.rs
+++ b/crates/engine/src/handlers/client.rs
@@ -98,7 +98,7 @@
     };
     state.tasks.insert(id, record);
     state.write(to, &Message::Claim { task: id.0, send: 0, key: shape.key, owner: client.name });
-    state.timers.set(times_out_at, Timer::ClaimTimeout(id));
+    state.timers.schedule(times_out_at, Timer::ClaimTimeout(id));
     Ok(())
 }
 
@@ -195,14 +195,14 @@
         return Err(state.settings.reconnect_backoff);
     }
     let ticket = match &mut state.quota {
-        Some(quota) => quota.ask(state.now, name, spec.key, spec.ask, state.random.part())?,
+        Some(quota) => quota.admit(state.now, name, spec.key, spec.request, state.random.fraction())?,
         None => None,
     };
-    let admitted = state.clients.admission.ask(state.now, shape.service);
+    let admitted = state.clients.admission.try_admit(state.now, shape.service);
     if admitted.is_err()
         && let (Some(quota), Some(ticket)) = (&mut state.quota, ticket)
     {
-        quota.never_ran(state.now, ticket);
+        quota.on_never_ran(state.now, ticket);
     }
     admitted.map(|()| ticket)
 }
--- a/crates/engine/src/handlers/disconnect.rs
+++ b/crates/engine/src/handlers/disconnect.rs
@@ -53,24 +53,24 @@
     unsent: Vec<(AttemptId, Unsent)>,
 ) -> Vec<AttemptOutcome> {
     let (now, first_backoff) = (state.now, state.settings.reconnect_backoff);
-    let jitter = state.random.part();
+    let jitter = state.random.fraction();
     let mut unanswered: Vec<(TaskId, Attempt)> = state.attempts_on(id);
     unanswered.retain(|(_, attempt)| !attempt.phase.is_placed() && attempt.connection.is_some());
     let slot = state.machines.get_mut(&id).filter(|slot| slot.connection_id() == Some(connection));
     let Some(slot) = slot else { return Vec::new() };
     let failed = slot.ready().is_none() || reason == CloseReason::Refused;
     let wait = match failed {
-        true => backoff::after_failures(first_backoff, slot.failures, jitter),
+        true => backoff::retry_delay(first_backoff, slot.failures, jitter),
         // At once: the machine's inventory may prove what became of the attempts.
         false if !unanswered.is_empty() => Duration::ZERO,
-        false => backoff::after_end(first_backoff, jitter),
+        false => backoff::reconnect_delay(first_backoff, jitter),
     };
     slot.on_closed(now, wait, failed);
     let (retry_at, waiting) = (slot.retry_at, std::mem::take(&mut slot.waiting));
-    state.timers.set(retry_at, Timer::Reconnect(id));
-    state.timers.set(now + state.settings.lost_after, Timer::MachineLost(id));
-    let not_delivered = |attempt| AttemptOutcome { attempt, outcome: Outcome::NoConnection };
-    let never_left = unsent.into_iter().filter(|(_, how)| *how == Unsent::Whole);
+    state.timers.schedule(retry_at, Timer::Reconnect(id));
+    state.timers.schedule(now + state.settings.lost_after, Timer::MachineLost(id));
+    let not_delivered = |attempt| AttemptOutcome { attempt, outcome: Outcome::ConnectionFailed };
+    let never_left = unsent.into_iter().filter(|(_, how)| *how == Unsent::Entire);
     let mut resolved: Vec<_> = never_left.map(|(attempt, _)| not_delivered(attempt)).collect();
     resolved.extend(waiting.into_iter().map(not_delivered));
     if failed {
--- a/crates/engine/src/handlers/endpoint_list.rs
+++ b/crates/engine/src/handlers/endpoint_list.rs
@@ -21,11 +21,11 @@
         None => {}
     }
     let state = &mut *shared.borrow_mut();
-    if !state.settings.discovery.asked {
+    if !state.settings.discovery.watch_required {
         state.connect_to_endpoint_list();
     }
     let grace_ends = state.now + state.settings.startup_grace;
-    state.timers.set(grace_ends, Timer::StartupGrace);
+    state.timers.schedule(grace_ends, Timer::StartupGrace);
 }
 
 /// The endpoint list service sent nothing that can be used.
@@ -43,14 +43,14 @@
     let list = &mut state.endpoint_list;
     list.connection = None;
     list.reader.clear();
-    if state.settings.discovery.asked {
+    if state.settings.discovery.watch_required {
         drop(borrowed);
         return events.on_watch_failed();
     }
-    let (jitter, failures) = (state.random.part(), list.failures);
+    let (jitter, failures) = (state.random.fraction(), list.failures);
     list.failures += 1;
-    let retry_at = state.now + backoff::after_failures(state.settings.reconnect_backoff, failures, jitter);
-    state.timers.set(retry_at, Timer::ConnectToEndpointList);
+    let retry_at = state.now + backoff::retry_delay(state.settings.reconnect_backoff, failures, jitter);
+    state.timers.schedule(retry_at, Timer::ConnectToEndpointList);
 }
 
 /// Handles one message of the endpoint list service.
@@ -136,7 +136,7 @@
     let slot = state.machines.entry(id).or_insert_with(|| MachineSlot::new(entry, now));
     slot.update(entry, now);
     if let Some(started_at) = slot.started_at {
-        slot.gate.is_cold_until(started_at + state.settings.slow_start.warm_after);
+        slot.gate.extend_slow_start(started_at + state.settings.slow_start.warm_up_time);
     }
     let is_down = slot.connection == ConnectionState::Down;
     if entry.mode != protocol::Mode::Active || !is_down || slot.retry_at > now {
@@ -144,8 +144,8 @@
     }
     if state.clients.are_served {
         // Many schedulers read this at one instant; whoever sends an attempt to the machine does not wait.
-        let at = now + backoff::after_end(state.settings.reconnect_backoff, state.random.part());
-        state.timers.set(at, Timer::Reconnect(id));
+        let at = now + backoff::reconnect_delay(state.settings.reconnect_backoff, state.random.fraction());
+        state.timers.schedule(at, Timer::Reconnect(id));
     } else {
         state.connect_to_machine(id);
     }
@@ -195,12 +195,12 @@
         kind: slot.kind,
         cell: slot.cell,
         zone: slot.zone,
-        mode: match slot.mode {
+        state: match slot.mode {
             protocol::Mode::Active => MachineState::Active,
             protocol::Mode::Leaving => MachineState::Draining,
             protocol::Mode::Left => MachineState::Removed,
         },
-        since: slot.started_at,
-        left: slot.free.map(|(cores, memory)| Resources::new(cores, memory)),
+        started_at: slot.started_at,
+        available: slot.free.map(|(cores, memory)| Resources::new(cores, memory)),
     }
 }
--- a/crates/engine/src/handlers/greeting.rs
+++ b/crates/engine/src/handlers/greeting.rs
@@ -42,15 +42,15 @@
     let name: Arc<str> = known.map_or_else(|| greeting.name.into(), |(name, _)| name.clone());
     (peer.kind, peer.greeted) = (PeerKind::Client(name.clone()), true);
     state.clients.newest.insert(name.clone(), connection);
-    if let Err(why) = state.clients.limits.greeted(connection.0, &name) {
-        state.close_client(connection, why.words());
+    if let Err(why) = state.clients.limits.identify(connection.0, &name) {
+        state.close_client(connection, why.message());
         return Ok(());
     }
     // Calibrates the offset of the client's clock.
     state.queueing_delay(connection, greeting.sent_at);
     let (name, incarnation) = (state.settings.name.clone(), state.incarnation);
     let version = protocol::VERSION.min(version);
-    let silence = Some(state.clients.limits.settings().idle_after.nanos());
+    let silence = Some(state.clients.limits.settings().keepalive_time.nanos());
     state.write(
         connection,
         &Message::Welcome { version, features: 0, name: &name, life: incarnation, silence },
@@ -81,7 +81,7 @@
         PeerKind::EndpointList => {
             state.write(connection, &Message::Bye { words: &reason });
             state.peers.remove(&connection);
-            state.connections.end(connection);
+            state.connections.close(connection);
             on_list_failed(state, EndpointListFault::Unreadable(reason));
             drop(borrowed);
             on_list_disconnected(shared, events);
--- a/crates/engine/src/handlers/inventory.rs
+++ b/crates/engine/src/handlers/inventory.rs
@@ -111,7 +111,7 @@
         };
         let record = new_record(spec, reported.shape, reported.owner, connection, now);
         let ticket =
-            state.quota.as_mut().and_then(|quota| quota.adopted(now, reported.owner, spec.key, spec.ask));
+            state.quota.as_mut().and_then(|quota| quota.adopt(now, reported.owner, spec.key, spec.request));
         let adopted = TaskRecord {
             ticket,
             client_connection: None,
--- a/crates/engine/src/handlers/machine.rs
+++ b/crates/engine/src/handlers/machine.rs
@@ -94,7 +94,7 @@
     if slot.incarnation.replace(incarnation).unwrap_or(slot.listed_incarnation) == incarnation {
         return Ok(());
     }
-    slot.gate.is_cold_until(state.now + state.settings.slow_start.warm_after);
+    slot.gate.extend_slow_start(state.now + state.settings.slow_start.warm_up_time);
     // What waits was decided on for a warm machine. Seen: all of it reached the cold one at once.
     let waiting = std::mem::take(&mut slot.waiting);
     // Whatever the earlier incarnation was sent or held is gone with it. No answer to it can arrive any more:
--- a/crates/engine/src/handlers/status.rs
+++ b/crates/engine/src/handlers/status.rs
@@ -27,8 +27,8 @@
         format!(
             "clients' connections {} of {} allowed, deadlines held {}",
             state.clients.limits.len(),
-            state.clients.limits.allowed(),
-            state.clients.limits.timers()
+            state.clients.limits.current_limit(),
+            state.clients.limits.timer_entries()
         ),
         format!(
             "machines {} of {} ready, list version {}",
--- a/crates/engine/src/handlers/task.rs
+++ b/crates/engine/src/handlers/task.rs
@@ -14,9 +14,9 @@
         key: TaskKey(shape.key),
         use_case: UseCaseId(shape.use_case as usize),
         service: ServiceId(shape.service),
-        ask: Resources::new(shape.cores, shape.memory),
+        request: Resources::new(shape.cores, shape.memory),
         deadline,
-        again: shape.again,
+        is_resubmitted: shape.again,
     }
 }
 
--- a/crates/engine/src/handlers/timers.rs
+++ b/crates/engine/src/handlers/timers.rs
@@ -70,8 +70,8 @@
         }
         _ => {}
     }
-    let next = now + backoff::sign(ping_timeout, state.random.part());
-    state.timers.set(next, Timer::Ping(id, connection));
+    let next = now + backoff::keepalive_check(ping_timeout, state.random.fraction());
+    state.timers.schedule(next, Timer::Ping(id, connection));
 }
 
 /// A machine did not say in time whether it holds a task that was handed over.
--- a/crates/engine/src/machine.rs
+++ b/crates/engine/src/machine.rs
@@ -124,7 +124,7 @@
     /// The connection was refused or has closed. The next attempt waits for `backoff`.
     pub fn on_closed(&mut self, now: Timestamp, backoff: Duration, refused: bool) {
         self.connection = ConnectionState::Down;
-        self.gate.ended(now);
+        self.gate.on_disconnected(now);
         self.reported.clear();
         self.pinged_at = None;
         self.down_since.get_or_insert(now);
--- a/crates/engine/src/peer.rs
+++ b/crates/engine/src/peer.rs
@@ -73,7 +73,7 @@
     pub fn queueing_delay(&mut self, now: Timestamp, pauses: &PauseDetector, sent_at: u64) -> Duration {
         let sent_at = i64::try_from(sent_at).unwrap_or(i64::MAX);
         let offset = (now.nanos() as i64).saturating_sub(sent_at);
-        let unread_for = pauses.lay(now, self.first_unread);
+        let unread_for = pauses.queued_for(now, self.first_unread);
         let paused = if unread_for > PAUSE_THRESHOLD { unread_for.nanos() as i64 } else { 0 };
         // A frame read after a pause may have waited for all of it: until one is read promptly, the worst
         // is assumed.
--- a/crates/engine/src/properties/oracle.rs
+++ b/crates/engine/src/properties/oracle.rs
@@ -60,7 +60,7 @@
     fn check_retry(&self, index: usize, offer: &Offer) {
         let (id, attempts) = (offer.task, &self.tasks[&offer.task].attempts);
         let Some(first) = attempts.values().find(|attempt| !attempt.never_ran) else { return };
-        match settings().use_cases[offer.shape.use_case as usize].effect {
+        match settings().use_cases[offer.shape.use_case as usize].idempotency {
             Idempotency::Idempotent => {}
             Idempotency::NonIdempotent => {
                 panic!("rule 2: task {id} is not idempotent and is retried: {attempts:?}")
@@ -78,13 +78,13 @@
     fn check_slow_start(&mut self, index: usize) {
         let (now, slow_start) = (self.now, settings().slow_start);
         let machine = &mut self.machines[index];
-        let is_cold = machine.up_at.is_some_and(|up| now < up + slow_start.warm_after.nanos());
+        let is_cold = machine.up_at.is_some_and(|up| now < up + slow_start.warm_up_time.nanos());
         if !is_cold || machine.restart_known_at.is_none() {
             return;
         }
         self.coverage.cold_offers += 1;
         machine.cold_offers.push_back(now);
-        machine.cold_offers.retain(|at| now - at < slow_start.fall.nanos());
+        machine.cold_offers.retain(|at| now - at < slow_start.budget_window.nanos());
         let many = machine.cold_offers.len();
         assert!(
             many <= SLOW_START_LIMIT,
@@ -143,7 +143,7 @@
     pub(super) fn check_no_state_left(&self) {
         let state = self.engine.state.borrow();
         assert!(state.tasks.is_empty(), "open tasks: {:?}", state.tasks);
-        assert_eq!(state.clients.admission.in_hand(), 0, "admitted tasks");
+        assert_eq!(state.clients.admission.in_flight(), 0, "admitted tasks");
         let kept = (state.answers.unresolved.len(), state.answers.answers.len(), state.answers.expiries());
         assert_eq!(kept, (0, 0, 0), "kept answers");
         assert_eq!((state.send_tokens.len(), state.outcomes.len()), (0, 0), "send tokens and outcomes");
--- a/crates/engine/src/properties/simulation.rs
+++ b/crates/engine/src/properties/simulation.rs
@@ -137,7 +137,7 @@
 
     pub(super) fn exchange(&mut self) {
         loop {
-            if let Some(connection) = self.engine.connections().next_dirty() {
+            if let Some(connection) = self.engine.connections().next_with_output() {
                 self.read_from(connection);
                 continue;
             }
@@ -164,7 +164,7 @@
                         self.deliver(connection, &welcome);
                     }
                 },
-                Some(Command::End { link: connection, .. }) => {
+                Some(Command::Close { connection: connection, .. }) => {
                     self.engine.connections().discard(connection);
                     self.connecting.retain(|(other, _)| *other != connection);
                     if let Some(index) =
@@ -205,7 +205,7 @@
             return;
         }
         let bytes = self.engine.connections().outgoing(connection).to_vec();
-        self.engine.connections().wrote(connection, bytes.len());
+        self.engine.connections().mark_written(connection, bytes.len());
         let mut frames = self.frames.remove(&connection).unwrap_or_default();
         frames.take(&bytes);
         while let Some(frame) = frames.next_frame().expect("schedulers write frames") {
@@ -264,7 +264,7 @@
             _ if attempt.phase.is_placed() => "placed",
             None if slot.is_some_and(|slot| slot.ready().is_some()) => "behind a slow-start gate",
             None => "waiting for a connection",
-            Some(connection) if state.connections.unwritten(connection) > 0 => "unsent",
+            Some(connection) if state.connections.pending_bytes(connection) > 0 => "unsent",
             Some(_) => "unanswered",
         }
     }
--- a/crates/engine/src/state/answers.rs
+++ b/crates/engine/src/state/answers.rs
@@ -54,9 +54,9 @@
         }
         if let (Some(quota), Some(ticket)) = (&mut self.quota, record.ticket) {
             match answer {
-                FinalAnswer::Ended(ending) => quota.over(self.now, ticket, ending.comes_again()),
-                _ if record.may_have_run_since.is_some() => quota.may_run(self.now, ticket),
-                _ => quota.never_ran(self.now, ticket),
+                FinalAnswer::Ended(ending) => quota.on_ended(self.now, ticket, ending.comes_again()),
+                _ if record.may_have_run_since.is_some() => quota.on_possible_run(self.now, ticket),
+                _ => quota.on_never_ran(self.now, ticket),
             }
         }
         let _task = tracing::debug_span!("task", id = id.0, client = record.client).entered();
@@ -71,7 +71,7 @@
 
     /// The final answer to a task that was accepted at this time is given: it is owed no longer.
     pub fn settle(&mut self, connection: Option<ConnectionId>, accepted_at: Timestamp, service: u64) {
-        self.clients.admission.done(self.now, service);
+        self.clients.admission.release(self.now, service);
         self.count_open_task(connection, false);
         self.latencies.to_answer.saturating_record((self.now - accepted_at).nanos() / 1000);
     }
@@ -85,7 +85,7 @@
     fn expire_later(&mut self, what: Expiring) {
         let at = self.now + self.settings.answer_retention;
         if self.answers.expiry.is_empty() {
-            self.timers.set(at, Timer::ExpireAnswers);
+            self.timers.schedule(at, Timer::ExpireAnswers);
         }
         self.answers.expiry.push_back((at, what));
     }
@@ -94,7 +94,7 @@
     pub fn expire_answers(&mut self) {
         while let Some((at, what)) = self.answers.expiry.front().copied() {
             if at > self.now {
-                self.timers.set(at, Timer::ExpireAnswers);
+                self.timers.schedule(at, Timer::ExpireAnswers);
                 return;
             }
             self.answers.expiry.pop_front();
--- a/crates/engine/src/state/clients.rs
+++ b/crates/engine/src/state/clients.rs
@@ -4,7 +4,7 @@
 use crate::peer::PeerKind;
 use crate::settings::Settings;
 use mulleinhub_interface::{Duration, Timestamp};
-use mulleinhub_limits::{Act, Admission, Limits, Why};
+use mulleinhub_limits::{Action, AdmissionControl, ConnectionLimits, DisconnectReason};
 use mulleinhub_protocol::Message;
 use mulleinhub_sans_io::ConnectionId;
 use std::collections::BTreeMap;
@@ -20,9 +20,9 @@
     /// The newest connection of each client, by its name.
     pub newest: BTreeMap<Arc<str>, ConnectionId>,
     /// The limits on clients' connections, and the order in which clients are handled.
-    pub limits: Limits,
+    pub limits: ConnectionLimits,
     /// Bounds the open tasks without a final answer, by service.
-    pub admission: Admission,
+    pub admission: AdmissionControl,
     /// Clients are served: the machines have reported their tasks, or were waited for long enough.
     pub are_served: bool,
 }
@@ -31,8 +31,8 @@
     pub(super) fn new(settings: &Settings) -> Self {
         Self {
             newest: BTreeMap::new(),
-            limits: Limits::new(settings.client_limits.clone()),
-            admission: Admission::new(settings.max_open_tasks),
+            limits: ConnectionLimits::new(settings.client_limits.clone()),
+            admission: AdmissionControl::new(settings.max_open_tasks),
             are_served: false,
         }
     }
@@ -44,10 +44,10 @@
     pub fn on_client_connected(&mut self, now: Timestamp, connection: ConnectionId) {
         self.now = self.now.max(now);
         self.add_peer(connection, PeerKind::Unidentified);
-        match self.clients.limits.opened(self.now, connection.0) {
+        match self.clients.limits.accept(self.now, connection.0) {
             Ok(None) => {}
-            Ok(Some(idle)) => self.close_client(ConnectionId(idle), Why::MadeRoom.words()),
-            Err(why) => self.close_client(connection, why.words()),
+            Ok(Some(idle)) => self.close_client(ConnectionId(idle), DisconnectReason::Evicted.message()),
+            Err(why) => self.close_client(connection, why.message()),
         }
     }
 
@@ -57,13 +57,13 @@
         self.write(connection, &Message::Bye { words: reason });
         self.forget_client(connection);
         self.peers.remove(&connection);
-        self.connections.end(connection);
+        self.connections.close(connection);
     }
 
     /// A client's connection is over. Its tasks stay open, and their answers wait for the client to come
     /// back. They still name the connection, whose number is never used again: `notify_client` checks.
     pub fn forget_client(&mut self, connection: ConnectionId) {
-        self.clients.limits.forget(connection.0);
+        self.clients.limits.remove(connection.0);
         if let Some(PeerKind::Client(name)) = self.peers.get(&connection).map(|peer| &peer.kind)
             && self.clients.newest.get(name) == Some(&connection)
         {
@@ -76,16 +76,16 @@
         let Some(connection) = connection else { return };
         let Some(peer) = self.peers.get_mut(&connection) else { return };
         peer.open_tasks = if more { peer.open_tasks + 1 } else { peer.open_tasks.saturating_sub(1) };
-        self.clients.limits.in_hand(connection.0, peer.open_tasks);
+        self.clients.limits.set_tasks_in_flight(connection.0, peer.open_tasks);
     }
 
     /// Acts on the deadlines of clients' connections that have passed, a bounded number of them.
     pub fn enforce_client_deadlines(&mut self) {
         let mut budget = DEADLINES_PER_ITERATION;
-        while let Some((id, act)) = self.clients.limits.due(self.now, &mut budget) {
+        while let Some((id, act)) = self.clients.limits.next_due(self.now, &mut budget) {
             match act {
-                Act::AskForSign => self.write(ConnectionId(id), &Message::Ping { nonce: id }),
-                Act::End(why) => self.close_client(ConnectionId(id), why.words()),
+                Action::Ping => self.write(ConnectionId(id), &Message::Ping { nonce: id }),
+                Action::Disconnect(why) => self.close_client(ConnectionId(id), why.message()),
             }
         }
     }
@@ -93,8 +93,8 @@
     /// The process is out of descriptors: idle clients are closed, with a reason.
     pub fn on_descriptors_exhausted(&mut self, now: Timestamp) {
         self.now = self.now.max(now);
-        for id in self.clients.limits.pinched(self.now) {
-            self.close_client(ConnectionId(id), Why::MadeRoom.words());
+        for id in self.clients.limits.on_descriptors_exhausted(self.now) {
+            self.close_client(ConnectionId(id), DisconnectReason::Evicted.message());
         }
     }
 
@@ -112,7 +112,7 @@
         if !std::mem::replace(&mut self.clients.are_served, true)
             && let Some(quota) = &mut self.quota
         {
-            quota.all_told(self.now);
+            quota.on_recovery_complete(self.now);
         }
     }
 }
--- a/crates/engine/src/state/connections.rs
+++ b/crates/engine/src/state/connections.rs
@@ -19,7 +19,7 @@
 
 impl SchedulerState {
     pub(super) fn add_peer(&mut self, connection: ConnectionId, kind: PeerKind) {
-        let first_unread = (self.now, self.pauses.turns());
+        let first_unread = (self.now, self.pauses.iterations());
         self.peers.insert(connection, Box::new(Peer::new(kind, first_unread)));
     }
 
@@ -48,11 +48,11 @@
         let Some(peer) = self.peers.get_mut(&connection) else { return };
         peer.frames.take_with(bytes, &mut self.spare_buffers);
         if !peer.queued {
-            peer.first_unread = (now, self.pauses.turns());
+            peer.first_unread = (now, self.pauses.iterations());
         }
         // Who sends more than is handled in an iteration waits until that was handled.
-        if peer.kind.is_inbound() && self.clients.limits.slows(peer.frames.kept()) {
-            self.connections.pause(connection, true);
+        if peer.kind.is_inbound() && self.clients.limits.should_pause_reading(peer.frames.kept()) {
+            self.connections.set_reading_paused(connection, true);
         }
         match peer.kind {
             PeerKind::Machine(id) => {
@@ -61,7 +61,9 @@
                 }
             }
             // Noted at once, so that no deadline passes over bytes that are here.
-            PeerKind::Unidentified | PeerKind::Client(_) => self.clients.limits.heard(now, connection.0),
+            PeerKind::Unidentified | PeerKind::Client(_) => {
+                self.clients.limits.record_activity(now, connection.0)
+            }
             PeerKind::EndpointList => {}
         }
         self.enqueue(connection);
@@ -83,14 +85,14 @@
         let is_ready = match peer.kind {
             PeerKind::Machine(_) | PeerKind::EndpointList => true,
             PeerKind::Client(_) if self.clients.are_served => {
-                self.clients.limits.speaks(self.now, connection.0, peer.open_tasks > 0)
+                self.clients.limits.admit_input(self.now, connection.0, peer.open_tasks > 0)
             }
             // A client that comes back with open tasks says so in its greeting.
             PeerKind::Unidentified | PeerKind::Client(_) => {
                 let greeting = peer.frames.peek().and_then(|frame| protocol::decode(frame).ok());
                 let returns = matches!(greeting, Some(Message::Hello { features, .. })
                     if features & protocol::HAS_TASKS != 0);
-                self.clients.limits.stands_in_line(connection.0, returns);
+                self.clients.limits.enqueue_input(connection.0, returns);
                 false
             }
         };
@@ -112,7 +114,7 @@
         let connection = match self.read_queue.ready.pop_front() {
             Some(connection) => connection,
             // Those that were silent before are handled after all others, a bounded number in one iteration.
-            None if self.clients.are_served => ConnectionId(self.clients.limits.next_heard()?),
+            None if self.clients.are_served => ConnectionId(self.clients.limits.next_queued()?),
             None => return None,
         };
         if let Some(peer) = self.peers.get_mut(&connection) {
@@ -172,7 +174,7 @@
             return;
         }
         self.connections.send(connection, &self.encode_buffer, token);
-        if self.connections.unwritten(connection) > self.settings.max_unsent_bytes {
+        if self.connections.pending_bytes(connection) > self.settings.max_unsent_bytes {
             self.to_abort.push((connection, "the peer doesn't read, and too many bytes wait for it"));
         }
     }
--- a/crates/engine/src/state/mod.rs
+++ b/crates/engine/src/state/mod.rs
@@ -36,7 +36,7 @@
 use mulleinhub::{Pcg, mix};
 use mulleinhub_interface::{MachineId, Quota, TaskId, Timestamp};
 use mulleinhub_protocol::Spare;
-use mulleinhub_resilience::{HEARTBEAT, PauseDetector};
+use mulleinhub_resilience::{MAX_POLL_INTERVAL, PauseDetector};
 use mulleinhub_sans_io::{ConnectionId, Connections, Timers};
 use std::collections::BTreeMap;
 
@@ -164,34 +164,34 @@
     /// Whether an iteration would have anything to do.
     pub fn has_work(&self) -> bool {
         !self.read_queue.ready.is_empty()
-            || self.clients.limits.any_in_line()
+            || self.clients.limits.has_queued()
             || !self.read_queue.deferred.is_empty()
-            || self.clients.limits.wake().is_some_and(|at| at <= self.now)
+            || self.clients.limits.next_wakeup().is_some_and(|at| at <= self.now)
             || !self.outcomes.is_empty()
-            || self.timers.next().is_some_and(|at| at <= self.now)
+            || self.timers.next_wakeup().is_some_and(|at| at <= self.now)
     }
 
     /// The next timer that is due and was set before this mark of the timers.
     pub fn next_due_timer(&mut self, mark: u64) -> Option<Timer> {
-        self.timers.due_of(self.now, mark)
+        self.timers.pop_due_up_to(self.now, mark)
     }
 
     /// When the next iteration is due at the latest.
     pub fn next_wakeup(&self) -> Option<Timestamp> {
-        let clients_wait = self.clients.limits.any_in_line() || !self.read_queue.deferred.is_empty();
+        let clients_wait = self.clients.limits.has_queued() || !self.read_queue.deferred.is_empty();
         if !self.outcomes.is_empty() || (self.clients.are_served && clients_wait) {
             return Some(self.now);
         }
         // Where clients are served there is an iteration at least so often: its lateness reveals a pause of
         // this process. Seen: without it, the first client's submission waited in a pause that went
         // unnoticed.
-        let heartbeat = self.clients.are_served.then_some(self.now + HEARTBEAT);
-        [self.timers.next(), self.clients.limits.wake(), heartbeat].into_iter().flatten().min()
+        let heartbeat = self.clients.are_served.then_some(self.now + MAX_POLL_INTERVAL);
+        [self.timers.next_wakeup(), self.clients.limits.next_wakeup(), heartbeat].into_iter().flatten().min()
     }
 
     fn detect_pause(&mut self, now: Timestamp) {
-        if self.pauses.begin(now) {
-            self.clients.limits.woke(now);
+        if self.pauses.begin_iteration(now) {
+            self.clients.limits.on_process_resumed(now);
         }
     }
 
@@ -199,10 +199,10 @@
     pub fn begin_iteration(&mut self, now: Timestamp) {
         self.now = now;
         self.detect_pause(now);
-        self.clients.limits.begin_turn(self.machines.len());
+        self.clients.limits.begin_iteration(self.machines.len());
         for connection in std::mem::take(&mut self.read_queue.deferred) {
             let returns = self.peers.get(&connection).is_some_and(|peer| peer.open_tasks > 0);
-            self.clients.limits.stands_in_line(connection.0, returns);
+            self.clients.limits.enqueue_input(connection.0, returns);
         }
     }
 
@@ -211,12 +211,12 @@
     pub fn begin_early_iteration(&mut self, now: Timestamp) -> bool {
         self.now = now;
         self.detect_pause(now);
-        self.pauses.is_early(now);
+        self.pauses.mark_early(now);
         !self.read_queue.ready.is_empty() || !self.outcomes.is_empty()
     }
 
     /// The iteration is over. The promised wake-up is what a later pause is measured by.
     pub fn end_iteration(&mut self) {
-        self.pauses.end(self.next_wakeup());
+        self.pauses.end_iteration(self.next_wakeup());
     }
 }
--- a/crates/engine/src/state/offers.rs
+++ b/crates/engine/src/state/offers.rs
@@ -20,11 +20,11 @@
         let connection = self.connections.open(&slot.address.clone());
         self.add_peer(connection, PeerKind::Machine(id));
         let (now, ping_timeout) = (self.now, self.settings.ping_timeout);
-        let first_ping = backoff::first_sign(ping_timeout, self.random.part());
+        let first_ping = backoff::first_keepalive_check(ping_timeout, self.random.fraction());
         let slot = self.machines.get_mut(&id).expect("checked above");
         slot.connection = ConnectionState::Connecting(connection);
         (slot.last_received_at, slot.pinged_at) = (now, Some(now));
-        self.timers.set(now + first_ping, Timer::Ping(id, connection));
+        self.timers.schedule(now + first_ping, Timer::Ping(id, connection));
     }
 
     /// Connects to the endpoint list service, unless it is connected.
@@ -47,7 +47,7 @@
         let (machine, attempt_id, shape) = (attempt.machine, attempt.id(id), record.shape);
         let client = std::mem::take(&mut record.client);
         if let Some(slot) = self.machines.get_mut(&machine) {
-            slot.gate.wrote(now, id.0, attempt_id.number);
+            slot.gate.on_sent(now, id.0, attempt_id.number);
         }
         self.send_tokens.assign(token, attempt_id);
         let offer = Message::Offer {
@@ -64,10 +64,10 @@
     /// Writes the offers that wait for this machine's connection, as far as its slow-start gate lets them.
     /// What waited too long for a machine that warms up goes back to the policy, whose budget has dropped it.
     pub fn release_offers(&mut self, machine: MachineId) {
-        let (now, fall) = (self.now, self.settings.slow_start.fall);
+        let (now, fall) = (self.now, self.settings.slow_start.budget_window);
         let Some(slot) = self.machines.get_mut(&machine) else { return };
         let Some(connection) = slot.ready().filter(|_| !slot.waiting.is_empty()) else { return };
-        let shut_until = slot.gate.shut_until(now, fall);
+        let shut_until = slot.gate.closed_until(now, fall);
         let mut still_waiting = Vec::new();
         for waiting in std::mem::take(&mut slot.waiting) {
             let id = waiting.task;
@@ -88,16 +88,16 @@
             }
         }
         if let Some(until) = shut_until.filter(|_| !still_waiting.is_empty()) {
-            self.timers.set(until, Timer::ReleaseOffers(machine));
+            self.timers.schedule(until, Timer::ReleaseOffers(machine));
         }
         self.machines.get_mut(&machine).expect("was there above").waiting = still_waiting;
     }
 
     /// A machine answered an offer: its slow-start gate may let another one through.
     pub fn on_offer_answered(&mut self, machine: MachineId, attempt: AttemptId) {
-        let (now, fall) = (self.now, self.settings.slow_start.fall);
+        let (now, fall) = (self.now, self.settings.slow_start.budget_window);
         if let Some(slot) = self.machines.get_mut(&machine) {
-            slot.gate.answered(now, fall, attempt.task.0, attempt.number);
+            slot.gate.on_answered(now, fall, attempt.task.0, attempt.number);
         }
         self.release_offers(machine);
     }
@@ -105,7 +105,7 @@
     /// Whether machines no longer recognise repeats of this task by its key. Seen: an offer that had waited
     /// for its connection until then.
     fn is_past_idempotency_window(&self, record: &TaskRecord) -> bool {
-        match self.settings.use_cases[record.spec.use_case.0].effect {
+        match self.settings.use_cases[record.spec.use_case.0].idempotency {
             Idempotency::Keyed { window, .. } => {
                 record.may_have_run_since.is_some_and(|since| self.now - since > window)
             }
--- a/crates/engine/src/state/outcomes.rs
+++ b/crates/engine/src/state/outcomes.rs
@@ -45,7 +45,7 @@
     /// on give way, lost connections do not.
     pub fn override_by_acceptance(&mut self, attempt: AttemptId) {
         self.queue.retain(|known| {
-            known.attempt != attempt || matches!(known.outcome, Outcome::Lost(_) | Outcome::NoConnection)
+            known.attempt != attempt || matches!(known.outcome, Outcome::Lost(_) | Outcome::ConnectionFailed)
         });
     }
 
--- a/crates/engine/tests/scenarios/backpressure.rs
+++ b/crates/engine/tests/scenarios/backpressure.rs
@@ -13,7 +13,7 @@
     harness.submit(client, 1, NON_IDEMPOTENT);
     let first = connections
         .into_iter()
-        .position(|connection| harness.engine.connections().unwritten(connection) > 0)
+        .position(|connection| harness.engine.connections().pending_bytes(connection) > 0)
         .expect("is offered");
     harness.blocked.retain(|connection| *connection == connections[first]);
     let output = harness.advance(6_050);
@@ -50,12 +50,12 @@
     harness.submit(client, 1, NON_IDEMPOTENT);
     let first = connections
         .into_iter()
-        .position(|connection| harness.engine.connections().unwritten(connection) > 0)
+        .position(|connection| harness.engine.connections().pending_bytes(connection) > 0)
         .expect("is offered");
     harness.blocked.retain(|connection| *connection == connections[first]);
     let output = harness.send_list(&[(first as u64 + 1, Mode::Leaving)]);
     assert!(offered(&output, 1).is_some_and(|(machine, _)| machine != first as u64 + 1), "{output:?}");
-    assert_eq!(harness.engine.connections().unwritten(connections[first]), 0);
+    assert_eq!(harness.engine.connections().pending_bytes(connections[first]), 0);
 }
 
 #[test]
--- a/crates/engine/tests/scenarios/client_limits.rs
+++ b/crates/engine/tests/scenarios/client_limits.rs
@@ -7,7 +7,7 @@
 
 #[test]
 fn longest_idle_client_is_evicted_at_connection_limit() {
-    let mut harness = limited(|clients| clients.most = 2);
+    let mut harness = limited(|clients| clients.max_connections = 2);
     let busy = harness.connect_client("busy");
     harness.submit(busy, 1, IDEMPOTENT);
     harness.advance(10);
@@ -21,7 +21,7 @@
 
 #[test]
 fn task_on_evicted_connection_is_never_accepted() {
-    let mut harness = limited(|clients| clients.most = 1);
+    let mut harness = limited(|clients| clients.max_connections = 1);
     let idle = harness.connect_client("idle");
     harness.deliver(idle, &[submission(1, IDEMPOTENT, harness.now)]);
     harness.open_client("new");
@@ -57,7 +57,7 @@
 
 #[test]
 fn burst_of_woken_clients_is_bounded_per_iteration() {
-    let mut harness = limited(|clients| clients.woken_a_turn = 10);
+    let mut harness = limited(|clients| clients.max_queued_per_iteration = 10);
     let steady = harness.connect_client("steady");
     for _ in 0..7 {
         harness.advance(1_000);
@@ -83,7 +83,7 @@
 fn pause_with_many_keepalives_due_closes_no_live_client() {
     const ALL: usize = 100_000;
     let mut harness = limited(|clients| {
-        (clients.sign_within, clients.most_strangers) = (Duration::from_secs(1), ALL);
+        (clients.keepalive_timeout, clients.max_unidentified) = (Duration::from_secs(1), ALL);
     });
     let all: Vec<_> = (0..ALL).map(|n| harness.open_client(&format!("quiet{n}"))).collect();
     for (n, connection) in all.iter().enumerate() {
@@ -108,7 +108,7 @@
 
 #[test]
 fn clients_with_open_tasks_are_served_first_after_restart() {
-    let mut harness = limited(|clients| clients.woken_a_turn = 4);
+    let mut harness = limited(|clients| clients.max_queued_per_iteration = 4);
     for n in 0..40 {
         let name = format!("back{n}");
         let connection = harness.open_client(&name);
@@ -197,7 +197,7 @@
 
 #[test]
 fn early_iteration_answers_but_times_nobody_out() {
-    let mut harness = limited(|clients| clients.greet_within = Duration::from_secs(1));
+    let mut harness = limited(|clients| clients.greeting_timeout = Duration::from_secs(1));
     let steady = harness.connect_client("steady");
     for _ in 0..7 {
         harness.run_for(1_000);
--- a/crates/engine/tests/scenarios/harness.rs
+++ b/crates/engine/tests/scenarios/harness.rs
@@ -12,15 +12,15 @@
 
 pub fn settings() -> Settings {
     let case = |effect| UseCase {
-        soft_limit: Duration::from_secs(1),
+        latency_objective: Duration::from_secs(1),
         client_timeout: Duration::from_secs(8),
-        effect,
-        earnings: 1.0,
+        idempotency: effect,
+        value_per_second: 1.0,
         priority: 1,
-        kind: None,
+        machine_kind: None,
         spread: None,
-        full_up_to: 1.0,
-        fade: 1.0,
+        saturation_threshold: 1.0,
+        degradation_range: 1.0,
     };
     let window = Duration::from_secs(5);
     Settings {
@@ -33,22 +33,22 @@
         ],
         machine_kinds: vec![Resources::new(16.0, 32.0)],
         acceptance: AcceptanceRules {
-            cores: 2.0,
-            memory: 1.5,
-            yes_when_running: false,
-            max_sends: 4,
-            tells_pressure: true,
-            recalls: true,
+            cores_overcommit: 2.0,
+            memory_overcommit: 1.5,
+            accepts_when_running: false,
+            max_attempts: 4,
+            reports_pressure: true,
+            supports_cancel: true,
         },
         slow_start: SlowStart {
-            warm_after: Duration::from_secs(12),
-            fall: Duration::from_secs(1),
-            young_limit: 9.0,
-            schedulers: 1,
-            number: 0,
+            warm_up_time: Duration::from_secs(12),
+            budget_window: Duration::from_secs(1),
+            attempt_budget: 9.0,
+            scheduler_count: 1,
+            scheduler_index: 0,
         },
-        discovery: Discovery { asked: false, ask_within: Duration::from_secs(10) },
-        locality: LocalityCosts { zone: ZoneId(0), cross_zone_price: 0.0, machine_price: 0.0 },
+        discovery: Discovery { watch_required: false, max_staleness: Duration::from_secs(10) },
+        locality: LocalityCosts { local_zone: ZoneId(0), cross_zone_cost: 0.0, machine_cost: 0.0 },
         endpoint_list_address: "list".to_owned(),
         reconnect_backoff: Duration::from_nanos(200_000_000),
         lost_after: Duration::from_secs(2),
@@ -137,7 +137,7 @@
         let mut output = Vec::new();
         loop {
             let connections = self.engine.connections();
-            if let Some(connection) = connections.next_dirty() {
+            if let Some(connection) = connections.next_with_output() {
                 if !self.blocked.contains(&connection) {
                     self.read(connection, usize::MAX, &mut output);
                 }
@@ -149,7 +149,7 @@
                     self.names.insert(connection, address.clone());
                     self.opened.push((connection, address));
                 }
-                Some(Command::End { link: connection, .. }) => {
+                Some(Command::Close { connection: connection, .. }) => {
                     self.read(connection, usize::MAX, &mut output);
                     self.engine.connections().discard(connection);
                     self.closed.push(connection);
@@ -162,7 +162,7 @@
     pub fn read(&mut self, connection: ConnectionId, max_bytes: usize, output: &mut Vec<Written>) {
         let unsent = self.engine.connections().outgoing(connection);
         let bytes = unsent[..unsent.len().min(max_bytes)].to_vec();
-        self.engine.connections().wrote(connection, bytes.len());
+        self.engine.connections().mark_written(connection, bytes.len());
         let frames = self.frames.entry(connection).or_default();
         frames.take(&bytes);
         let who = self.names.get(&connection).cloned().unwrap_or_default();
@@ -371,7 +371,7 @@
 /// A scheduler whose machines accept a task once it runs: no attempt is cancelled before its timeout.
 pub fn without_cancellation(machines: u64) -> Harness {
     let mut settings = settings();
-    settings.acceptance.yes_when_running = true;
+    settings.acceptance.accepts_when_running = true;
     Harness::ready(settings, machines)
 }
 
--- a/crates/engine/tests/scenarios/lost_connections.rs
+++ b/crates/engine/tests/scenarios/lost_connections.rs
@@ -26,7 +26,7 @@
     harness.submit(client, 1, NON_IDEMPOTENT);
     let stalled = connections
         .into_iter()
-        .find(|connection| harness.engine.connections().unwritten(*connection) > 0)
+        .find(|connection| harness.engine.connections().pending_bytes(*connection) > 0)
         .expect("is offered");
     harness.blocked.clear();
     let output = harness.close(stalled, CloseReason::Broken);
@@ -42,7 +42,7 @@
     harness.submit(client, 1, NON_IDEMPOTENT);
     let stalled = connections
         .into_iter()
-        .find(|connection| harness.engine.connections().unwritten(*connection) > 0)
+        .find(|connection| harness.engine.connections().pending_bytes(*connection) > 0)
         .expect("is offered");
     harness.read(stalled, 5, &mut Vec::new());
     harness.blocked.clear();
--- a/crates/engine/tests/scenarios/partial_messages.rs
+++ b/crates/engine/tests/scenarios/partial_messages.rs
@@ -26,7 +26,7 @@
 
 #[test]
 fn misaligned_pieces_are_no_slow_message() {
-    let mut harness = limited(|clients| clients.frame_within = Duration::from_secs(2));
+    let mut harness = limited(|clients| clients.frame_timeout = Duration::from_secs(2));
     let client = harness.connect_client("pieces");
     let one = bytes_of(&[Message::Learn { task: u64::MAX }]);
     let all = one.repeat(40);
@@ -44,7 +44,7 @@
 
 #[test]
 fn backlog_before_partial_message_is_no_slow_message() {
-    let mut harness = limited(|clients| clients.frame_within = Duration::from_secs(2));
+    let mut harness = limited(|clients| clients.frame_timeout = Duration::from_secs(2));
     let client = harness.connect_client("many");
     let one = bytes_of(&[Message::Learn { task: u64::MAX }]);
     let piece = [&one[one.len() / 2..], &one.repeat(100), &one[..one.len() / 2]].concat();
@@ -59,7 +59,7 @@
 #[test]
 fn partial_greetings_keep_their_slots_below_limit() {
     const PLACES: usize = 40;
-    let mut harness = limited(|clients| (clients.most, clients.most_strangers) = (PLACES, 5));
+    let mut harness = limited(|clients| (clients.max_connections, clients.max_unidentified) = (PLACES, 5));
     let mut waiting = Vec::new();
     for n in 0..PLACES {
         let name = format!("new-{n}");
@@ -80,7 +80,8 @@
 fn unhandled_greetings_keep_their_slots_below_limit() {
     const PLACES: usize = 40;
     let change = |clients: &mut mulleinhub_limits::Settings| {
-        (clients.most, clients.most_strangers, clients.woken_a_turn) = (PLACES, 5, 2);
+        (clients.max_connections, clients.max_unidentified, clients.max_queued_per_iteration) =
+            (PLACES, 5, 2);
     };
     let mut harness = limited(change);
     for n in 0..PLACES {
@@ -94,7 +95,7 @@
 
 #[test]
 fn partial_greetings_yield_to_greeted_clients_at_limit() {
-    let mut harness = limited(|clients| (clients.most, clients.most_strangers) = (20, 5));
+    let mut harness = limited(|clients| (clients.max_connections, clients.max_unidentified) = (20, 5));
     let greeted: Vec<ConnectionId> =
         (0..10).map(|n| harness.connect_client(&format!("greeted-{n}"))).collect();
     for n in 0..100 {
--- a/crates/engine/tests/scenarios/quota.rs
+++ b/crates/engine/tests/scenarios/quota.rs
@@ -16,11 +16,11 @@
 }
 
 fn ticket(key: TaskKey) -> Ticket {
-    Ticket { team: 0, key, rate: 1, open: 1, last: 0 }
+    Ticket { team: 0, key, rate: 1, reserved_open: 1, reserved_last: 0 }
 }
 
 impl Quota for QuotaRecorder {
-    fn ask(
+    fn admit(
         &mut self,
         _: Timestamp,
         client: &str,
@@ -35,28 +35,28 @@
         }
     }
 
-    fn never_ran(&mut self, _: Timestamp, ticket: Ticket) {
+    fn on_never_ran(&mut self, _: Timestamp, ticket: Ticket) {
         self.record(format!("never ran {}", ticket.key.0));
     }
 
-    fn may_run(&mut self, _: Timestamp, ticket: Ticket) {
+    fn on_possible_run(&mut self, _: Timestamp, ticket: Ticket) {
         self.record(format!("may run {}", ticket.key.0));
     }
 
-    fn runs(&mut self, _: Timestamp, ticket: Ticket) {
+    fn on_running(&mut self, _: Timestamp, ticket: Ticket) {
         self.record(format!("runs {}", ticket.key.0));
     }
 
-    fn adopted(&mut self, _: Timestamp, _: &str, key: TaskKey, _: Resources) -> Option<Ticket> {
+    fn adopt(&mut self, _: Timestamp, _: &str, key: TaskKey, _: Resources) -> Option<Ticket> {
         self.record(format!("adopted {}", key.0));
         Some(ticket(key))
     }
 
-    fn over(&mut self, _: Timestamp, ticket: Ticket, comes_again: bool) {
+    fn on_ended(&mut self, _: Timestamp, ticket: Ticket, comes_again: bool) {
         self.record(format!("over {}{}", ticket.key.0, if comes_again { ", comes again" } else { "" }));
     }
 
-    fn all_told(&mut self, _: Timestamp) {
+    fn on_recovery_complete(&mut self, _: Timestamp) {
         self.record("all told".into());
     }
 
--- a/crates/engine/tests/scenarios/restarts_and_pauses.rs
+++ b/crates/engine/tests/scenarios/restarts_and_pauses.rs
@@ -164,7 +164,7 @@
 
 #[test]
 fn pause_shortens_deadline_of_queued_submissions() {
-    let mut harness = limited(|clients| clients.woken_a_turn = 2);
+    let mut harness = limited(|clients| clients.max_queued_per_iteration = 2);
     harness.run_for(300);
     let submitted_at = harness.now + Duration::from_nanos(100_000_000);
     harness.now = submitted_at + Duration::from_secs(9);
--- a/crates/engine/tests/scenarios/thundering_herd.rs
+++ b/crates/engine/tests/scenarios/thundering_herd.rs
@@ -15,7 +15,7 @@
     (0..SCHEDULERS).map(move |n| {
         let mut settings = settings();
         settings.name = format!("planner-{n}");
-        settings.discovery.asked = asked;
+        settings.discovery.watch_required = asked;
         Harness::ready(settings, 1)
     })
 }
--- a/crates/event-loop/src/event_loop.rs
+++ b/crates/event-loop/src/event_loop.rs
@@ -203,7 +203,7 @@
         self.pending_signals.is_empty()
             // A listener that pauses for lack of descriptors may have many connections queued.
             && self.listeners.iter().all(|listener| !listener.ready && listener.paused_until.is_none())
-            && self.readable.iter().all(|id| connections.is_paused(*id))
+            && self.readable.iter().all(|id| connections.is_reading_paused(*id))
     }
 
     /// Shuts down: stops listening, and gives the peers of accepted connections up to `timeout` to read all
@@ -251,7 +251,7 @@
             return true;
         }
         let connections = self.state_machine.connections();
-        self.readable.iter().any(|id| !connections.is_paused(*id))
+        self.readable.iter().any(|id| !connections.is_reading_paused(*id))
     }
 
     /// Accepts and reads, and polls again without waiting, until nothing more arrives or the limits are met.
--- a/crates/event-loop/src/event_loop/commands.rs
+++ b/crates/event-loop/src/event_loop/commands.rs
@@ -15,16 +15,16 @@
     /// Writes new outgoing bytes and executes commands, until there are none.
     pub(super) fn execute_commands(&mut self) {
         loop {
-            while let Some(id) = self.state_machine.connections().next_dirty() {
+            while let Some(id) = self.state_machine.connections().next_with_output() {
                 self.write_one(id);
             }
             let Some(command) = self.state_machine.connections().next_command() else { return };
             match command {
                 Command::Open(id, target) => self.connect(id, &target),
-                Command::End { link: id, at_once: true } => {
+                Command::Close { connection: id, immediately: true } => {
                     self.remove_connection(id);
                 }
-                Command::End { link: id, at_once: false } => self.close_once_written(id),
+                Command::Close { connection: id, immediately: false } => self.close_once_written(id),
             }
         }
     }
@@ -49,11 +49,11 @@
                 if self.add_connection(id, Connection::connecting(tcp)) {
                     return;
                 }
-                CloseReason::Untried
+                CloseReason::NotAttempted
             }
             Err(error) if error.kind() == ErrorKind::ConnectionRefused => CloseReason::Refused,
             // Guards against reporting our own lack of descriptors as a refusal by the peer.
-            Err(_) => CloseReason::Untried,
+            Err(_) => CloseReason::NotAttempted,
         };
         let now = self.now();
         self.state_machine.on_closed(now, id, reason);
--- a/crates/event-loop/src/event_loop/read.rs
+++ b/crates/event-loop/src/event_loop/read.rs
@@ -50,7 +50,7 @@
             self.linger(id);
             return false;
         }
-        if self.state_machine.connections().is_paused(id) {
+        if self.state_machine.connections().is_reading_paused(id) {
             return false;
         }
         if !connection.established {
--- a/crates/event-loop/src/event_loop/write.rs
+++ b/crates/event-loop/src/event_loop/write.rs
@@ -26,10 +26,10 @@
             }
             self.system_calls += 1;
             match connection.tcp.write(bytes) {
-                Ok(length) => self.state_machine.connections().wrote(id, length),
+                Ok(length) => self.state_machine.connections().mark_written(id, length),
                 Err(error) if error.kind() == ErrorKind::WouldBlock => return,
                 Err(error) if error.kind() == ErrorKind::Interrupted => {}
-                Err(_) if connection.closing || self.state_machine.connections().is_paused(id) => {
+                Err(_) if connection.closing || self.state_machine.connections().is_reading_paused(id) => {
                     return self.close_connection(id, CloseReason::Broken);
                 }
                 Err(_) => {
--- a/crates/event-loop/tests/close_and_signals.rs
+++ b/crates/event-loop/tests/close_and_signals.rs
@@ -33,13 +33,13 @@
             self.answered.push(id);
             self.connections.send(id, ANSWER, None);
             if self.closes_after_answer {
-                self.connections.end(id);
+                self.connections.close(id);
             }
         }
     }
     fn on_closed(&mut self, _: Timestamp, id: ConnectionId, reason: CloseReason) {
         self.close_reasons.push(reason);
-        self.connections.forget(id);
+        self.connections.remove(id);
     }
     fn poll(&mut self, _: Timestamp) {
         if let Some(mut peer) = self.peer_to_reset.take() {
--- a/crates/event-loop/tests/descriptor_exhaustion.rs
+++ b/crates/event-loop/tests/descriptor_exhaustion.rs
@@ -26,7 +26,7 @@
     fn on_data(&mut self, _: Timestamp, _: ConnectionId, _: &[u8]) {}
     fn on_closed(&mut self, _: Timestamp, id: ConnectionId, reason: CloseReason) {
         self.close_reasons.push(reason);
-        self.connections.forget(id);
+        self.connections.remove(id);
         self.open.retain(|open| *open != id);
     }
     fn poll(&mut self, _: Timestamp) {}
@@ -40,7 +40,7 @@
         self.exhaustions += 1;
         for id in self.open.drain(..2) {
             self.connections.send(id, b"bye", None);
-            self.connections.end(id);
+            self.connections.close(id);
         }
     }
 }
@@ -85,7 +85,7 @@
     event_loop.state_machine.close_reasons.clear();
     event_loop.state_machine.connections.open(&address.to_string());
     run(&mut event_loop, 1, SHORT);
-    assert_eq!(event_loop.state_machine.close_reasons, [CloseReason::Untried]);
+    assert_eq!(event_loop.state_machine.close_reasons, [CloseReason::NotAttempted]);
     drop((files, clients));
     run(&mut event_loop, 20, SHORT);
     event_loop.state_machine.close_reasons.clear();
--- a/crates/ledger/src/exchange/heartbeat.rs
+++ b/crates/ledger/src/exchange/heartbeat.rs
@@ -86,8 +86,8 @@
 
 /// The newest heartbeats that are known here: of the other members, then our own.
 pub(super) fn newest(keeper: &Ledger, own_count: u64) -> impl Iterator<Item = MemberHeartbeat> {
-    let others = keeper.roll.members().map(|name| {
-        let (life, count) = keeper.roll.heartbeat_of(name);
+    let others = keeper.membership.members().map(|name| {
+        let (life, count) = keeper.membership.heartbeat_of(name);
         MemberHeartbeat { name: name.clone(), heartbeat: Heartbeat { life, count } }
     });
     let own = Heartbeat { life: keeper.incarnation(), count: own_count };
@@ -100,7 +100,7 @@
         for told in heartbeats {
             let name = Name::from(told.name);
             let heartbeat = Heartbeat { life: told.life, count: told.count };
-            self.keeper.roll.on_heartbeat(self.now, &name, (heartbeat.life, heartbeat.count));
+            self.keeper.membership.on_heartbeat(self.now, &name, (heartbeat.life, heartbeat.count));
             if let Some(peer) = self.peers.get_mut(&link) {
                 peer.heartbeats.learn(name, heartbeat);
             }
--- a/crates/ledger/src/exchange/mod.rs
+++ b/crates/ledger/src/exchange/mod.rs
@@ -198,7 +198,7 @@
 
     /// The last of our own rows among changes, of each of our logs.
     pub fn last_own(&self, changes: &LogChanges) -> LogPositions {
-        let own = self.keeper.library().own_id();
+        let own = self.keeper.fleet_logs().own_id();
         let last = |changes: &[LogChange]| {
             let mine = changes.iter().filter_map(|change| match change {
                 LogChange::Append { id, number, .. } if id == own => Some(*number),
@@ -211,13 +211,13 @@
 
     /// Our own rows up to these are on disk.
     pub fn is_durable(&mut self, reached: LogPositions) {
-        self.keeper.is_durable(reached);
+        self.keeper.on_durable(reached);
         self.turn_again = true;
     }
 
     /// Orders of the operators, from their file.
     pub fn order(&mut self, orders: &[Directive]) {
-        orders.iter().for_each(|order| self.keeper.order(order));
+        orders.iter().for_each(|order| self.keeper.apply_directive(order));
         self.turn_again = true;
     }
 
--- a/crates/ledger/src/exchange/neighbors.rs
+++ b/crates/ledger/src/exchange/neighbors.rs
@@ -46,8 +46,8 @@
         if self.now < self.call_dead_at || self.keeper.phase() == Phase::CatchingUp {
             return;
         }
-        self.call_dead_at = self.now + CALL_DEAD_INTERVAL * (1.0 - REDRAW_JITTER * self.chance.part());
-        let presence = |name: &&Name| self.keeper.roll.member_state(self.now, name);
+        self.call_dead_at = self.now + CALL_DEAD_INTERVAL * (1.0 - REDRAW_JITTER * self.chance.fraction());
+        let presence = |name: &&Name| self.keeper.membership.member_state(self.now, name);
         let silent = self.addresses.keys().filter(|name| presence(name) != MemberState::Alive).count();
         // One that is late is not called for that, unless many are at once: a cut.
         let is_cut = silent as f64 >= self.addresses.len() as f64 * SILENT_IN_A_CUT;
@@ -100,7 +100,7 @@
         };
         let others: Vec<&Name> = self.addresses.keys().filter(is_new).collect();
         let present = |is_wanted: fn(MemberState) -> bool| -> Vec<&Name> {
-            let is_wanted = |name: &&Name| is_wanted(self.keeper.roll.member_state(self.now, name));
+            let is_wanted = |name: &&Name| is_wanted(self.keeper.membership.member_state(self.now, name));
             others.iter().copied().filter(is_wanted).collect()
         };
         let mut candidates = present(|presence| presence == MemberState::Alive);
--- a/crates/ledger/src/exchange/orders.rs
+++ b/crates/ledger/src/exchange/orders.rs
@@ -84,7 +84,7 @@
         if let Some(peer) = self.peers.get_mut(&link) {
             peer.orders.learn(subject.clone(), standing);
         }
-        if self.keeper.library_mut().apply_directive(&subject, standing) {
+        if self.keeper.fleet_logs_mut().apply_directive(&subject, standing) {
             tracing::info!(?subject, number, ?word, "an order was heard");
         }
         Ok(())
@@ -92,7 +92,7 @@
 
     /// Pushes the orders that a peer doesn't know.
     pub(super) fn push_orders(&mut self, link: ConnectionId) {
-        let library = self.keeper.library();
+        let library = self.keeper.fleet_logs();
         let stamp = library.directives_revision();
         let Some(peer) = self.peers.get_mut(&link) else { return };
         if !peer.greeted || peer.orders.told >= stamp {
--- a/crates/ledger/src/exchange/receive.rs
+++ b/crates/ledger/src/exchange/receive.rs
@@ -6,7 +6,7 @@
 use super::work_logs::kind_of;
 use mulleinhub_interface::Timestamp;
 use mulleinhub_protocol::{self as protocol, Bad, Conversation, Frames, Message, Side, decode};
-use mulleinhub_quota::Wanted;
+use mulleinhub_quota::ShareRequest;
 use mulleinhub_replicated_log::{LogId, Name, SplitAmount};
 use mulleinhub_sans_io::ConnectionId;
 
--- a/crates/ledger/src/exchange/replication.rs
+++ b/crates/ledger/src/exchange/replication.rs
@@ -69,7 +69,7 @@
 
     /// Writes our digest of all heads, which begins the replication on a connection.
     pub(super) fn write_digest(&mut self, link: ConnectionId) {
-        let all = self.keeper.library().heads_digest();
+        let all = self.keeper.fleet_logs().heads_digest();
         let (tips, beats) = (Vec::new(), Vec::new());
         self.write(link, &Message::Tips { all: &all.0, tips, beats, whole: false, log: None });
     }
@@ -133,7 +133,7 @@
 
     /// Writes heads and heartbeats; heartbeats that don't fit into the message with the heads go before it.
     fn write_heads(&mut self, link: ConnectionId, new: &NewHeads, heartbeats: &[MemberHeartbeat]) {
-        let all = self.keeper.library().heads_digest();
+        let all = self.keeper.fleet_logs().heads_digest();
         for heartbeats in heartbeats.chunks(MAX_ITEMS).skip(1) {
             let beats = heartbeats.iter().map(MemberHeartbeat::message).collect();
             let (tips, whole) = (Vec::new(), false);
--- a/crates/ledger/src/exchange/share_transfer.rs
+++ b/crates/ledger/src/exchange/share_transfer.rs
@@ -2,7 +2,7 @@
 
 use super::Exchange;
 use mulleinhub_protocol::Message;
-use mulleinhub_quota::{Reply, Wanted};
+use mulleinhub_quota::{ShareReply, ShareRequest};
 use mulleinhub_replicated_log::{Name, SplitAmount};
 use mulleinhub_sans_io::ConnectionId;
 
@@ -23,7 +23,7 @@
         parts: SplitAmount,
     ) {
         self.figures.gifts += u64::from(parts.total() > 0);
-        self.keeper.answered(self.now, from, team, parts);
+        self.keeper.on_share_reply(self.now, from, team, parts);
         self.mark_used(link);
     }
 
@@ -44,7 +44,13 @@
             return;
         };
         self.figures.asks += 1;
-        let Wanted { team, month, life, parts: SplitAmount { open, running_only: last }, .. } = wanted;
+        let ShareRequest {
+            team,
+            month,
+            incarnation: life,
+            amount: SplitAmount { open, running_only: last },
+            ..
+        } = wanted;
         let message = Message::ShareAsk { team, month: *month, life: *life, open: *open, last: *last };
         self.write(link, &message);
         self.mark_used(link);
@@ -54,7 +60,13 @@
         let Some(link) = self.link_to(&reply.to) else { return };
         // The head of our log goes first, so that what was given can be used at once.
         self.push_now(link);
-        let Reply { team, month, number, parts: SplitAmount { open, running_only: last }, .. } = reply;
+        let ShareReply {
+            team,
+            month,
+            entry_number: number,
+            amount: SplitAmount { open, running_only: last },
+            ..
+        } = reply;
         let message = Message::ShareGiven { team, month: *month, open: *open, last: *last, number: *number };
         self.write(link, &message);
     }
--- a/crates/ledger/src/exchange/status.rs
+++ b/crates/ledger/src/exchange/status.rs
@@ -2,7 +2,7 @@
 
 use super::Exchange;
 use mulleinhub_interface::Duration;
-use mulleinhub_quota::Look;
+use mulleinhub_quota::TeamStatus;
 use mulleinhub_replicated_log::{LogKind, MemberState};
 
 /// Time between two updates of the status lines.
@@ -17,8 +17,8 @@
         self.status_at = self.now + STATUS_INTERVAL;
         let mut lines = vec![self.summary_line()];
         lines.extend(self.work_log_line());
-        lines.extend(self.keeper.looks().iter().map(team_line));
-        let logs = self.keeper.library().logs();
+        lines.extend(self.keeper.team_statuses().iter().map(team_line));
+        let logs = self.keeper.fleet_logs().logs();
         let forked = logs.filter(|(_, log)| log.is_forked());
         lines
             .extend(forked.map(|(id, _)| format!("column {} life {} HAS FORKED", id.writer, id.incarnation)));
@@ -47,8 +47,8 @@
             membership.members().filter(|name| membership.member_state(now, name) == presence).count()
         };
         let newest = membership.members().filter_map(|name| membership.silence(now, name)).min();
-        let news =
-            newest.map_or("none".to_owned(), |span| format!("{:.1} s", span.over(Duration::from_secs(1))));
+        let news = newest
+            .map_or("none".to_owned(), |span| format!("{:.1} s", span.ratio_to(Duration::from_secs(1))));
         format!(
             "books {:?}, connections {}, members there {} slow {} gone {}, newest news {news}, rows here {}",
             keeper.phase(),
@@ -56,7 +56,7 @@
             count(MemberState::Alive),
             count(MemberState::Suspect),
             count(MemberState::Dead),
-            keeper.library().logs().map(|(_, log)| log.retained()).sum::<usize>(),
+            keeper.fleet_logs().logs().map(|(_, log)| log.retained()).sum::<usize>(),
         )
     }
 }
@@ -73,9 +73,9 @@
         look.overspent,
         look.free.open,
         look.free.running_only,
-        look.at_hand.open,
-        look.at_hand.running_only,
-        if look.held { ", held" } else { "" },
-        if look.differs { ", ORDERS DIFFER" } else { "" },
+        look.available.open,
+        look.available.running_only,
+        if look.suspended { ", held" } else { "" },
+        if look.directives_differ { ", ORDERS DIFFER" } else { "" },
     )
 }
--- a/crates/ledger/src/exchange/work_logs.rs
+++ b/crates/ledger/src/exchange/work_logs.rs
@@ -65,7 +65,7 @@
         let unreachable = retry.is_some_and(|retry| {
             retry.failures >= UNREACHABLE_AFTER && self.now < retry.not_before + UNREACHABLE_FOR
         });
-        !unreachable && self.keeper.roll.member_state(self.now, name) != MemberState::Dead
+        !unreachable && self.keeper.membership.member_state(self.now, name) != MemberState::Dead
     }
 
     /// Of the replicas of our work log, how many hold it.
--- a/crates/ledger/src/shared_pools.rs
+++ b/crates/ledger/src/shared_pools.rs
@@ -151,15 +151,15 @@
         answer.map(Some)
     }
 
-    fn never_ran(&mut self, now: Timestamp, ticket: Ticket) {
+    fn on_never_ran(&mut self, now: Timestamp, ticket: Ticket) {
         self.shelf.till(ticket.team as usize, |till| till.release_unstarted(now, ticket));
     }
 
-    fn may_run(&mut self, now: Timestamp, ticket: Ticket) {
+    fn on_possible_run(&mut self, now: Timestamp, ticket: Ticket) {
         self.shelf.till(ticket.team as usize, |till| till.charge_commitment(now, ticket));
     }
 
-    fn runs(&mut self, now: Timestamp, ticket: Ticket) {
+    fn on_running(&mut self, now: Timestamp, ticket: Ticket) {
         self.shelf.till(ticket.team as usize, |till| till.start(now, ticket));
     }
 
@@ -169,7 +169,7 @@
         Some(self.shelf.till(team as usize, |till| till.adopt(now, team, key, rate)))
     }
 
-    fn over(&mut self, now: Timestamp, ticket: Ticket, comes_again: bool) {
+    fn on_ended(&mut self, now: Timestamp, ticket: Ticket, comes_again: bool) {
         self.shelf.till(ticket.team as usize, |till| till.end(now, ticket, comes_again));
     }
 
--- a/crates/ledger/tests/books.rs
+++ b/crates/ledger/tests/books.rs
@@ -20,7 +20,7 @@
 
 fn presence(net: &mut Net, n: usize, of: usize) -> MemberState {
     let now = net.now;
-    net.node(n).exchange.keeper().roll.member_state(now, &name(of))
+    net.node(n).exchange.keeper().membership.member_state(now, &name(of))
 }
 
 #[test]
@@ -65,7 +65,7 @@
     assert!(net.counted.contains_key("share-ask"), "it runs out");
     assert!(!net.counted.contains_key("share-given"), "the other's disk is held up");
     let got = |net: &mut Net| {
-        net.node(0).exchange.keeper().library().transferred_in(&name(0), 0, &"pay".into(), 24_321)
+        net.node(0).exchange.keeper().fleet_logs().transferred_in(&name(0), 0, &"pay".into(), 24_321)
     };
     assert_eq!(got(&mut net).open, 0);
     // On disk, and killed before it is told.
@@ -119,10 +119,11 @@
     net.cut.clear();
     net.run(ms(6_000));
     assert_eq!(net.node(0).exchange.keeper().phase(), Phase::Writing);
-    let look = net.node(0).exchange.keeper().looks()[1].clone();
-    let life = net.node(0).exchange.keeper().life();
-    let got = net.node(0).exchange.keeper().library().transferred_in(&name(0), life, &"pay".into(), 24_321);
-    assert!(look.free.open + look.at_hand.open <= got.open, "{look:?}, gifts {got:?}");
+    let look = net.node(0).exchange.keeper().team_statuses()[1].clone();
+    let life = net.node(0).exchange.keeper().incarnation();
+    let got =
+        net.node(0).exchange.keeper().fleet_logs().transferred_in(&name(0), life, &"pay".into(), 24_321);
+    assert!(look.free.open + look.available.open <= got.open, "{look:?}, gifts {got:?}");
 }
 
 #[test]
@@ -153,7 +154,7 @@
             "{n}"
         );
     }
-    let library = net.node(1).exchange.keeper().library();
+    let library = net.node(1).exchange.keeper().fleet_logs();
     assert!(library.balance(&name(0), &"pay".into(), 24_321).reserved.open > 0);
 }
 
@@ -183,7 +184,7 @@
     net.run(ms(300));
     let now = net.now;
     let room = Resources::new(2.0, 1.0);
-    let taken = net.node(3).teller.ask(now, "pay/tool", TaskKey(50), room, 0.5).expect("there is room");
+    let taken = net.node(3).teller.admit(now, "pay/tool", TaskKey(50), room, 0.5).expect("there is room");
     net.order(0, acme(), 1, DirectiveAction::Suspend { finish_by: None });
     net.run(ms(400));
     for n in 0..4 {
@@ -274,7 +275,7 @@
     assert_eq!(net.fill(0, 1_000, 1).len(), 1, "the next one isn't");
     net.run(ms(2_000));
     let charged = |net: &mut Net, month| {
-        let library = net.node(1).exchange.keeper().library();
+        let library = net.node(1).exchange.keeper().fleet_logs();
         (0..2).map(|n| library.balance(&name(n), &"pay".into(), month).spent).sum::<u64>()
     };
     let (old, new) = (charged(&mut net, 24_321), charged(&mut net, 24_322));
@@ -289,7 +290,7 @@
 // Peers that speak wrongly.
 
 fn tips(net: &mut Net, n: usize) -> Digest {
-    net.node(n).exchange.keeper().library().heads_digest()
+    net.node(n).exchange.keeper().fleet_logs().heads_digest()
 }
 
 #[test]
--- a/crates/ledger/tests/net/mod.rs
+++ b/crates/ledger/tests/net/mod.rs
@@ -386,6 +386,6 @@
 
     /// Of all rows on all disks: how far each scheduler knows each column.
     pub fn all(&self) -> Vec<Digest> {
-        self.nodes.iter().flatten().map(|node| node.exchange.keeper().library().heads_digest()).collect()
+        self.nodes.iter().flatten().map(|node| node.exchange.keeper().fleet_logs().heads_digest()).collect()
     }
 }
--- a/crates/ledger/tests/work_logs.rs
+++ b/crates/ledger/tests/work_logs.rs
@@ -38,7 +38,7 @@
 }
 
 fn fleet_state(net: &mut Net, n: usize, of: usize) -> LogState {
-    net.node(n).exchange.keeper().library().latest_state(&name(of)).cloned().unwrap_or_default()
+    net.node(n).exchange.keeper().fleet_logs().latest_state(&name(of)).cloned().unwrap_or_default()
 }
 
 /// Who holds a copy of a scheduler's work log.
@@ -68,7 +68,7 @@
 
 /// Kinds of rows in a scheduler's own fleet log, by its disk.
 fn fleet_rows(net: &mut Net, n: usize) -> BTreeMap<&'static str, usize> {
-    let own = net.node(n).exchange.keeper().library().own_id().clone();
+    let own = net.node(n).exchange.keeper().fleet_logs().own_id().clone();
     let rows = net.node(n).disk.iter().filter(|((kind, id, _), _)| *kind == LogKind::Fleet && *id == own);
     let mut counted = BTreeMap::new();
     for (_, (_, bytes)) in rows {
@@ -443,14 +443,14 @@
     }
     let far = if MAP.region(1) == 0 { 0 } else { 1 };
     assert!(net.all().iter().collect::<BTreeSet<_>>().len() >= 2, "the halves differ");
-    assert_eq!(net.node(0).exchange.keeper().library().directives().len(), 1);
+    assert_eq!(net.node(0).exchange.keeper().fleet_logs().directives().len(), 1);
     let before = net.bytes.clone();
     net.cut.clear();
     let healed = net.now;
     let mut busy = 0;
     let equal = |net: &mut Net| {
         let orders: Vec<usize> =
-            (0..MANY).map(|n| net.node(n).exchange.keeper().library().directives().len()).collect();
+            (0..MANY).map(|n| net.node(n).exchange.keeper().fleet_logs().directives().len()).collect();
         orders.iter().all(|many| *many == 2) && net.all().iter().collect::<BTreeSet<_>>().len() == 1
     };
     while !equal(&mut net) {
@@ -479,7 +479,7 @@
 
 fn presence(net: &mut Net, n: usize, of: usize) -> MemberState {
     let now = net.now;
-    net.node(n).exchange.keeper().roll.member_state(now, &name(of))
+    net.node(n).exchange.keeper().membership.member_state(now, &name(of))
 }
 
 // Fleets of two forms.
@@ -650,7 +650,7 @@
     let digest = &[9; 16][..];
     let other = LogId { writer: "s2".into(), incarnation: 3 };
     let mut net = fleet(4, 300);
-    let ours = net.node(0).exchange.keeper().library().own_id().clone();
+    let ours = net.node(0).exchange.keeper().fleet_logs().own_id().clone();
     let keys = |net: &mut Net| (0..4).map(|n| work_keys(net, n, n)).collect::<Vec<_>>();
     assert_eq!(net.fill(0, 0, 3).len(), 3);
     net.run(ms(300));
--- a/crates/planner/src/daemon.rs
+++ b/crates/planner/src/daemon.rs
@@ -12,7 +12,7 @@
 use mulleinhub_event_loop::{Clock, EventLoop, IterationOutcome, descriptor_limit};
 use mulleinhub_interface::{Timestamp, mix};
 use mulleinhub_ledger::{AdmissionHandle, Running, Start};
-use mulleinhub_replicated_log::Order as OperatorDirective;
+use mulleinhub_replicated_log::Directive as OperatorDirective;
 use mulleinhub_sans_io::StateMachine;
 use signal_hook::consts::{SIGHUP, SIGINT, SIGTERM};
 use std::path::{Path, PathBuf};
@@ -56,7 +56,7 @@
         let engine = Engine::new(settings.engine.clone(), incarnation, saved);
         let (mut engine, ledger) = with_ledger(engine, &settings, incarnation, clock)?;
         if let Some(limit) = descriptor_limit() {
-            engine.descriptors(limit);
+            engine.set_descriptor_limit(limit);
         }
         let mut event_loop = EventLoop::new(Scheduler::new(engine))
             .map_err(PlannerError::system(Operation::Poll))?
@@ -143,19 +143,19 @@
     fn start_draining(&mut self) {
         let engine = &mut self.event_loop.state_machine.engine;
         tracing::info!(in_flight = engine.counts().pending, "draining: no new tasks are accepted");
-        engine.wind_down();
+        engine.begin_shutdown();
         self.draining_since = Some(Instant::now());
     }
 
     /// Whether all tasks in flight have their answer and all answers are written, or the timeout is over.
     fn is_drained(&self, timeout: Duration) -> bool {
         let engine = &self.event_loop.state_machine.engine;
-        let all_answered = || engine.is_idle() && engine.all_written();
+        let all_answered = || engine.is_idle() && engine.is_flushed();
         self.draining_since.is_some_and(|since| all_answered() || since.elapsed() > timeout)
     }
 
     fn log_stop(&self) {
-        let tasks_taken = self.event_loop.state_machine.engine.counts().taken;
+        let tasks_taken = self.event_loop.state_machine.engine.counts().accepted;
         tracing::info!(system_calls = self.event_loop.system_calls, tasks_taken, "planner stopped");
     }
 
--- a/crates/planner/src/metrics.rs
+++ b/crates/planner/src/metrics.rs
@@ -55,24 +55,24 @@
 
 fn register_gauges(registry: &mut Registry, engine: &Engine) {
     let counts = engine.counts();
-    let (connections, deadlines) = engine.clients_open();
+    let (connections, deadlines) = engine.open_clients();
     let gauges = [
-        ("tasks_taken", "Tasks taken since the start", counts.taken),
+        ("tasks_taken", "Tasks taken since the start", counts.accepted),
         ("tasks_placed", "Tasks placed since the start", counts.placed),
-        ("tasks_nacked", "Tasks nacked since the start", counts.nacked),
-        ("tasks_errored", "Tasks errored since the start", counts.errored),
-        ("sends", "Offers to machines since the start", counts.sends),
-        ("late_yes", "Sends accepted after they were over for us", counts.late_yes),
-        ("bad_frames", "Frames that were refused", counts.bad_frames),
+        ("tasks_nacked", "Tasks nacked since the start", counts.rejected),
+        ("tasks_errored", "Tasks errored since the start", counts.failed),
+        ("sends", "Offers to machines since the start", counts.attempts),
+        ("late_yes", "Sends accepted after they were over for us", counts.late_acceptances),
+        ("bad_frames", "Frames that were refused", counts.protocol_errors),
         ("pending", "Tasks that wait", counts.pending as u64),
-        ("sent", "Tasks with a send out", counts.sent as u64),
+        ("sent", "Tasks with a send out", counts.in_flight as u64),
         ("running", "Tasks placed", counts.running as u64),
         ("machines", "Machines listed", counts.machines as u64),
         ("machines_ready", "Machines connected", counts.machines_ready as u64),
         ("ready", "1 where tasks may be given to this planner", u64::from(engine.not_ready().is_none())),
         ("clients", "Connections of clients", connections as u64),
         ("client_deadlines", "Deadlines held for them", deadlines as u64),
-        ("client_buffer_bytes", "Bytes of buffers held for connections", engine.buffers() as u64),
+        ("client_buffer_bytes", "Bytes of buffers held for connections", engine.buffered_bytes() as u64),
     ];
     for (name, help, value) in gauges {
         let gauge: Gauge = Gauge::default();
@@ -83,17 +83,17 @@
 
 fn register_closed_connections(registry: &mut Registry, engine: &Engine) {
     let closed = Family::<[(&str, &str); 1], Gauge>::default();
-    for (reason, count) in engine.clients_ended() {
+    for (reason, count) in engine.closed_clients() {
         closed.get_or_create(&[("why", reason)]).set(count as i64);
     }
     registry.register("clients_ended", "Connections ended or refused by limits since the start", closed);
 }
 
 fn register_latencies(registry: &mut Registry, engine: &Engine) {
-    let times = engine.times();
+    let times = engine.latencies();
     let histograms = [
-        ("take_to_send_seconds", "From taking a task to its first offer", times.take_to_send),
-        ("take_to_answer_seconds", "From taking a task to its final answer", times.take_to_answer),
+        ("take_to_send_seconds", "From taking a task to its first offer", times.to_first_attempt),
+        ("take_to_answer_seconds", "From taking a task to its final answer", times.to_answer),
     ];
     for (name, help, latencies) in histograms {
         registry.register_collector(Box::new(LatencyHistogram { name, help, latencies }));
--- a/crates/planner/src/platform.rs
+++ b/crates/planner/src/platform.rs
@@ -6,7 +6,7 @@
 use crate::settings::LogFormat;
 use mulleinhub_event_loop::{EventLoop, IterationOutcome, descriptor_limit, duration_from_std};
 use mulleinhub_interface::Timestamp;
-use mulleinhub_platform::{Conf, Platform};
+use mulleinhub_platform::{Config, Scheduler};
 use mulleinhub_sans_io::ListenerId;
 use signal_hook::consts::{SIGHUP, SIGINT, SIGTERM};
 use std::io::ErrorKind;
@@ -46,15 +46,15 @@
     PlatformDaemon::start(path, configuration, listen)?.serve()
 }
 
-fn read_configuration(path: &Path) -> Result<Conf, PlannerError> {
+fn read_configuration(path: &Path) -> Result<Config, PlannerError> {
     let text = std::fs::read_to_string(path).map_err(PlannerError::file(path))?;
-    Conf::read(&text).map_err(|reason| PlannerError::InvalidConfiguration {
+    Config::parse(&text).map_err(|reason| PlannerError::InvalidConfiguration {
         path: path.to_owned(),
         reason: reason.to_string(),
     })
 }
 
-fn listen_address(configuration: &Conf) -> Result<SocketAddr, PlannerError> {
+fn listen_address(configuration: &Config) -> Result<SocketAddr, PlannerError> {
     let value = std::env::var(LISTEN_VARIABLE).unwrap_or_else(|_| configuration.listen.clone());
     value.parse().map_err(|_| PlannerError::InvalidAddress { variable: LISTEN_VARIABLE, value })
 }
@@ -67,18 +67,18 @@
 
 /// A scheduler that runs on the platform.
 struct PlatformDaemon {
-    event_loop: EventLoop<Platform>,
+    event_loop: EventLoop<Scheduler>,
     configuration_path: PathBuf,
 }
 
 impl PlatformDaemon {
     fn start(
         configuration_path: PathBuf,
-        configuration: Conf,
+        configuration: Config,
         listen: SocketAddr,
     ) -> Result<Self, PlannerError> {
         let origin = unix_time();
-        let mut event_loop = EventLoop::new(Platform::new(configuration))
+        let mut event_loop = EventLoop::new(Scheduler::new(configuration))
             .map_err(PlannerError::system(Operation::Poll))?
             .with_origin(origin);
         event_loop
@@ -113,7 +113,7 @@
     fn reload(&mut self, now: Timestamp) {
         match read_configuration(&self.configuration_path) {
             Ok(configuration) => {
-                tracing::info!(bulletin = configuration.bulletin, "configuration reloaded");
+                tracing::info!(bulletin = configuration.discovery_address, "configuration reloaded");
                 self.event_loop.state_machine.reload(now, configuration);
             }
             Err(error) => tracing::error!(%error, "the configuration is faulty; the old one stays"),
@@ -122,12 +122,12 @@
 
     fn start_draining(&mut self, now: Timestamp) {
         tracing::info!("draining: health checks fail from now on");
-        self.event_loop.state_machine.wind_down(now);
+        self.event_loop.state_machine.begin_shutdown(now);
     }
 
     /// Whether draining is complete and no input is left over.
     fn is_done(&mut self, now: Timestamp) -> bool {
-        self.event_loop.state_machine.is_done(now) && self.event_loop.is_idle()
+        self.event_loop.state_machine.is_shutdown_complete(now) && self.event_loop.is_idle()
     }
 
     fn stop(&mut self) {
@@ -137,7 +137,7 @@
 }
 
 /// Listens there; waits for an address that the previous process may still hold while it stops.
-fn listen_when_free(event_loop: &mut EventLoop<Platform>, address: SocketAddr) -> std::io::Result<()> {
+fn listen_when_free(event_loop: &mut EventLoop<Scheduler>, address: SocketAddr) -> std::io::Result<()> {
     let deadline = Instant::now() + BIND_TIMEOUT;
     loop {
         match event_loop.listen(address, CLIENT_LISTENER) {
--- a/crates/planner/src/scheduler.rs
+++ b/crates/planner/src/scheduler.rs
@@ -26,7 +26,7 @@
     fn respond(&mut self, id: ConnectionId, path: &[u8]) {
         let response = http::response(path, &self.engine);
         self.engine.connections().send(id, response.as_bytes(), None);
-        self.engine.connections().end(id);
+        self.engine.connections().close(id);
     }
 }
 
@@ -54,7 +54,7 @@
 
     fn on_closed(&mut self, now: Timestamp, id: ConnectionId, reason: CloseReason) {
         if self.http.on_closed(id) {
-            self.engine.connections().forget(id);
+            self.engine.connections().remove(id);
         } else {
             self.engine.on_closed(now, id, reason);
         }
@@ -71,7 +71,7 @@
     fn poll(&mut self, now: Timestamp) {
         let started_at = Instant::now();
         self.engine.poll(now);
-        self.engine.turn_took(now, duration_from_std(started_at.elapsed()));
+        self.engine.on_iteration_time(now, duration_from_std(started_at.elapsed()));
     }
 
     fn next_wakeup(&self) -> Option<Timestamp> {
--- a/crates/planner/src/settings.rs
+++ b/crates/planner/src/settings.rs
@@ -106,20 +106,20 @@
         name: identity.name?.0,
         seed: identity.seed,
         use_cases: workload.use_cases,
-        kinds: workload.kinds.iter().map(|kind| kind.size).collect(),
-        taking: acceptance,
-        cold: slow_start,
-        listing: Discovery { asked: poll_for_list, ask_within: rules.ask_within },
-        home: costs,
-        list_address: list_address?,
-        reconnect: connections.reconnect,
+        machine_kinds: workload.kinds.iter().map(|kind| kind.size).collect(),
+        acceptance: acceptance,
+        slow_start: slow_start,
+        discovery: Discovery { watch_required: poll_for_list, max_staleness: rules.ask_within },
+        locality: costs,
+        endpoint_list_address: list_address?,
+        reconnect_backoff: connections.reconnect,
         lost_after: connections.lost_after,
-        silence: connections.silence,
-        remember: connections.remember,
-        start_wait: connections.start_wait,
-        clients,
-        most_in_hand: connections.max_in_flight,
-        most_unwritten: connections.max_unsent_bytes,
+        ping_timeout: connections.silence,
+        answer_retention: connections.remember,
+        startup_grace: connections.start_wait,
+        client_limits: clients,
+        max_open_tasks: connections.max_in_flight,
+        max_unsent_bytes: connections.max_unsent_bytes,
     };
     let settings = PlannerSettings { engine, listen, shared_port, metrics, state_dir, log_format, ledger };
     faults.is_empty().then_some(settings)
@@ -155,11 +155,11 @@
 
     fn slow_start(&self, rules: &Rules) -> SlowStart {
         SlowStart {
-            warm_after: rules.warm_after,
-            fall: rules.fall,
-            young_limit: f64::from(rules.young_limit),
-            schedulers: self.schedulers,
-            number: self.number,
+            warm_up_time: rules.warm_after,
+            budget_window: rules.fall,
+            attempt_budget: f64::from(rules.young_limit),
+            scheduler_count: self.schedulers,
+            scheduler_index: self.number,
         }
     }
 }
@@ -236,12 +236,12 @@
 fn read_acceptance_rules(scope: &mut Scope<'_>, rules: &Rules, faults: &mut Faults) -> AcceptanceRules {
     let mut block = optional_block(scope, "taking", faults);
     let acceptance = AcceptanceRules {
-        cores: block.or("accepts-cores", 1.0, faults),
-        memory: block.or("accepts-memory", 1.0, faults),
-        yes_when_running: block.or("yes-when-running", false, faults),
-        max_sends: rules.most_sends,
-        tells_pressure: block.or("tells-pressure", true, faults),
-        recalls: block.or("recalls", true, faults),
+        cores_overcommit: block.or("accepts-cores", 1.0, faults),
+        memory_overcommit: block.or("accepts-memory", 1.0, faults),
+        accepts_when_running: block.or("yes-when-running", false, faults),
+        max_attempts: rules.most_sends,
+        reports_pressure: block.or("tells-pressure", true, faults),
+        supports_cancel: block.or("recalls", true, faults),
     };
     block.finish(faults);
     acceptance
@@ -250,9 +250,9 @@
 fn read_locality_costs(scope: &mut Scope<'_>, zone: u32, faults: &mut Faults) -> LocalityCosts {
     let mut block = optional_block(scope, "prices", faults);
     let costs = LocalityCosts {
-        zone: ZoneId(zone),
-        cross_zone_price: block.or("cross-hall", 0.0, faults),
-        machine_price: block.or("machine", 0.0, faults),
+        local_zone: ZoneId(zone),
+        cross_zone_cost: block.or("cross-hall", 0.0, faults),
+        machine_cost: block.or("machine", 0.0, faults),
     };
     block.finish(faults);
     costs
@@ -262,18 +262,18 @@
     let mut block = optional_block(scope, "clients", faults);
     let default = ClientLimits::default();
     let limits = ClientLimits {
-        most: block.or("most", default.most, faults).max(1),
-        most_of_a_tenant: block.or("most-of-a-tenant", default.most_of_a_tenant, faults).max(1),
-        most_of_a_name: block.or("most-of-a-name", default.most_of_a_name, faults).max(1),
-        most_strangers: block.or("most-strangers", default.most_strangers, faults).max(1),
-        opens_a_turn: block.or("opens-a-turn", default.opens_a_turn, faults).max(1),
-        greet_within: block.or("greet-within", default.greet_within, faults),
-        frame_within: block.or("frame-within", default.frame_within, faults),
-        idle_after: block.or("idle-after", default.idle_after, faults),
-        sign_within: block.or("sign-within", default.sign_within, faults),
-        steady_for: block.or("steady-for", default.steady_for, faults),
-        may_speak: default.may_speak,
-        woken_a_turn: block.or("woken-a-turn", default.woken_a_turn, faults).max(1),
+        max_connections: block.or("most", default.max_connections, faults).max(1),
+        max_per_tenant: block.or("most-of-a-tenant", default.max_per_tenant, faults).max(1),
+        max_per_name: block.or("most-of-a-name", default.max_per_name, faults).max(1),
+        max_unidentified: block.or("most-strangers", default.max_unidentified, faults).max(1),
+        max_accepts_per_iteration: block.or("opens-a-turn", default.max_accepts_per_iteration, faults).max(1),
+        greeting_timeout: block.or("greet-within", default.greeting_timeout, faults),
+        frame_timeout: block.or("frame-within", default.frame_timeout, faults),
+        keepalive_time: block.or("idle-after", default.keepalive_time, faults),
+        keepalive_timeout: block.or("sign-within", default.keepalive_timeout, faults),
+        steady_period: block.or("steady-for", default.steady_period, faults),
+        eviction_grace: default.eviction_grace,
+        max_queued_per_iteration: block.or("woken-a-turn", default.max_queued_per_iteration, faults).max(1),
     };
     block.finish(faults);
     limits
--- a/crates/planner/src/settings/directives.rs
+++ b/crates/planner/src/settings/directives.rs
@@ -1,8 +1,8 @@
 //! The operators' directives file: caps of teams, and accounts that are suspended or reinstated.
 
 use crate::error::PlannerError;
-use mulleinhub_replicated_log::{Name, Order as OperatorDirective, Subject, Word};
-use mulleinhub_settings::{Args, Directive, Faults, Name as NameValue, parse_text};
+use mulleinhub_replicated_log::{Directive as OperatorDirective, DirectiveAction, Name, Subject};
+use mulleinhub_settings::{Args, Directive as SettingsLine, Faults, Name as NameValue, parse_text};
 
 /// Sets the cap of a team.
 const CAP: &str = "cap";
@@ -31,7 +31,7 @@
     }
 }
 
-fn read(line: &Directive, faults: &mut Faults) -> Option<OperatorDirective> {
+fn read(line: &SettingsLine, faults: &mut Faults) -> Option<OperatorDirective> {
     let keyword = line.name.text.as_str();
     if ![CAP, SUSPEND, REINSTATE].contains(&keyword) {
         let message = format!("unknown order {keyword} ({CAP}, {SUSPEND} or {REINSTATE} is wanted)");
@@ -41,14 +41,19 @@
     let mut args = Args::of(line);
     let (name, number) = (args.next::<NameValue>(faults), args.next::<u64>(faults));
     let state = match keyword {
-        CAP => args.next(faults).map(|amount| Word::Cap { amount }),
-        SUSPEND if args.takes(FINISH_BY) => args.next(faults).map(|by| Word::Held { finish_by: Some(by) }),
-        SUSPEND => Some(Word::Held { finish_by: None }),
-        _ => Some(Word::Cleared {}),
+        CAP => args.next(faults).map(|amount| DirectiveAction::Cap { amount }),
+        SUSPEND if args.takes(FINISH_BY) => {
+            args.next(faults).map(|by| DirectiveAction::Suspend { finish_by: Some(by) })
+        }
+        SUSPEND => Some(DirectiveAction::Suspend { finish_by: None }),
+        _ => Some(DirectiveAction::Reinstate {}),
     };
     args.finish(faults);
     let (name, number, state) = (Name::from(name?.0.as_str()), number?, state?);
-    let subject =
-        if matches!(state, Word::Cap { .. }) { Subject::Team(name) } else { Subject::Account(name) };
-    Some(OperatorDirective { subject, number, word: state })
+    let subject = if matches!(state, DirectiveAction::Cap { .. }) {
+        Subject::Team(name)
+    } else {
+        Subject::Account(name)
+    };
+    Some(OperatorDirective { subject, number, action: state })
 }
--- a/crates/planner/src/settings/ledger.rs
+++ b/crates/planner/src/settings/ledger.rs
@@ -2,8 +2,8 @@
 
 use mulleinhub_interface::Duration;
 use mulleinhub_ledger::Member;
-use mulleinhub_quota::{Months, Prices, Settings, Team};
-use mulleinhub_replicated_log::{Name, Site};
+use mulleinhub_quota::{Calendar, Prices, Settings, Team};
+use mulleinhub_replicated_log::{Location, Name};
 use mulleinhub_settings::{Args, Directive, Faults, Name as NameValue, Scope};
 use mulleinhub_workload_settings::{BooksTerms, SiteTerms, read_books};
 use std::net::SocketAddr;
@@ -46,7 +46,7 @@
     let clock_ahead = scope.maybe("clock-ahead", faults).map_or(0, to_millis);
     let clock_behind = scope.maybe("clock-behind", faults).map_or(0, to_millis);
     scope.finish(faults);
-    let months = match Months::of_zone(&terms.zone) {
+    let months = match Calendar::in_zone(&terms.zone) {
         Ok(months) => months,
         Err(reason) => {
             faults.add(&directive.place, format!("zone {:?}: {reason}", terms.zone));
@@ -93,7 +93,7 @@
     Some((Member { name: Name::from(name.0.as_str()), address }, site))
 }
 
-fn ledger_settings(own_name: &str, members: &[Member], months: Months, terms: &BooksTerms) -> Settings {
+fn ledger_settings(own_name: &str, members: &[Member], months: Calendar, terms: &BooksTerms) -> Settings {
     let name = |text: &String| Name::from(text.as_str());
     let teams = terms.teams.iter().map(|team| Team {
         name: name(&team.name),
@@ -106,18 +106,18 @@
         members: members.iter().map(|member| member.name.clone()).collect(),
         teams: teams.collect(),
         prices: Prices { core_second: terms.core_second, memory_second: terms.memory_second },
-        months,
-        near: terms.near,
-        stretch: terms.stretch,
-        catch_up: terms.catch_up,
+        calendar: months,
+        open_millionths: terms.near,
+        commitment: terms.stretch,
+        catch_up_timeout: terms.catch_up,
         replicas: terms.replicas,
-        sites: terms.sites.iter().map(|(site_name, site)| (name(site_name), site_of(site))).collect(),
+        locations: terms.sites.iter().map(|(site_name, site)| (name(site_name), site_of(site))).collect(),
     }
 }
 
-fn site_of(terms: &SiteTerms) -> Site {
+fn site_of(terms: &SiteTerms) -> Location {
     let name = |text: &Option<String>| text.as_deref().map(Name::from);
-    Site { region: name(&terms.region), zone: name(&terms.zone) }
+    Location { region: name(&terms.region), zone: name(&terms.zone) }
 }
 
 fn parse_loopback_address(text: &str) -> Option<SocketAddr> {
--- a/crates/planner/src/settings/tests.rs
+++ b/crates/planner/src/settings/tests.rs
@@ -1,14 +1,14 @@
 //! Tests of the ledger's block and of operators' directives.
 
 use super::*;
-use mulleinhub_replicated_log::{Name, Site, Word};
+use mulleinhub_replicated_log::{DirectiveAction, Location, Name};
 
 #[test]
 fn directives_are_parsed_and_faults_have_line_and_cause() {
     let text = "cap pay 3 500000\nhold acme 4 finish-by 1790000000 # till spring\nclear acme 5\n";
     let directives = parse_operator_directives("orders", text).expect("no faults");
     assert_eq!(directives.len(), 3);
-    assert_eq!(directives[1].word, Word::Held { finish_by: Some(1_790_000_000) });
+    assert_eq!(directives[1].action, DirectiveAction::Suspend { finish_by: Some(1_790_000_000) });
     let report = parse_operator_directives("orders", "cap pay 3\nhodl acme 4\nclear acme 5 6\n")
         .expect_err("faults")
         .to_string();
@@ -32,12 +32,12 @@
     assert_eq!(plain.settings.replicas, None);
     let replicated = read_ledger(&format!("{others}\n    replicas 2")).expect("no faults");
     assert_eq!(replicated.settings.replicas, Some(2));
-    let site = |zone: Option<&str>, region: Option<&str>| Site {
+    let site = |zone: Option<&str>, region: Option<&str>| Location {
         zone: zone.map(Name::from),
         region: region.map(Name::from),
     };
     let expected = [site(Some("a"), Some("east")), site(None, Some("west")), site(None, None)];
-    let sites = &replicated.settings.sites;
+    let sites = &replicated.settings.locations;
     assert!(sites.values().eq(&expected), "{sites:?}");
     assert!(replicated.terms.show().contains("    replicas 2\n") && !plain.terms.show().contains("replicas"));
     assert_eq!(replicated.terms.sites["planner-1"].show(), " zone a region east");
--- a/crates/planner/tests/acceptance.rs
+++ b/crates/planner/tests/acceptance.rs
@@ -4,7 +4,7 @@
 mod harness;
 
 use harness::*;
-use mulleinhub_platform_protocol::{Frames, kind, write_with_cause};
+use mulleinhub_platform_protocol::{FrameBuffer, kind, write_with_cause};
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -28,7 +28,7 @@
             0 => Ok(()),
             1 => client.write_all(&start_request(n)[..20]),
             2 => client.write_all(b"\xff\xff\xff\xff noise"),
-            _ => client.write_all(&encoded(|out| write_with_cause(out, kind::TEST, n, 0))),
+            _ => client.write_all(&encoded(|out| write_with_cause(out, kind::HEALTH_CHECK, n, 0))),
         };
         open.push(client);
     }
@@ -73,7 +73,7 @@
                 client.write_all(&start_request(task)).expect("is sent");
                 assert_eq!(
                     next_message(&mut client),
-                    (kind::ANSWER, task, None),
+                    (kind::ACCEPT, task, None),
                     "with {descriptors} descriptors"
                 );
                 assert!(started_at.elapsed() < Duration::from_secs(2), "{:?}", started_at.elapsed());
@@ -85,7 +85,7 @@
         // And once the idle clients are gone, it serves as before.
         let mut client = scheduler.connect();
         client.write_all(&start_request(9_100)).expect("is sent");
-        assert_eq!(next_message(&mut client), (kind::ANSWER, 9_100, None));
+        assert_eq!(next_message(&mut client), (kind::ACCEPT, 9_100, None));
     }
 }
 
@@ -104,14 +104,15 @@
         std::thread::sleep(Duration::from_millis(5));
         let Ok(mut front) = TcpStream::connect(at) else { continue };
         front.set_read_timeout(Some(Duration::from_millis(500))).expect("is set");
-        if front.write_all(&encoded(|out| write_with_cause(out, kind::TEST, 1, 0))).is_err() {
+        if front.write_all(&encoded(|out| write_with_cause(out, kind::HEALTH_CHECK, 1, 0))).is_err() {
             continue;
         }
-        let (mut frames, mut bytes) = (Frames::default(), [0; 256]);
+        let (mut frames, mut bytes) = (FrameBuffer::default(), [0; 256]);
         while let Ok(n @ 1..) = front.read(&mut bytes) {
-            frames.take(&bytes[..n]);
+            frames.extend(&bytes[..n]);
             if let Ok(Some(frame)) = frames.next_frame() {
-                return frame.kind == kind::TESTED && mulleinhub_platform_protocol::cause(&frame) == Some(1);
+                return frame.kind == kind::HEALTH_RESULT
+                    && mulleinhub_platform_protocol::cause(&frame) == Some(1);
             }
         }
     }
--- a/crates/planner/tests/fleet_faults.rs
+++ b/crates/planner/tests/fleet_faults.rs
@@ -8,7 +8,7 @@
 use harness::fleet::*;
 use harness::load::*;
 use harness::*;
-use mulleinhub_platform_protocol::{kind, why};
+use mulleinhub_platform_protocol::{cause_code, kind};
 use rustix::process::Signal;
 use std::io::Write;
 use std::net::{SocketAddr, TcpListener};
@@ -48,7 +48,7 @@
     let load = LoadClient::new(scheduler.listen, 1);
     let mut client = scheduler.connect();
     client.write_all(&start_request(7)).expect("is sent");
-    assert_eq!(next_message(&mut client), (kind::ANSWER, 7, None));
+    assert_eq!(next_message(&mut client), (kind::ACCEPT, 7, None));
     old.wait_for_watches(Instant::now() - ms(5_000), 1);
     // The first event of the new service is a drain.
     let moved_service = Discovery::new(32);
@@ -62,7 +62,7 @@
     let drained = first.start_requests().len();
     // A task there runs until its machine reports the end; then the machine dies.
     first.report_end(7);
-    assert_eq!(next_message(&mut client), (kind::RELEASE, 7, Some(why::ENDED)));
+    assert_eq!(next_message(&mut client), (kind::RELEASE, 7, Some(cause_code::ENDED)));
     std::thread::sleep(ms(100));
     assert_eq!(first.start_requests().len(), drained, "it drains");
     first.set_behavior(Behavior::Dead);
@@ -138,13 +138,13 @@
     let load = LoadClient::new(scheduler.listen, 1);
     let mut client = scheduler.connect();
     client.write_all(&start_request(7)).expect("is sent");
-    assert_eq!(next_message(&mut client), (kind::ANSWER, 7, None));
+    assert_eq!(next_message(&mut client), (kind::ACCEPT, 7, None));
     // A snapshot where changes were expected; it removes the known machine.
     discovery.send_snapshot(2, &[entry(1)]);
     wait_for_requests_on(&machines, 1);
     // A task on a removed machine keeps running, and its end is reported.
     machines[0].report_end(7);
-    assert_eq!(next_message(&mut client), (kind::RELEASE, 7, Some(why::ENDED)));
+    assert_eq!(next_message(&mut client), (kind::RELEASE, 7, Some(cause_code::ENDED)));
     // Several snapshots on an open watch, with gaps in the numbering, one of them empty for a moment.
     discovery.send_snapshot(5, &[entry(2)]);
     wait_for_requests_on(&machines, 2);
@@ -270,7 +270,7 @@
         client.write_all(&start_request_of(task, "front", ";at:s-1")).expect("is sent");
         wait_until_handled(&mut client);
         machine.report_end(task);
-        assert_eq!(next_message(&mut client), (kind::RELEASE, task, Some(why::ENDED)));
+        assert_eq!(next_message(&mut client), (kind::RELEASE, task, Some(cause_code::ENDED)));
         // The successor at the address serves, though connections of the old process linger.
         let started_at = Instant::now();
         let successor = early_scheduler.start_successor();
--- a/crates/planner/tests/harness/disconnect.rs
+++ b/crates/planner/tests/harness/disconnect.rs
@@ -35,7 +35,7 @@
                 Some(client)
             }
             Self::Cancel => {
-                let all: Vec<u8> = tasks.flat_map(|task| release(task, why::ENDED)).collect();
+                let all: Vec<u8> = tasks.flat_map(|task| release(task, cause_code::ENDED)).collect();
                 client.write_all(&all).expect("is sent");
                 Some(client)
             }
--- a/crates/planner/tests/harness/fleet.rs
+++ b/crates/planner/tests/harness/fleet.rs
@@ -157,14 +157,14 @@
 
     /// Reports that a task has ended.
     pub fn report_end(&self, task: u64) {
-        lock(&self.state).to_send.extend(release(task, why::ENDED));
+        lock(&self.state).to_send.extend(release(task, cause_code::ENDED));
     }
 }
 
 fn run_machine(
     listener: &TcpListener,
     state: &Mutex<MachineState>,
-    connections: &mut Vec<(Connection, Frames)>,
+    connections: &mut Vec<(Connection, FrameBuffer)>,
     rejections: &mut Vec<(Instant, usize, Vec<u8>)>,
 ) {
     let state = &mut *lock(state);
@@ -174,7 +174,7 @@
         return;
     }
     while let Some(connection) = Connection::next(listener) {
-        connections.push((connection, Frames::default()));
+        connections.push((connection, FrameBuffer::default()));
     }
     let to_send = std::mem::take(&mut state.to_send);
     if connections.iter().all(|(connection, _)| connection.closed) {
@@ -186,9 +186,9 @@
     {
         connection.unsent.extend_from_slice(&to_send);
         connection.read();
-        frames.take(&std::mem::take(&mut connection.unread));
+        frames.extend(&std::mem::take(&mut connection.unread));
         while let Some(frame) = frames.next_frame().expect("valid frames") {
-            if frame.kind != kind::SET_UP {
+            if frame.kind != kind::START {
                 continue;
             }
             state.start_requests.push((frame.task, now));
@@ -196,14 +196,14 @@
                 Behavior::Serves | Behavior::ServesFragmented => {
                     connection.unsent.extend(acceptance(frame.task));
                     if frame.task > FIRST_LOAD_TASK {
-                        connection.unsent.extend(release(frame.task, why::ENDED));
+                        connection.unsent.extend(release(frame.task, cause_code::ENDED));
                     }
                 }
                 Behavior::Rejects => {
-                    rejections.push((now + REJECTION_DELAY, at, release(frame.task, why::FULL)))
+                    rejections.push((now + REJECTION_DELAY, at, release(frame.task, cause_code::FULL)))
                 }
                 Behavior::Returns => {
-                    rejections.push((now + REJECTION_DELAY, at, release(frame.task, why::MOOT)))
+                    rejections.push((now + REJECTION_DELAY, at, release(frame.task, cause_code::NOT_SENT)))
                 }
                 Behavior::Silent | Behavior::Dead => {}
             }
--- a/crates/planner/tests/harness/load.rs
+++ b/crates/planner/tests/harness/load.rs
@@ -132,14 +132,14 @@
 /// The answer to the start request of a task; `None` if the connection ends without one, or none arrives in
 /// time.
 pub fn answer_to(stream: &mut TcpStream, task: u64) -> Option<Answer> {
-    let (mut frames, mut bytes) = (Frames::default(), [0; 1]);
+    let (mut frames, mut bytes) = (FrameBuffer::default(), [0; 1]);
     while stream.read(&mut bytes).ok()? == 1 {
-        frames.take(&bytes);
+        frames.extend(&bytes);
         let Some(frame) = frames.next_frame().expect("a valid frame") else { continue };
         match (frame.task == task, frame.kind) {
-            (true, kind::ANSWER) => return Some(Answer::Placed),
+            (true, kind::ACCEPT) => return Some(Answer::Placed),
             (true, kind::RELEASE) => {
-                let failed = mulleinhub_platform_protocol::cause(&frame) == Some(why::ERROR);
+                let failed = mulleinhub_platform_protocol::cause(&frame) == Some(cause_code::ERROR);
                 return Some(if failed { Answer::Failed } else { Answer::Rejected });
             }
             // Ends of earlier tasks.
--- a/crates/planner/tests/harness/messages.rs
+++ b/crates/planner/tests/harness/messages.rs
@@ -4,11 +4,11 @@
 
 /// The next message on a connection: its type, task and cause.
 pub fn next_message(stream: &mut TcpStream) -> (u8, u64, Option<u8>) {
-    let mut frames = Frames::default();
+    let mut frames = FrameBuffer::default();
     loop {
         let mut byte = [0];
         assert_eq!(stream.read(&mut byte).expect("in time"), 1, "the connection ended");
-        frames.take(&byte);
+        frames.extend(&byte);
         if let Some(frame) = frames.next_frame().expect("a valid frame") {
             return (frame.kind, frame.task, mulleinhub_platform_protocol::cause(&frame));
         }
@@ -17,9 +17,9 @@
 
 /// All messages on a connection until its end, orderly or not.
 pub fn remaining_messages(mut stream: TcpStream) -> Vec<(u8, u64, Option<u8>)> {
-    let (mut frames, mut bytes, mut all) = (Frames::default(), [0; 4096], Vec::new());
+    let (mut frames, mut bytes, mut all) = (FrameBuffer::default(), [0; 4096], Vec::new());
     while let Ok(n @ 1..) = stream.read(&mut bytes) {
-        frames.take(&bytes[..n]);
+        frames.extend(&bytes[..n]);
         while let Ok(Some(frame)) = frames.next_frame() {
             all.push((frame.kind, frame.task, mulleinhub_platform_protocol::cause(&frame)));
         }
@@ -35,14 +35,14 @@
 /// A start request of a class; `more` is appended to the figures.
 pub fn start_request_of(task: u64, class: &str, more: &str) -> Vec<u8> {
     let figures = format!("cores:1;memory:2;service:00000000b4d65521{more}");
-    let mut params: Vec<(u8, &[u8])> = vec![(code::CLASS, class.as_bytes()), (code::PATIENCE, b"2000")];
+    let mut params: Vec<(u8, &[u8])> = vec![(code::CLASS, class.as_bytes()), (code::TIMEOUT, b"2000")];
     if class == "batch" {
-        params.push((code::KEY, b"5c0f6e1a2b3d4c59a8b7c6d5e4f30211"));
+        params.push((code::IDEMPOTENCY_KEY, b"5c0f6e1a2b3d4c59a8b7c6d5e4f30211"));
     }
     params.push((code::NAME, b"7f3a9c21e0b4d655"));
-    params.push((code::FIGURES, figures.as_bytes()));
+    params.push((code::RESOURCES, figures.as_bytes()));
     params.push((code::DESCRIPTION, b"wanted"));
-    encoded(|out| write_message(out, kind::SET_UP, task, &params))
+    encoded(|out| write_message(out, kind::START, task, &params))
 }
 
 /// The same start request with another client timeout.
@@ -67,15 +67,17 @@
 }
 
 pub fn acceptance(task: u64) -> Vec<u8> {
-    encoded(|out| write_answer(out, task, b"made"))
+    encoded(|out| write_acceptance(out, task, b"made"))
 }
 
 /// Waits until all that was written on this connection before is handled, and its consequences are carried
 /// out: the second health check is answered in a later iteration than the first.
 pub fn wait_until_handled(client: &mut TcpStream) {
     for check in [u64::MAX - 1, u64::MAX] {
-        client.write_all(&encoded(|out| write_with_cause(out, kind::TEST, check, 0))).expect("is sent");
-        assert_eq!(next_message(client), (kind::TESTED, check, Some(1)));
+        client
+            .write_all(&encoded(|out| write_with_cause(out, kind::HEALTH_CHECK, check, 0)))
+            .expect("is sent");
+        assert_eq!(next_message(client), (kind::HEALTH_RESULT, check, Some(1)));
     }
 }
 
@@ -94,7 +96,7 @@
 pub fn start_requests(stream: TcpStream) -> Vec<u64> {
     remaining_messages(stream)
         .into_iter()
-        .filter(|(of, ..)| *of == kind::SET_UP)
+        .filter(|(of, ..)| *of == kind::START)
         .map(|(_, task, _)| task)
         .collect()
 }
--- a/crates/planner/tests/harness/mod.rs
+++ b/crates/planner/tests/harness/mod.rs
@@ -13,7 +13,9 @@
 
 pub use messages::*;
 
-use mulleinhub_platform_protocol::{Frames, code, kind, why, write_answer, write_message, write_with_cause};
+use mulleinhub_platform_protocol::{
+    FrameBuffer, cause_code, code, kind, write_acceptance, write_message, write_with_cause,
+};
 use rustix::process::{Pid, Signal, kill_process};
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -318,13 +320,13 @@
     listener.set_nonblocking(false).expect("is set");
     while let Ok((mut machine_connection, _)) = listener.accept() {
         std::thread::spawn(move || {
-            let (mut frames, mut bytes) = (Frames::default(), [0; 4096]);
+            let (mut frames, mut bytes) = (FrameBuffer::default(), [0; 4096]);
             while let Ok(n @ 1..) = machine_connection.read(&mut bytes) {
-                frames.take(&bytes[..n]);
+                frames.extend(&bytes[..n]);
                 let mut out = Vec::new();
                 while let Ok(Some(frame)) = frames.next_frame() {
-                    if frame.kind == kind::SET_UP {
-                        write_answer(&mut out, frame.task, b"made");
+                    if frame.kind == kind::START {
+                        write_acceptance(&mut out, frame.task, b"made");
                     }
                 }
                 if machine_connection.write_all(&out).is_err() {
--- a/crates/planner/tests/platform.rs
+++ b/crates/planner/tests/platform.rs
@@ -3,7 +3,7 @@
 mod harness;
 
 use harness::*;
-use mulleinhub_platform_protocol::{kind, why, write_answer, write_with_cause};
+use mulleinhub_platform_protocol::{cause_code, kind, write_acceptance, write_with_cause};
 use rustix::process::Signal;
 use std::io::{Read, Write};
 use std::net::TcpStream;
@@ -13,8 +13,8 @@
 fn serves_reloads_rejects_invalid_bytes_and_stops_on_sigterm() {
     let mut scheduler = Scheduler::start();
     let mut client = scheduler.connect();
-    client.write_all(&encoded(|out| write_with_cause(out, kind::TEST, 1, 0))).expect("is sent");
-    assert_eq!(next_message(&mut client), (kind::TESTED, 1, Some(1)));
+    client.write_all(&encoded(|out| write_with_cause(out, kind::HEALTH_CHECK, 1, 0))).expect("is sent");
+    assert_eq!(next_message(&mut client), (kind::HEALTH_RESULT, 1, Some(1)));
     let (_first, _) = scheduler.list_service.accept().expect("it watches the list");
     // Invalid bytes close their own connection.
     let mut invalid = scheduler.connect();
@@ -24,9 +24,9 @@
     client.write_all(&start_request(7)).expect("is sent");
     let (mut machine, _) = scheduler.machine.accept().expect("it is sent to the machine");
     machine.set_read_timeout(Some(TIMEOUT)).expect("is set");
-    assert_eq!(next_message(&mut machine), (kind::SET_UP, 7, None));
-    machine.write_all(&encoded(|out| write_answer(out, 7, b"made"))).expect("is sent");
-    assert_eq!(next_message(&mut client), (kind::ANSWER, 7, None));
+    assert_eq!(next_message(&mut machine), (kind::START, 7, None));
+    machine.write_all(&encoded(|out| write_acceptance(out, 7, b"made"))).expect("is sent");
+    assert_eq!(next_message(&mut client), (kind::ACCEPT, 7, None));
     // An invalid file leaves the current configuration in force; a valid one moves the list service.
     std::fs::write(&scheduler.config, "{\"name\":").expect("is written");
     scheduler.signal(Signal::HUP);
@@ -41,20 +41,22 @@
     let n = second.read(&mut request).expect("the request");
     assert!(String::from_utf8_lossy(&request[..n]).contains("Last-Event-ID: 1\r\n"));
     // The task ends, and its client is notified on the connection that lasted through all this.
-    machine.write_all(&encoded(|out| write_with_cause(out, kind::RELEASE, 7, why::ENDED))).expect("is sent");
-    assert_eq!(next_message(&mut client), (kind::RELEASE, 7, Some(why::ENDED)));
-    assert_eq!(next_message(&mut machine).0, kind::RELEASE_HEARD);
+    machine
+        .write_all(&encoded(|out| write_with_cause(out, kind::RELEASE, 7, cause_code::ENDED)))
+        .expect("is sent");
+    assert_eq!(next_message(&mut client), (kind::RELEASE, 7, Some(cause_code::ENDED)));
+    assert_eq!(next_message(&mut machine).0, kind::RELEASE_ACK);
     // Shutdown: health checks fail, requests are accepted a while longer, and it exits with all answered.
     let signalled_at = Instant::now();
     scheduler.signal(Signal::TERM);
     scheduler.wait_for_log(log_lines::DRAINING_STARTED);
-    client.write_all(&encoded(|out| write_with_cause(out, kind::TEST, 2, 0))).expect("is sent");
-    assert_eq!(next_message(&mut client), (kind::TESTED, 2, Some(0)));
+    client.write_all(&encoded(|out| write_with_cause(out, kind::HEALTH_CHECK, 2, 0))).expect("is sent");
+    assert_eq!(next_message(&mut client), (kind::HEALTH_RESULT, 2, Some(0)));
     client.write_all(&start_request(8)).expect("is sent");
-    assert_eq!(next_message(&mut machine), (kind::SET_UP, 8, None));
+    assert_eq!(next_message(&mut machine), (kind::START, 8, None));
     scheduler.signal(Signal::TERM);
-    machine.write_all(&encoded(|out| write_answer(out, 8, b"made"))).expect("is sent");
-    assert_eq!(next_message(&mut client), (kind::ANSWER, 8, None));
+    machine.write_all(&encoded(|out| write_acceptance(out, 8, b"made"))).expect("is sent");
+    assert_eq!(next_message(&mut client), (kind::ACCEPT, 8, None));
     assert_eq!(scheduler.wait_for_exit(), Some(0), "{}", scheduler.log());
     assert!(signalled_at.elapsed() >= Duration::from_millis(700), "requests were still accepted");
 }
@@ -78,8 +80,8 @@
 fn signals_received_while_paused_are_both_handled() {
     let mut scheduler = Scheduler::start();
     let mut client = scheduler.connect();
-    client.write_all(&encoded(|out| write_with_cause(out, kind::TEST, 1, 0))).expect("is sent");
-    assert_eq!(next_message(&mut client), (kind::TESTED, 1, Some(1)));
+    client.write_all(&encoded(|out| write_with_cause(out, kind::HEALTH_CHECK, 1, 0))).expect("is sent");
+    assert_eq!(next_message(&mut client), (kind::HEALTH_RESULT, 1, Some(1)));
     let moved_service = listener(4);
     std::fs::write(&scheduler.config, config(address(&scheduler.machine), address(&moved_service)))
         .expect("is written");
@@ -106,8 +108,8 @@
     let (mut placed, mut rejected) = (0, 0);
     for (task, mut client) in (100..).zip(clients) {
         match next_message(&mut client) {
-            (kind::ANSWER, of, None) if of == task => placed += 1,
-            (kind::RELEASE, of, Some(why::BUSY | why::FULL)) if of == task => rejected += 1,
+            (kind::ACCEPT, of, None) if of == task => placed += 1,
+            (kind::RELEASE, of, Some(cause_code::BUSY | cause_code::FULL)) if of == task => rejected += 1,
             other => panic!("task {task}: {other:?}"),
         }
     }
--- a/crates/planner/tests/races.rs
+++ b/crates/planner/tests/races.rs
@@ -5,7 +5,7 @@
 
 use harness::disconnect::Disconnect;
 use harness::*;
-use mulleinhub_platform_protocol::{kind, why};
+use mulleinhub_platform_protocol::{cause_code, kind};
 use rustix::process::Signal;
 use std::io::{Read, Write};
 use std::net::{TcpListener, TcpStream};
@@ -66,9 +66,9 @@
         } else {
             scheduler.resume();
             let mut machine_connection = scheduler.accept_machine();
-            assert_eq!(next_message(&mut machine_connection), (kind::SET_UP, 40, None));
+            assert_eq!(next_message(&mut machine_connection), (kind::START, 40, None));
             machine_connection.write_all(&acceptance(40)).expect("is sent");
-            assert_eq!(next_message(&mut client), (kind::ANSWER, 40, None));
+            assert_eq!(next_message(&mut client), (kind::ACCEPT, 40, None));
         }
     }
     scheduler.kill();
@@ -110,9 +110,9 @@
         let mut client = scheduler.connect();
         client.write_all(&with_client_timeout(start_request(7), "60000")).expect("is sent");
         let (at, mut machine_connection) = accept_from_any(&[&scheduler.machine, &second]);
-        assert_eq!(next_message(&mut machine_connection), (kind::SET_UP, 7, None));
+        assert_eq!(next_message(&mut machine_connection), (kind::START, 7, None));
         scheduler.pause();
-        machine_connection.write_all(&release(7, why::FULL)).expect("is sent");
+        machine_connection.write_all(&release(7, cause_code::FULL)).expect("is sent");
         let still_open = disconnect.perform(client, 7..=7);
         scheduler.resume();
         wait_for_iterations(&scheduler, 6);
@@ -132,7 +132,7 @@
         let mut client = scheduler.connect();
         client.write_all(&start_request(7)).expect("is sent");
         let (at, mut machine_connection) = accept_from_any(&[&scheduler.machine, &second]);
-        assert_eq!(next_message(&mut machine_connection), (kind::SET_UP, 7, None));
+        assert_eq!(next_message(&mut machine_connection), (kind::START, 7, None));
         scheduler.pause();
         let still_open = disconnect.perform(client, 7..=7);
         // The attempt is cancelled after a tenth of the client timeout, which is two seconds.
@@ -152,10 +152,10 @@
     let mut client = scheduler.connect();
     client.write_all(&start_request(7)).expect("is sent");
     let mut machine_connection = scheduler.accept_machine();
-    assert_eq!(next_message(&mut machine_connection), (kind::SET_UP, 7, None));
+    assert_eq!(next_message(&mut machine_connection), (kind::START, 7, None));
     scheduler.pause();
     machine_connection.write_all(&acceptance(7)).expect("is sent");
-    client.write_all(&release(7, why::ENDED)).expect("is sent");
+    client.write_all(&release(7, cause_code::ENDED)).expect("is sent");
     scheduler.resume();
     // Handled in either order, the attempt is cancelled.
     let (of, task, _) = next_message(&mut machine_connection);
@@ -166,12 +166,12 @@
 /// As `wait_until_handled`; the answer to a start request may arrive before.
 fn wait_until_handled_after_answers(client: &mut TcpStream) {
     let write = mulleinhub_platform_protocol::write_with_cause;
-    client.write_all(&encoded(|out| write(out, kind::TEST, 99, 0))).expect("is sent");
+    client.write_all(&encoded(|out| write(out, kind::HEALTH_CHECK, 99, 0))).expect("is sent");
     let mut answers = 0;
     loop {
         match next_message(client) {
-            (kind::TESTED, 99, Some(1)) => break,
-            (kind::ANSWER, 7, None) => answers += 1,
+            (kind::HEALTH_RESULT, 99, Some(1)) => break,
+            (kind::ACCEPT, 7, None) => answers += 1,
             other => panic!("{other:?}"),
         }
     }
@@ -202,9 +202,9 @@
     let machine_connection = blocked.open();
     scheduler.resume();
     let mut other = accept_connection(&second);
-    assert_eq!(next_message(&mut other), (kind::SET_UP, 7, None));
+    assert_eq!(next_message(&mut other), (kind::START, 7, None));
     other.write_all(&acceptance(7)).expect("is sent");
-    assert_eq!(next_message(&mut client), (kind::ANSWER, 7, None));
+    assert_eq!(next_message(&mut client), (kind::ACCEPT, 7, None));
     scheduler.kill();
     assert_eq!(start_requests(machine_connection), NONE, "the machine drains");
 }
@@ -217,7 +217,7 @@
     let mut client = scheduler.connect();
     client.write_all(&with_client_timeout(start_request_of(7, "batch", ""), "60000")).expect("is sent");
     let mut machine_connection = scheduler.accept_machine();
-    assert_eq!(next_message(&mut machine_connection), (kind::SET_UP, 7, None));
+    assert_eq!(next_message(&mut machine_connection), (kind::START, 7, None));
     let since = Instant::now();
     let (mut list_service, _) = scheduler.accept_watch();
     list_service
@@ -232,7 +232,7 @@
     std::thread::sleep(Duration::from_millis(3_200).saturating_sub(since.elapsed()));
     let machine_connection = blocked.open();
     scheduler.resume();
-    assert_eq!(next_message(&mut client), (kind::RELEASE, 7, Some(why::ERROR)));
+    assert_eq!(next_message(&mut client), (kind::RELEASE, 7, Some(cause_code::ERROR)));
     scheduler.kill();
     assert_eq!(
         start_requests(machine_connection),
@@ -263,7 +263,7 @@
     for task in 1..=5 {
         client.write_all(&start_request(task)).expect("is sent");
         let mut machine_connection = accept_connection(&second);
-        assert_eq!(next_message(&mut machine_connection), (kind::SET_UP, task, None));
+        assert_eq!(next_message(&mut machine_connection), (kind::START, task, None));
         machine_connections.push(machine_connection);
     }
     scheduler.kill();
@@ -388,14 +388,14 @@
     let mut client = scheduler.connect();
     client.write_all(&start_request(7)).expect("is sent");
     let mut machine_connection = scheduler.accept_machine();
-    assert_eq!(next_message(&mut machine_connection), (kind::SET_UP, 7, None));
+    assert_eq!(next_message(&mut machine_connection), (kind::START, 7, None));
     machine_connection.write_all(&acceptance(7)).expect("is sent");
-    assert_eq!(next_message(&mut client), (kind::ANSWER, 7, None));
+    assert_eq!(next_message(&mut client), (kind::ACCEPT, 7, None));
     // A machine reports the end of a task whose scheduler died on any open connection.
-    machine_connection.write_all(&release(99, why::RESET)).expect("is sent");
-    assert_eq!(next_message(&mut machine_connection), (kind::RELEASE_HEARD, 99, None));
+    machine_connection.write_all(&release(99, cause_code::RESET)).expect("is sent");
+    assert_eq!(next_message(&mut machine_connection), (kind::RELEASE_ACK, 99, None));
     client.write_all(&start_request_of(99, "front", ";at:s-1")).expect("is sent");
-    assert_eq!(next_message(&mut client), (kind::RELEASE, 99, Some(why::RESET)));
+    assert_eq!(next_message(&mut client), (kind::RELEASE, 99, Some(cause_code::RESET)));
     // Once only: handed over again, it is a task like any other.
     wait_until_handled(&mut client);
 }
@@ -417,10 +417,10 @@
         .write_all(&sse_event(2, &[list_entry("s-2", address(&second), "in_service", 0)]))
         .expect("is sent");
     let mut machine_connection = accept_connection(&second);
-    machine_connection.write_all(&release(99, why::ENDED)).expect("is sent");
-    assert_eq!(next_message(&mut machine_connection), (kind::RELEASE_HEARD, 99, None));
+    machine_connection.write_all(&release(99, cause_code::ENDED)).expect("is sent");
+    assert_eq!(next_message(&mut machine_connection), (kind::RELEASE_ACK, 99, None));
     let message = next_message(&mut client);
-    assert_eq!(message, (kind::RELEASE, 99, Some(why::ENDED)));
+    assert_eq!(message, (kind::RELEASE, 99, Some(cause_code::ENDED)));
     wait_until_handled(&mut another);
 }
 
@@ -430,7 +430,7 @@
     let mut client = scheduler.connect();
     let started_at = Instant::now();
     client.write_all(&start_request_of(99, "front", ";at:s-none")).expect("is sent");
-    assert_eq!(next_message(&mut client), (kind::RELEASE, 99, Some(why::ERROR)));
+    assert_eq!(next_message(&mut client), (kind::RELEASE, 99, Some(cause_code::ERROR)));
     assert!(
         started_at.elapsed() < Duration::from_secs(3),
         "an invalid request is answered within three seconds"
@@ -447,13 +447,13 @@
     client.write_all(&all).expect("is sent");
     scheduler.resume();
     let mut machine_connection = scheduler.accept_machine();
-    let ends: Vec<u8> = (1..=2_000).flat_map(|task| release(task, why::ENDED)).collect();
+    let ends: Vec<u8> = (1..=2_000).flat_map(|task| release(task, cause_code::ENDED)).collect();
     // Reported either way: an end that arrives before its handover is reported with it.
     machine_connection.write_all(&ends).expect("is sent");
     let mut reported = std::collections::BTreeSet::new();
     while reported.len() < 2_000 {
         let (of, task, cause) = next_message(&mut client);
-        assert_eq!((of, cause), (kind::RELEASE, Some(why::ENDED)));
+        assert_eq!((of, cause), (kind::RELEASE, Some(cause_code::ENDED)));
         assert!(reported.insert(task), "task {task} is reported twice");
     }
     wait_until_handled(&mut client);
@@ -508,18 +508,18 @@
     scheduler.signal(Signal::TERM);
     partial.write_all(&start_request(1)[40..]).expect("is sent");
     for (task, client) in (100..).zip(&mut backlog) {
-        assert_eq!(next_message(client), (kind::ANSWER, task, None));
+        assert_eq!(next_message(client), (kind::ACCEPT, task, None));
     }
     let mut answers: Vec<u64> = (200..220)
         .map(|_| {
             let (of, task, _) = next_message(&mut pipelined);
-            assert_eq!(of, kind::ANSWER);
+            assert_eq!(of, kind::ACCEPT);
             task
         })
         .collect();
     answers.sort_unstable();
     assert_eq!(answers, (200..220).collect::<Vec<u64>>());
-    assert_eq!(next_message(&mut partial), (kind::ANSWER, 1, None));
+    assert_eq!(next_message(&mut partial), (kind::ACCEPT, 1, None));
     // Each connection is closed, not reset.
     for mut client in backlog.into_iter().chain([pipelined, partial]) {
         assert_eq!(client.read(&mut [0; 16]).expect("an end, no reset"), 0);
@@ -539,7 +539,7 @@
     scheduler.signal(Signal::TERM);
     scheduler.wait_for_log(log_lines::DRAINING_STARTED);
     for task in 1..=2_000 {
-        assert_eq!(next_message(&mut client), (kind::RELEASE, task, Some(why::ERROR)));
+        assert_eq!(next_message(&mut client), (kind::RELEASE, task, Some(cause_code::ERROR)));
     }
     assert_eq!(client.read(&mut [0; 16]).expect("an end, no reset"), 0);
     assert_eq!(scheduler.wait_for_exit(), Some(0), "{}", scheduler.log());
--- a/crates/platform-settings/src/lib.rs
+++ b/crates/platform-settings/src/lib.rs
@@ -74,13 +74,13 @@
             acceptance: acceptance_rules(facts, limits)?,
             slow_start: slow_start(config, rules, facts)?,
             discovery: Discovery {
-                asked: text(config, "discovery") == Some("ask"),
-                ask_within: duration(rules, "askWithin")?,
+                watch_required: text(config, "discovery") == Some("ask"),
+                max_staleness: duration(rules, "askWithin")?,
             },
             locality_costs: LocalityCosts {
-                zone,
-                cross_zone_price: number(tariffs, "crossZone").unwrap_or(0.0),
-                machine_price: number(tariffs, "fleet").unwrap_or(0.0),
+                local_zone: zone,
+                cross_zone_cost: number(tariffs, "crossZone").unwrap_or(0.0),
+                machine_cost: number(tariffs, "fleet").unwrap_or(0.0),
             },
             names: Names {
                 use_cases: classes.iter().map(|c| text(c, "name").unwrap_or_default().to_owned()).collect(),
@@ -98,34 +98,36 @@
     pub fn placement_policy(&self, seed: u64) -> PlacementPolicy {
         PlacementPolicy::new(
             seed,
-            self.use_cases.clone(),
-            self.machine_kinds.clone(),
-            self.acceptance,
-            self.slow_start,
-            self.discovery,
-            self.locality_costs,
+            PolicySettings {
+                use_cases: self.use_cases.clone(),
+                machine_kinds: self.machine_kinds.clone(),
+                acceptance: self.acceptance,
+                slow_start: self.slow_start,
+                discovery: self.discovery,
+                locality: self.locality_costs,
+            },
         )
     }
 }
 
 fn acceptance_rules(facts: &Value, limits: &Value) -> Result<AcceptanceRules, SettingsError> {
     Ok(AcceptanceRules {
-        cores: number(facts, "acceptsCores")?,
-        memory: number(facts, "acceptsMemory")?,
-        yes_when_running: text(facts, "yesAt") == Some("running"),
-        max_sends: number(limits, "maxAttempts")? as u32,
-        tells_pressure: flag(facts, "tellsPressure"),
-        recalls: flag(limits, "cancel"),
+        cores_overcommit: number(facts, "acceptsCores")?,
+        memory_overcommit: number(facts, "acceptsMemory")?,
+        accepts_when_running: text(facts, "yesAt") == Some("running"),
+        max_attempts: number(limits, "maxAttempts")? as u32,
+        reports_pressure: flag(facts, "tellsPressure"),
+        supports_cancel: flag(limits, "cancel"),
     })
 }
 
 fn slow_start(config: &Value, rules: &Value, facts: &Value) -> Result<SlowStart, SettingsError> {
     Ok(SlowStart {
-        warm_after: duration(rules, "warmAfter")?,
-        fall: duration(rules, "fall")?,
-        young_limit: number(facts, "youngLimit")?,
-        schedulers: number(config, "balancers")? as u32,
-        number: number(config, "index")? as u32,
+        warm_up_time: duration(rules, "warmAfter")?,
+        budget_window: duration(rules, "fall")?,
+        attempt_budget: number(facts, "youngLimit")?,
+        scheduler_count: number(config, "balancers")? as u32,
+        scheduler_index: number(config, "index")? as u32,
     })
 }
 
--- a/crates/platform-settings/src/use_cases.rs
+++ b/crates/platform-settings/src/use_cases.rs
@@ -25,15 +25,15 @@
     let effect = idempotency(class)?;
     let spread_domain = value("spreadOver").and_then(Value::as_str).and_then(spread_domain);
     Ok(UseCase {
-        soft_limit: duration(class, "target")?,
+        latency_objective: duration(class, "target")?,
         client_timeout: duration(class, "deadline")?,
-        effect,
-        earnings: number(class, "gain")?,
+        idempotency: effect,
+        value_per_second: number(class, "gain")?,
         priority: figure("precedence").unwrap_or(0.0) as u8,
-        kind: figure("kindByClass").filter(|kind| *kind >= 0.0).map(|kind| KindId(kind as usize)),
+        machine_kind: figure("kindByClass").filter(|kind| *kind >= 0.0).map(|kind| KindId(kind as usize)),
         spread: spread_domain.zip(figure("togetherMax").map(|max| max as usize)),
-        full_up_to: figure("fullUpTo").unwrap_or(1.0),
-        fade: figure("classFade").unwrap_or(0.0),
+        saturation_threshold: figure("fullUpTo").unwrap_or(1.0),
+        degradation_range: figure("classFade").unwrap_or(0.0),
     })
 }
 
@@ -51,7 +51,7 @@
 /// The domain within which machines share their idempotency keys.
 fn key_domain(class: &Value) -> FailureDomain {
     match text(class, "group") {
-        Some("all") => FailureDomain::All,
+        Some("all") => FailureDomain::Cluster,
         Some("zone") => FailureDomain::Zone,
         _ => FailureDomain::Cell,
     }
--- a/crates/platform/src/adoptions.rs
+++ b/crates/platform/src/adoptions.rs
@@ -135,7 +135,7 @@
     state.clients.greeted(client);
     proves_itself(state, client);
     state.counts.adopted += 1;
-    tracing::debug!(task = hex(id), machine = machine.0, ask = ?spec.ask, "task adopted");
+    tracing::debug!(task = hex(id), machine = machine.0, ask = ?spec.request, "task adopted");
     if let Some(cause) = state.adoptions.recorded_end(id, machine) {
         return state.report_end(Some(client), id, cause);
     }
--- a/crates/platform/src/attempts/mod.rs
+++ b/crates/platform/src/attempts/mod.rs
@@ -13,7 +13,7 @@
 use crate::tasks::{Attempt, AttemptId, AttemptState};
 use crate::timers::TimerEvent;
 use mulleinhub_interface::{Duration, Idempotency, MachineId, MachineState, Outcome, TaskId, Timestamp};
-use mulleinhub_platform_protocol::{self as protocol, kind, why};
+use mulleinhub_platform_protocol::{self as protocol, cause_code, kind};
 
 /// Time between two looks for a connection where none may be opened, as a part of the connect timeout.
 const CONNECTION_RETRY_PART: f64 = 0.2;
@@ -28,12 +28,12 @@
         else {
             return never;
         };
-        let effect = self.settings.use_cases[task.spec.use_case.0].effect;
+        let effect = self.settings.use_cases[task.spec.use_case.0].idempotency;
         let window_end = match (effect, task.may_have_run_since) {
             (Idempotency::Keyed { window, .. }, Some(first)) => first + window,
             _ => never,
         };
-        let budget_end = machine.slow_start.stale_after(self.now, self.settings.cold.fall);
+        let budget_end = machine.slow_start.stale_after(self.now, self.settings.slow_start.budget_window);
         budget_end.map_or(window_end, |budget_end| budget_end.min(window_end))
     }
 
@@ -47,9 +47,9 @@
         let Some(connection_id) = self.connection_for(attempt.machine, id) else { return false };
         let token = self.next_token();
         if let Some(machine) = self.machines.by_id.get_mut(&attempt.machine) {
-            machine.slow_start.wrote(now, id.0, attempt.number);
+            machine.slow_start.on_sent(now, id.0, attempt.number);
         }
-        self.machines.pool.used(now, connection_id.0);
+        self.machines.pool.touch(now, connection_id.0);
         let connection = self.machines.connections.get_mut(&connection_id).expect("was chosen");
         connection.awaiting.push(id);
         connection.used_at = now;
@@ -60,7 +60,7 @@
         let patience_ms = (attempt.deadline - now).nanos() / 1_000_000;
         let payload = task.payload.as_ref().expect("is kept until the task runs");
         self.output.clear();
-        protocol::write_setup(
+        protocol::write_start_request(
             &mut self.output,
             id.0,
             use_case,
@@ -87,7 +87,7 @@
         if self.has_pending_outcome(attempt_id) {
             return;
         }
-        let effect = self.settings.use_cases[task.spec.use_case.0].effect;
+        let effect = self.settings.use_cases[task.spec.use_case.0].idempotency;
         let stop_if_accepted = effect == Idempotency::Idempotent;
         let outcome = self.retract(id, attempt, stop_if_accepted).unwrap_or(if_may_run);
         self.policy_queue.push_outcome(attempt_id, outcome);
@@ -105,10 +105,12 @@
         let connection = self.machines.connections.get_mut(&connection_id)?;
         connection.remove_awaiting(id);
         if withdrawn {
-            return Some(if connection.established { Outcome::NotSent } else { Outcome::NoConnection });
+            return Some(if connection.established { Outcome::NotSent } else { Outcome::ConnectionFailed });
         }
         connection.record_given_up(id, stop_if_accepted);
-        self.send(connection_id, |out| protocol::write_with_cause(out, kind::RELEASE, id.0, why::ENDED));
+        self.send(connection_id, |out| {
+            protocol::write_with_cause(out, kind::RELEASE, id.0, cause_code::ENDED)
+        });
         None
     }
 
@@ -157,12 +159,12 @@
     /// Writes the start requests that were held back, as far as the slow-start gate lets them. What waited
     /// too long for a machine that warms up goes back to the policy, whose budget no longer counts it.
     pub fn release_queued(&mut self, id: MachineId) {
-        let (now, window) = (self.now, self.settings.cold.fall);
+        let (now, window) = (self.now, self.settings.slow_start.budget_window);
         let Some(machine) = self.machines.by_id.get_mut(&id) else { return };
         if machine.queued_attempts.is_empty() {
             return;
         }
-        let gate_opens_at = machine.slow_start.shut_until(now, window);
+        let gate_opens_at = machine.slow_start.closed_until(now, window);
         let mut still_queued = Vec::new();
         for attempt_id in std::mem::take(&mut machine.queued_attempts) {
             let attempt = self.tasks.attempt(attempt_id.task);
@@ -173,7 +175,7 @@
             let machine = &self.machines.by_id[&id];
             let is_stale =
                 machine.slow_start.is_stale(now, window, attempt.decided_at) || attempt.write_deadline < now;
-            if is_stale || machine.entry.mode != MachineState::Active {
+            if is_stale || machine.entry.state != MachineState::Active {
                 self.policy_queue.push_outcome(attempt_id, Outcome::NotSent);
             } else if gate_opens_at.is_some() || attempt.deadline <= now {
                 still_queued.push(attempt_id);
@@ -182,7 +184,7 @@
             }
         }
         if let Some(until) = gate_opens_at.filter(|_| !still_queued.is_empty()) {
-            self.timers.set(until, TimerEvent::ReleaseQueued(id));
+            self.timers.schedule(until, TimerEvent::ReleaseQueued(id));
         }
         self.machines.by_id.get_mut(&id).expect("is there").queued_attempts.extend(still_queued);
     }
@@ -191,7 +193,7 @@
     pub fn queue_for_slow_start(&mut self, attempt: AttemptId, id: MachineId, until: Timestamp) {
         let machine = self.machines.by_id.get_mut(&id).expect("the policy chooses listed machines");
         machine.queued_attempts.push(attempt);
-        self.timers.set(until, TimerEvent::ReleaseQueued(id));
+        self.timers.schedule(until, TimerEvent::ReleaseQueued(id));
     }
 
     /// Holds an attempt back as no connection may be opened for it: that is a limit of this process, and
@@ -199,11 +201,11 @@
     pub fn queue_for_connection(&mut self, attempt: AttemptId, id: MachineId) {
         let machine = self.machines.by_id.get_mut(&id).expect("the policy chooses listed machines");
         if machine.replaced {
-            return self.policy_queue.push_outcome(attempt, Outcome::NoConnection);
+            return self.policy_queue.push_outcome(attempt, Outcome::ConnectionFailed);
         }
         machine.queued_attempts.push(attempt);
         let retry_interval: Duration = self.machines.timeouts.connect * CONNECTION_RETRY_PART;
-        self.timers.set(self.now + retry_interval, TimerEvent::ReleaseQueued(id));
+        self.timers.schedule(self.now + retry_interval, TimerEvent::ReleaseQueued(id));
     }
 
     /// The wait for an answer has ended: the attempt is given up at its machine before another one is made.
--- a/crates/platform/src/attempts/outcomes.rs
+++ b/crates/platform/src/attempts/outcomes.rs
@@ -3,7 +3,7 @@
 use crate::state::{SchedulerState, SharedState};
 use crate::tasks::{Attempt, AttemptId, hex};
 use mulleinhub_interface::{LoadReport, Outcome, PolicyEvents, TaskId};
-use mulleinhub_platform_protocol::{Cause, why};
+use mulleinhub_platform_protocol::{Cause, cause_code};
 
 /// Notifies the policy of the cancelled tasks, and of the outcomes that this side found out.
 pub fn settle_pending(shared: &SharedState, events: &mut dyn PolicyEvents) {
@@ -11,7 +11,7 @@
     loop {
         let next = shared.borrow_mut().policy_queue.outcomes.pop_front();
         let Some((attempt, outcome)) = next else { return };
-        settle(shared, events, attempt, outcome, why::RESET);
+        settle(shared, events, attempt, outcome, cause_code::RESET);
     }
 }
 
@@ -69,7 +69,7 @@
     outcome: Outcome,
 ) -> bool {
     let task = state.tasks.by_id.get_mut(&id).expect("it had an attempt");
-    if !matches!(outcome, Outcome::Rejected(_) | Outcome::NoConnection | Outcome::NotSent) {
+    if !matches!(outcome, Outcome::Rejected(_) | Outcome::ConnectionFailed | Outcome::NotSent) {
         task.may_have_run_since.get_or_insert(attempt.decided_at);
     }
     let is_cancelled = task.is_cancelled();
--- a/crates/platform/src/clients/cancel.rs
+++ b/crates/platform/src/clients/cancel.rs
@@ -3,7 +3,7 @@
 use crate::state::{SchedulerState, SharedState};
 use crate::tasks::ClientInterest;
 use mulleinhub_interface::{Outcome, PolicyEvents, TaskId};
-use mulleinhub_platform_protocol::{self as protocol, why};
+use mulleinhub_platform_protocol::{self as protocol, cause_code};
 use mulleinhub_sans_io::ConnectionId;
 
 /// A client cancels a task: one that waits for its answer on this very connection, or one that runs.
@@ -48,7 +48,7 @@
 /// Closes a client's connection from this side. Nothing that was admitted on it is left without an answer.
 pub fn close_client(state: &mut SchedulerState, connection_id: ConnectionId) {
     for id in state.clients.awaiting_on(connection_id) {
-        state.send(connection_id, |out| protocol::write_refusal(out, id.0, why::ERROR, 0));
+        state.send(connection_id, |out| protocol::write_rejection(out, id.0, cause_code::ERROR, 0));
         cancel_unanswered(state, id);
     }
     state.drop_client(connection_id);
@@ -60,6 +60,6 @@
         cancel_unanswered(state, id);
     }
     state.clients.by_connection.remove(&connection_id);
-    state.clients.limits.forget(connection_id.0);
+    state.clients.limits.remove(connection_id.0);
     state.connections.abort(connection_id);
 }
--- a/crates/platform/src/clients/messages.rs
+++ b/crates/platform/src/clients/messages.rs
@@ -4,8 +4,8 @@
 use crate::error::ProtocolError;
 use crate::state::{SchedulerState, SharedState};
 use mulleinhub_interface::{PolicyEvents, TaskId};
-use mulleinhub_limits::Act;
-use mulleinhub_platform_protocol::{self as protocol, Frame, Frames, kind};
+use mulleinhub_limits::Action;
+use mulleinhub_platform_protocol::{self as protocol, Frame, FrameBuffer, kind};
 use mulleinhub_sans_io::ConnectionId;
 
 /// Connections whose deadlines are looked at in one iteration.
@@ -41,9 +41,9 @@
     shared: &SharedState,
     events: &mut dyn PolicyEvents,
     connection_id: ConnectionId,
-    frames: &mut Frames,
+    frames: &mut FrameBuffer,
 ) -> Result<bool, ProtocolError> {
-    let max_frames = shared.borrow().clients.limits.frames_a_turn();
+    let max_frames = shared.borrow().clients.limits.max_frames_per_iteration();
     let mut handled_any = false;
     for _ in 0..max_frames {
         let Some(frame) = frames.next_frame()? else { break };
@@ -60,10 +60,10 @@
     frame: &Frame<'_>,
 ) -> Result<(), ProtocolError> {
     match frame.kind {
-        kind::SET_UP => start_requests::handle(shared, events, connection_id, frame)?,
+        kind::START => start_requests::handle(shared, events, connection_id, frame)?,
         kind::RELEASE => cancel_task(&mut shared.borrow_mut(), connection_id, TaskId(frame.task)),
-        kind::TEST => answer_health_check(&mut shared.borrow_mut(), connection_id, frame.task),
-        kind::RELEASE_HEARD | kind::PROGRESS | kind::NOTE => {}
+        kind::HEALTH_CHECK => answer_health_check(&mut shared.borrow_mut(), connection_id, frame.task),
+        kind::RELEASE_ACK | kind::PROGRESS | kind::NOTE => {}
         other => return Err(ProtocolError::UnexpectedType(other)),
     }
     Ok(())
@@ -74,7 +74,7 @@
     state.clients.greeted(connection_id);
     let passes = !state.shutdown.is_requested();
     state.send(connection_id, |out| {
-        protocol::write_with_cause(out, kind::TESTED, id, u8::from(passes));
+        protocol::write_with_cause(out, kind::HEALTH_RESULT, id, u8::from(passes));
     });
 }
 
@@ -83,33 +83,33 @@
 fn finish_input(
     state: &mut SchedulerState,
     connection_id: ConnectionId,
-    mut frames: Frames,
+    mut frames: FrameBuffer,
     handled_any: bool,
 ) -> bool {
     let now = state.now;
     let Some(client) = state.clients.by_connection.get_mut(&connection_id) else { return false };
-    frames.tidy();
-    let (has_partial, has_more) = (frames.kept() > 0, frames.has_next());
+    frames.release_if_empty();
+    let (has_partial, has_more) = (frames.unprocessed() > 0, frames.has_frame());
     client.frames = frames;
     if handled_any {
-        state.clients.limits.frame_heard(connection_id.0);
+        state.clients.limits.frame_completed(connection_id.0);
     }
     let partial_since = client.partial_since.filter(|_| !handled_any).unwrap_or(now);
     client.partial_since = has_partial.then_some(partial_since);
     let (is_closed, rejected) = (client.close_reason.is_some(), client.rejected);
     if has_more {
         // A message that is complete by now is not slow.
-        state.clients.limits.read(now, connection_id.0, false);
+        state.clients.limits.set_partial_frame(now, connection_id.0, false);
         state.defer_client(connection_id);
         return false;
     }
-    let was_paused = state.connections.is_paused(connection_id);
-    state.connections.pause(connection_id, false);
+    let was_paused = state.connections.is_reading_paused(connection_id);
+    state.connections.set_reading_paused(connection_id, false);
     if rejected && !has_partial {
         state.drop_client(connection_id);
         return false;
     }
-    state.clients.limits.read(now, connection_id.0, has_partial);
+    state.clients.limits.set_partial_frame(now, connection_id.0, has_partial);
     if is_closed {
         remove_disconnected_client(state, connection_id);
         return false;
@@ -143,7 +143,7 @@
 pub fn proves_itself(state: &mut SchedulerState, connection_id: ConnectionId) {
     if let Some(client) = state.clients.by_connection.get_mut(&connection_id) {
         client.proven = true;
-        state.clients.limits.is_of_use(connection_id.0);
+        state.clients.limits.mark_legitimate(connection_id.0);
     }
 }
 
@@ -151,7 +151,7 @@
 /// are to make room, and reports ends that no client was connected to receive.
 pub fn enforce_limits(state: &mut SchedulerState) {
     let (now, mut budget) = (state.now, MAX_EXPIRED);
-    while let Some((conn, act)) = state.clients.limits.due(now, &mut budget) {
+    while let Some((conn, act)) = state.clients.limits.next_due(now, &mut budget) {
         let connection_id = ConnectionId(conn);
         let awaits_answer =
             state.clients.by_connection.get(&connection_id).is_some_and(|client| !client.awaiting.is_empty());
@@ -159,8 +159,8 @@
             // There is no sign of life to ask for: an idle connection without a task may be closed. Where a
             // task waits, the answer is ours to give. Seen: a client that waited for longer than the idle
             // timeout was closed.
-            Act::AskForSign if awaits_answer => state.clients.limits.heard(now, conn),
-            Act::AskForSign | Act::End(_) => close_client(state, connection_id),
+            Action::Ping if awaits_answer => state.clients.limits.record_activity(now, conn),
+            Action::Ping | Action::Disconnect(_) => close_client(state, connection_id),
         }
     }
     state.evict_idle_clients();
--- a/crates/platform/src/clients/mod.rs
+++ b/crates/platform/src/clients/mod.rs
@@ -11,8 +11,8 @@
 
 use crate::inbound::ReadMark;
 use mulleinhub_interface::{Duration, TaskId, Timestamp};
-use mulleinhub_limits::{Doorway, Limits, Settings};
-use mulleinhub_platform_protocol::{Cause, Frames};
+use mulleinhub_limits::{AcceptBudget, ConnectionLimits, Settings};
+use mulleinhub_platform_protocol::{Cause, FrameBuffer};
 use mulleinhub_sans_io::{CloseReason, ConnectionId};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::sync::Arc;
@@ -40,7 +40,7 @@
 #[derive(Debug)]
 pub struct Client {
     /// Bytes received and not handled yet.
-    pub frames: Frames,
+    pub frames: FrameBuffer,
     /// How it was closed, once it was; what was received before is handled first.
     pub close_reason: Option<CloseReason>,
     /// It stands in a queue of connections to be handled.
@@ -72,7 +72,7 @@
     /// A connection that was just accepted.
     pub fn new(read_mark: ReadMark) -> Self {
         Self {
-            frames: Frames::default(),
+            frames: FrameBuffer::default(),
             close_reason: None,
             queued: false,
             partial_since: None,
@@ -104,9 +104,9 @@
     /// The clients by their connections.
     pub by_connection: BTreeMap<ConnectionId, Client>,
     /// Limits and deadlines of their connections, and the order in which they are served.
-    pub limits: Limits,
+    pub limits: ConnectionLimits,
     /// How many connections are accepted beyond the limits, for a moment.
-    accept_gate: Doorway,
+    accept_gate: AcceptBudget,
     /// Those that are to be evicted, as of the last iteration and of this one.
     eviction_candidates: Vec<ConnectionId>,
     /// Those for which there was no place, the first to come first, and until when they may send requests.
@@ -119,22 +119,22 @@
 impl Clients {
     /// No clients yet, in a process with so many descriptors.
     pub fn new(descriptors: usize) -> Self {
-        let accept_gate = Doorway::new(descriptors);
-        let mut limits = Limits::new(Settings {
-            most: descriptors,
-            most_of_a_tenant: descriptors,
-            most_of_a_name: descriptors,
-            most_strangers: (descriptors / UNIDENTIFIED_DIVISOR).max(1),
-            opens_a_turn: accept_gate.taken_a_turn,
-            greet_within: FIRST_MESSAGE_TIMEOUT,
-            frame_within: MESSAGE_TIMEOUT,
-            idle_after: IDLE_TIMEOUT,
-            sign_within: IDLE_GRACE,
-            steady_for: ACTIVE_WITHIN,
-            may_speak: EVICTION_GRACE,
-            woken_a_turn: MAX_WOKEN,
+        let accept_gate = AcceptBudget::new(descriptors);
+        let mut limits = ConnectionLimits::new(Settings {
+            max_connections: descriptors,
+            max_per_tenant: descriptors,
+            max_per_name: descriptors,
+            max_unidentified: (descriptors / UNIDENTIFIED_DIVISOR).max(1),
+            max_accepts_per_iteration: accept_gate.max_accepts,
+            greeting_timeout: FIRST_MESSAGE_TIMEOUT,
+            frame_timeout: MESSAGE_TIMEOUT,
+            keepalive_time: IDLE_TIMEOUT,
+            keepalive_timeout: IDLE_GRACE,
+            steady_period: ACTIVE_WITHIN,
+            eviction_grace: EVICTION_GRACE,
+            max_queued_per_iteration: MAX_WOKEN,
         });
-        limits.descriptors(descriptors);
+        limits.set_descriptor_limit(descriptors);
         Self {
             by_connection: BTreeMap::new(),
             limits,
@@ -149,21 +149,21 @@
     /// It has sent a message that clients send.
     pub fn greeted(&mut self, connection_id: ConnectionId) {
         // There is no limit on one name here, and a second time changes nothing.
-        let _ = self.limits.greeted(connection_id.0, &self.name);
+        let _ = self.limits.identify(connection_id.0, &self.name);
     }
 
     /// A task is to be answered on this connection.
     pub fn add_awaiting(&mut self, connection_id: ConnectionId, task: TaskId) {
         let Some(client) = self.by_connection.get_mut(&connection_id) else { return };
         client.awaiting.insert(task);
-        self.limits.in_hand(connection_id.0, client.awaiting.len() as u32);
+        self.limits.set_tasks_in_flight(connection_id.0, client.awaiting.len() as u32);
     }
 
     /// A task is no longer to be answered on this connection.
     pub fn remove_awaiting(&mut self, connection_id: ConnectionId, task: TaskId) {
         let Some(client) = self.by_connection.get_mut(&connection_id) else { return };
         client.awaiting.remove(&task);
-        self.limits.in_hand(connection_id.0, client.awaiting.len() as u32);
+        self.limits.set_tasks_in_flight(connection_id.0, client.awaiting.len() as u32);
     }
 
     /// Tasks that are to be answered on this connection.
--- a/crates/platform/src/clients/reports.rs
+++ b/crates/platform/src/clients/reports.rs
@@ -17,7 +17,7 @@
         task.interest = ClientInterest::AwaitsEnd;
         let (service, client) = (task.spec.service.0, task.client);
         self.tasks.unanswered -= 1;
-        self.admission.done(self.now, service);
+        self.admission.release(self.now, service);
         if let Some(connection_id) = client {
             self.clients.remove_awaiting(connection_id, id);
         }
--- a/crates/platform/src/clients/start_requests.rs
+++ b/crates/platform/src/clients/start_requests.rs
@@ -10,7 +10,7 @@
     Duration, Idempotency, PolicyEvents, Resources, ServiceId, TaskId, TaskKey, TaskSpec, Timestamp,
     UseCaseId,
 };
-use mulleinhub_platform_protocol::{self as protocol, Cause, Frame, SetUp, why};
+use mulleinhub_platform_protocol::{self as protocol, Cause, Frame, StartRequest, cause_code};
 use mulleinhub_sans_io::ConnectionId;
 
 /// A client for which there was no place retries after this: idle clients are closed after a shorter time.
@@ -38,7 +38,7 @@
     let id = TaskId(frame.task);
     let request = read_request(&shared.borrow(), frame);
     if let Ok((request, use_case)) = &request
-        && let Some(uid) = request.figures.at
+        && let Some(uid) = request.resources.machine
     {
         let spec = task_spec(request, *use_case, Timestamp::from_nanos(u64::MAX));
         handle_adoption(shared, events, connection_id, spec, uid);
@@ -58,8 +58,8 @@
 fn read_request<'a>(
     state: &SchedulerState,
     frame: &Frame<'a>,
-) -> Result<(SetUp<'a>, UseCaseId), InvalidRequest> {
-    let request = SetUp::read(frame)?;
+) -> Result<(StartRequest<'a>, UseCaseId), InvalidRequest> {
+    let request = StartRequest::parse(frame)?;
     let use_case = validate(state, &request)?;
     Ok((request, use_case))
 }
@@ -87,7 +87,7 @@
             // ended.
             state.clients.greeted(connection_id);
             let deadline = state.adoptions.defer(state.now, spec, machine, connection_id);
-            return state.timers.set(deadline, TimerEvent::AdoptionDeadline);
+            return state.timers.schedule(deadline, TimerEvent::AdoptionDeadline);
         }
     }
     adopt(shared, events, spec, machine, connection_id);
@@ -98,7 +98,7 @@
 fn handle_start(
     state: &mut SchedulerState,
     connection_id: ConnectionId,
-    request: &SetUp<'_>,
+    request: &StartRequest<'_>,
     use_case: UseCaseId,
 ) {
     let id = TaskId(request.task);
@@ -108,7 +108,7 @@
         Err(refusal) => {
             let retry_after_ms = refusal.retry_after.nanos() / 1_000_000;
             return state.send(connection_id, |out| {
-                protocol::write_refusal(out, id.0, refusal.cause, retry_after_ms);
+                protocol::write_rejection(out, id.0, refusal.cause, retry_after_ms);
             });
         }
     };
@@ -117,7 +117,7 @@
     let spec = task_spec(request, use_case, deadline);
     let payload = RequestPayload {
         name: request.name.to_owned(),
-        key: request.key.map(str::to_owned),
+        key: request.idempotency_key.map(str::to_owned),
         description: request.description.to_owned(),
     };
     let task = TaskRecord { payload: Some(Box::new(payload)), ..TaskRecord::new(spec, connection_id) };
@@ -135,25 +135,25 @@
 fn admit(
     state: &mut SchedulerState,
     connection_id: ConnectionId,
-    request: &SetUp<'_>,
+    request: &StartRequest<'_>,
     use_case: UseCaseId,
 ) -> Result<Duration, Refusal> {
     let client = state.clients.by_connection.get(&connection_id);
     let unread_for = client.map_or(Duration::ZERO, |client| state.unread_for(client.read_mark));
     let is_rejected = client.is_some_and(|client| client.rejected);
     let longest = state.settings.use_cases[use_case.0].client_timeout;
-    let patience = Duration::from_nanos(request.patience_ms * 1_000_000).min(longest) - unread_for;
+    let patience = Duration::from_nanos(request.timeout_ms * 1_000_000).min(longest) - unread_for;
     if state.refuses_new_tasks() || patience == Duration::ZERO {
-        return Err(Refusal { cause: why::FULL, retry_after: Duration::ZERO });
+        return Err(Refusal { cause: cause_code::FULL, retry_after: Duration::ZERO });
     }
     if is_rejected {
-        return Err(Refusal { cause: why::BUSY, retry_after: NO_PLACE_RETRY_AFTER });
+        return Err(Refusal { cause: cause_code::BUSY, retry_after: NO_PLACE_RETRY_AFTER });
     }
     if state.tasks.by_id.len() >= state.max_tasks {
-        return Err(Refusal { cause: why::BUSY, retry_after: longest });
+        return Err(Refusal { cause: cause_code::BUSY, retry_after: longest });
     }
-    let admission = state.admission.ask(state.now, request.figures.service);
-    admission.map_err(|retry_after| Refusal { cause: why::BUSY, retry_after })?;
+    let admission = state.admission.try_admit(state.now, request.resources.service);
+    admission.map_err(|retry_after| Refusal { cause: cause_code::BUSY, retry_after })?;
     Ok(patience)
 }
 
@@ -166,42 +166,42 @@
 ) {
     state.counts.invalid_requests += 1;
     state.warn("invalid start request", &error.to_string());
-    state.send(connection_id, |out| protocol::write_refusal(out, id.0, why::ERROR, 0));
+    state.send(connection_id, |out| protocol::write_rejection(out, id.0, cause_code::ERROR, 0));
 }
 
 /// The use case of a request, where everything that it says is possible.
-fn validate(state: &SchedulerState, request: &SetUp<'_>) -> Result<UseCaseId, InvalidRequest> {
+fn validate(state: &SchedulerState, request: &StartRequest<'_>) -> Result<UseCaseId, InvalidRequest> {
     let settings = &state.settings;
     let position = settings.names.use_cases.iter().position(|name| name == request.class);
     let use_case = UseCaseId(position.ok_or(InvalidRequest::UnknownUseCase)?);
     let rules = &settings.use_cases[use_case.0];
-    if matches!(rules.effect, Idempotency::Keyed { .. }) && request.key.is_none() {
+    if matches!(rules.idempotency, Idempotency::Keyed { .. }) && request.idempotency_key.is_none() {
         return Err(InvalidRequest::MissingKey);
     }
     if std::str::from_utf8(request.description).is_err() {
         return Err(InvalidRequest::InvalidDescription);
     }
-    let largest = settings.kinds.iter().fold(Resources::ZERO, |most, size| most.at_least(*size));
-    let requested = Resources::new(request.figures.cores, request.figures.memory);
-    if !(largest + settings.taking.beyond(largest)).fits(requested) {
+    let largest = settings.machine_kinds.iter().fold(Resources::ZERO, |most, size| most.max(*size));
+    let requested = Resources::new(request.resources.cores, request.resources.memory);
+    if !(largest + settings.acceptance.overcommit_allowance(largest)).fits(requested) {
         return Err(InvalidRequest::TooLarge);
     }
     let longest_ms = rules.client_timeout.nanos() / 1_000_000;
     let max_patience_ms = longest_ms.saturating_mul(EXCESSIVE_PATIENCE_FACTOR);
-    if request.figures.at.is_none() && request.patience_ms > max_patience_ms {
+    if request.resources.machine.is_none() && request.timeout_ms > max_patience_ms {
         return Err(InvalidRequest::ExcessivePatience);
     }
     Ok(use_case)
 }
 
-fn task_spec(request: &SetUp<'_>, use_case: UseCaseId, deadline: Timestamp) -> TaskSpec {
+fn task_spec(request: &StartRequest<'_>, use_case: UseCaseId, deadline: Timestamp) -> TaskSpec {
     TaskSpec {
         id: TaskId(request.task),
         key: TaskKey(request.name_number),
         use_case,
-        service: ServiceId(request.figures.service),
-        ask: Resources::new(request.figures.cores, request.figures.memory),
+        service: ServiceId(request.resources.service),
+        request: Resources::new(request.resources.cores, request.resources.memory),
         deadline,
-        again: request.again,
+        is_resubmitted: request.is_retry,
     }
 }
--- a/crates/platform/src/config.rs
+++ b/crates/platform/src/config.rs
@@ -1,7 +1,7 @@
 //! The configuration file that the platform gives a scheduler, read into typed values.
 
-use mulleinhub_platform_protocol::{Known, known};
-use mulleinhub_platform_settings::Site;
+use mulleinhub_platform_protocol::{InitialEvents, parse_initial_events};
+use mulleinhub_platform_settings::PlatformSettings;
 use serde_json::Value;
 use std::fmt;
 
@@ -21,9 +21,9 @@
     /// Address and port of the discovery service, which streams the endpoint list.
     pub discovery_address: String,
     /// The endpoint list as it was when the configuration was written, with its last event number.
-    pub initial_endpoints: Known,
+    pub initial_endpoints: InitialEvents,
     /// Use cases, machine kinds, acceptance rules and timeouts of the platform.
-    pub settings: Site,
+    pub settings: PlatformSettings,
 }
 
 /// Why a configuration can't be used. `Display` names the key.
@@ -92,9 +92,9 @@
             memory_mb: limit("memory_mb")?,
             descriptors: limit("sockets")?,
             discovery_address: text("bulletin")?,
-            initial_endpoints: known(known_endpoints)
+            initial_endpoints: parse_initial_events(known_endpoints)
                 .map_err(|error| ConfigError::InvalidEndpoints(error.to_string()))?,
-            settings: Site::read(settings)
+            settings: PlatformSettings::from_json(settings)
                 .map_err(|error| ConfigError::InvalidSettings(error.to_string()))?,
         })
     }
--- a/crates/platform/src/discovery/endpoints.rs
+++ b/crates/platform/src/discovery/endpoints.rs
@@ -9,7 +9,7 @@
     CellId, KindId, ListKind, MachineEntry, MachineId, MachineState, PolicyEvents, Resources, Timestamp,
     ZoneId,
 };
-use mulleinhub_platform_protocol::Listed;
+use mulleinhub_platform_protocol::Endpoint;
 use mulleinhub_sans_io::ConnectionId;
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -19,14 +19,14 @@
 /// Applies the endpoint list of the configuration.
 pub fn apply_initial(shared: &SharedState, events: &mut dyn PolicyEvents) {
     let initial = std::mem::take(&mut shared.borrow_mut().initial_endpoints);
-    let mut by_uid: BTreeMap<String, Listed> = BTreeMap::new();
+    let mut by_uid: BTreeMap<String, Endpoint> = BTreeMap::new();
     for event in initial {
-        if event.roster.all {
+        if event.change.is_snapshot {
             by_uid.clear();
         }
-        by_uid.extend(event.roster.targets.into_iter().map(|listed| (listed.uid.clone(), listed)));
+        by_uid.extend(event.change.endpoints.into_iter().map(|listed| (listed.name.clone(), listed)));
     }
-    let endpoints: Vec<Listed> = by_uid.into_values().collect();
+    let endpoints: Vec<Endpoint> = by_uid.into_values().collect();
     apply_list(shared, events, ListKind::Cached, &endpoints);
 }
 
@@ -34,12 +34,12 @@
 pub fn apply_events(shared: &SharedState, events: &mut dyn PolicyEvents) {
     let received = std::mem::take(&mut shared.borrow_mut().endpoint_watch.events);
     for event in received {
-        let kind = if event.roster.all { ListKind::Snapshot } else { ListKind::Delta };
-        apply_list(shared, events, kind, &event.roster.targets);
+        let kind = if event.change.is_snapshot { ListKind::Snapshot } else { ListKind::Delta };
+        apply_list(shared, events, kind, &event.change.endpoints);
     }
 }
 
-fn apply_list(shared: &SharedState, events: &mut dyn PolicyEvents, kind: ListKind, endpoints: &[Listed]) {
+fn apply_list(shared: &SharedState, events: &mut dyn PolicyEvents, kind: ListKind, endpoints: &[Endpoint]) {
     let entries = update_machines(&mut shared.borrow_mut(), kind, endpoints);
     events.on_endpoint_list(kind, &entries);
     let adoptable = {
@@ -61,15 +61,15 @@
     });
 }
 
-fn update_machines(state: &mut SchedulerState, kind: ListKind, endpoints: &[Listed]) -> Vec<MachineEntry> {
+fn update_machines(state: &mut SchedulerState, kind: ListKind, endpoints: &[Endpoint]) -> Vec<MachineEntry> {
     let entries: Vec<MachineEntry> = endpoints.iter().map(|listed| machine_entry(state, listed)).collect();
     if kind != ListKind::Delta {
         let machines = state.machines.by_id.values_mut();
-        machines.for_each(|machine| machine.entry.mode = MachineState::Removed);
+        machines.for_each(|machine| machine.entry.state = MachineState::Removed);
     }
     let mut index = None;
     for (listed, entry) in endpoints.iter().zip(&entries) {
-        update_machine(state, &mut index, &listed.endpoint, *entry);
+        update_machine(state, &mut index, &listed.address, *entry);
     }
     entries
 }
@@ -77,7 +77,7 @@
 /// Withdraws what waits for machines that drain, were removed or replaced.
 fn withdraw_from_inactive(state: &mut SchedulerState) {
     let is_affected = |(_, machine): &(&MachineId, &Machine)| {
-        (machine.entry.mode != MachineState::Active || machine.replaced)
+        (machine.entry.state != MachineState::Active || machine.replaced)
             && !(machine.connections.is_empty() && machine.queued_attempts.is_empty())
     };
     let machines = state.machines.by_id.iter();
@@ -85,23 +85,24 @@
     affected.into_iter().for_each(|id| state.withdraw_all_unsent(id));
 }
 
-fn machine_entry(state: &SchedulerState, listed: &Listed) -> MachineEntry {
+fn machine_entry(state: &SchedulerState, listed: &Endpoint) -> MachineEntry {
     let position = |names: &[String], name: &str| names.iter().position(|known| known == name);
     let names = &state.settings.names;
     MachineEntry {
-        id: machine_id(&listed.uid),
-        kind: KindId(position(&names.kinds, &listed.model).unwrap_or(usize::MAX)),
+        id: machine_id(&listed.name),
+        kind: KindId(position(&names.kinds, &listed.kind).unwrap_or(usize::MAX)),
         // A number that only has to differ.
-        cell: CellId(listed.pod_group as u32),
-        zone: ZoneId(position(&names.zones, &listed.az).map_or(u32::MAX, |zone| zone as u32)),
-        mode: match listed.state.as_str() {
+        cell: CellId(listed.cell as u32),
+        zone: ZoneId(position(&names.zones, &listed.zone).map_or(u32::MAX, |zone| zone as u32)),
+        state: match listed.state.as_str() {
             "in_service" => MachineState::Active,
             "terminated" => MachineState::Removed,
             // Nothing new is placed where the state is not understood.
             _ => MachineState::Draining,
         },
-        since: (listed.boot_ms > 0).then(|| Timestamp::from_nanos(listed.boot_ms.saturating_mul(1_000_000))),
-        left: listed.room.map(|(cores, memory)| Resources::new(cores, memory)),
+        started_at: (listed.late_start_ms > 0)
+            .then(|| Timestamp::from_nanos(listed.late_start_ms.saturating_mul(1_000_000))),
+        available: listed.free.map(|(cores, memory)| Resources::new(cores, memory)),
     }
 }
 
@@ -125,12 +126,12 @@
     let known = state.machines.by_id.get(&id);
     tracing::debug!(peer = address, ?entry, "endpoint listed");
     let has_new_address = known.is_none_or(|machine| machine.address != address);
-    let started_before = known.and_then(|machine| machine.entry.since);
-    if has_new_address && entry.mode != MachineState::Removed {
+    let started_before = known.and_then(|machine| machine.entry.started_at);
+    if has_new_address && entry.state != MachineState::Removed {
         let index = index.get_or_insert_with(|| address_index(state));
         replace_others(state, index, address, id);
     }
-    if let Some(since) = entry.since.filter(|since| started_before != Some(*since)) {
+    if let Some(since) = entry.started_at.filter(|since| started_before != Some(*since)) {
         state.lose_running_tasks(id, since, "it was restarted");
     }
     let machines = &mut state.machines.by_id;
@@ -142,9 +143,9 @@
             index.entry(address.to_owned()).or_default().insert(id);
         }
     }
-    let warm_at = entry.since.map(|since| since + state.settings.cold.warm_after);
+    let warm_at = entry.started_at.map(|since| since + state.settings.slow_start.warm_up_time);
     if let Some(warm_at) = warm_at.filter(|warm_at| *warm_at > now) {
-        machine.slow_start.is_cold_until(warm_at);
+        machine.slow_start.extend_slow_start(warm_at);
     }
 }
 
--- a/crates/platform/src/discovery/mod.rs
+++ b/crates/platform/src/discovery/mod.rs
@@ -25,7 +25,7 @@
         }
         let connection_id = self.connections.open(&self.endpoint_watch.address);
         self.endpoint_watch.begin(connection_id, self.now);
-        self.timers.set(self.now + CONNECT_TIMEOUT, TimerEvent::ConnectTimeout(connection_id));
+        self.timers.schedule(self.now + CONNECT_TIMEOUT, TimerEvent::ConnectTimeout(connection_id));
     }
 
     /// Bytes of the stream were received.
@@ -60,8 +60,8 @@
         if failures == 0 {
             self.connect_endpoint_watch();
         } else {
-            let delay = backoff::after_failures(RECONNECT_DELAY, failures - 1, self.random.part());
-            self.timers.set(self.now + delay, TimerEvent::ReconnectEndpointWatch);
+            let delay = backoff::retry_delay(RECONNECT_DELAY, failures - 1, self.random.fraction());
+            self.timers.schedule(self.now + delay, TimerEvent::ReconnectEndpointWatch);
         }
     }
 
--- a/crates/platform/src/discovery/watch.rs
+++ b/crates/platform/src/discovery/watch.rs
@@ -1,7 +1,7 @@
 //! The stream of endpoint events: its connection, and the number of the last event that was received.
 
 use mulleinhub_interface::{Duration, Timestamp};
-use mulleinhub_platform_protocol::{Bad, Event, Head, Stream, event};
+use mulleinhub_platform_protocol::{EventStream, ListEvent, ProtocolError, ResponseHead, parse_event};
 use mulleinhub_sans_io::ConnectionId;
 
 /// The service sends a comment each second; silence for this long is a fault of the other side.
@@ -35,10 +35,10 @@
     accepts_gap: bool,
     /// No event was received on this connection yet.
     awaits_first: bool,
-    head: Head,
-    stream: Option<Stream>,
+    head: ResponseHead,
+    stream: Option<EventStream>,
     /// Events that were received and not applied yet.
-    pub events: Vec<Event>,
+    pub events: Vec<ListEvent>,
 }
 
 impl EndpointWatch {
@@ -53,7 +53,7 @@
         self.established = false;
         (self.last_received_at, self.connecting_since) = (now, now);
         self.awaits_first = true;
-        (self.head, self.stream) = (Head::default(), None);
+        (self.head, self.stream) = (ResponseHead::default(), None);
     }
 
     /// The connection is established; returns the request to send.
@@ -73,22 +73,22 @@
     /// Where it is no stream of events, or one that leaves some out. The events before that are kept, and
     /// those behind it don't count. Guards against: an event that could not be read was never requested
     /// again, as good ones with later numbers followed it.
-    pub fn receive(&mut self, now: Timestamp, bytes: &[u8]) -> Result<(), Bad> {
+    pub fn receive(&mut self, now: Timestamp, bytes: &[u8]) -> Result<(), ProtocolError> {
         self.last_received_at = now;
         let body_start;
         let mut body = bytes;
         let mut stream = match self.stream.take() {
             Some(stream) => stream,
             None => {
-                let Some((framing, rest)) = self.head.take(bytes)? else { return Ok(()) };
+                let Some((framing, rest)) = self.head.feed(bytes)? else { return Ok(()) };
                 body_start = rest;
                 body = &body_start;
-                Stream::new(framing)
+                EventStream::new(framing)
             }
         };
         let mut received_any = false;
         let mut event_error = None;
-        let stream_result = stream.take(body, |data| {
+        let stream_result = stream.feed(body, |data| {
             if event_error.is_none() {
                 match self.receive_event(data) {
                     Ok(is_new) => received_any |= is_new,
@@ -106,8 +106,8 @@
     }
 
     /// Receives one event; true where it is new.
-    fn receive_event(&mut self, data: &str) -> Result<bool, Bad> {
-        let event = match event(data) {
+    fn receive_event(&mut self, data: &str) -> Result<bool, ProtocolError> {
+        let event = match parse_event(data) {
             Ok(event) => event,
             Err(_) if self.unreadable >= MAX_UNREADABLE => {
                 // Its number is skipped with it.
@@ -119,16 +119,16 @@
                 return Err(error);
             }
         };
-        let is_whole = event.roster.all;
+        let is_whole = event.change.is_snapshot;
         let restarts_numbers = std::mem::take(&mut self.awaits_first) && is_whole;
-        if event.no <= self.last_event && !(restarts_numbers && event.no < self.last_event) {
+        if event.sequence <= self.last_event && !(restarts_numbers && event.sequence < self.last_event) {
             return Ok(false);
         }
-        if event.no > self.last_event + 1 && !is_whole && !self.accepts_gap {
+        if event.sequence > self.last_event + 1 && !is_whole && !self.accepts_gap {
             self.accepts_gap = true;
-            return Err(Bad(format!("number {} behind {}", event.no, self.last_event)));
+            return Err(ProtocolError(format!("number {} behind {}", event.sequence, self.last_event)));
         }
-        self.last_event = event.no;
+        self.last_event = event.sequence;
         (self.unreadable, self.accepts_gap) = (0, false);
         self.events.push(event);
         Ok(true)
@@ -136,6 +136,6 @@
 
     /// The other side has nothing more to send on this connection.
     pub fn is_over(&self) -> bool {
-        self.stream.as_ref().is_some_and(Stream::is_over)
+        self.stream.as_ref().is_some_and(EventStream::is_finished)
     }
 }
--- a/crates/platform/src/dispatcher.rs
+++ b/crates/platform/src/dispatcher.rs
@@ -9,7 +9,7 @@
 use mulleinhub_interface::{
     Dispatch, Duration, FailureDomain, Idempotency, MachineId, MachineState, Outcome, TaskId, Timestamp,
 };
-use mulleinhub_platform_protocol::{self as protocol, Cause, kind, why};
+use mulleinhub_platform_protocol::{self as protocol, Cause, cause_code, kind};
 
 /// The policy's way to act: every method is one decision.
 pub struct Dispatcher<'a>(pub &'a SharedState);
@@ -22,14 +22,14 @@
     state.tasks.by_id.remove(&task);
     if let Some(connection_id) = client {
         let retry_after_ms = retry_after.nanos() / 1_000_000;
-        state.send(connection_id, |out| protocol::write_refusal(out, task.0, cause, retry_after_ms));
+        state.send(connection_id, |out| protocol::write_rejection(out, task.0, cause, retry_after_ms));
     }
 }
 
 /// Whether the client may be answered that the task never ran.
 fn is_safe_to_reject(state: &SchedulerState, task: &TaskRecord) -> bool {
-    match state.settings.use_cases[task.spec.use_case.0].effect {
-        Idempotency::Idempotent | Idempotency::Keyed { domain: FailureDomain::All, .. } => true,
+    match state.settings.use_cases[task.spec.use_case.0].idempotency {
+        Idempotency::Idempotent | Idempotency::Keyed { domain: FailureDomain::Cluster, .. } => true,
         Idempotency::Keyed { .. } | Idempotency::NonIdempotent => task.may_have_run_since.is_none(),
     }
 }
@@ -45,10 +45,10 @@
     task.attempts += 1;
     let deadline = now + timeout;
     state.counts.attempts += 1;
-    state.timers.set(deadline, TimerEvent::AttemptTimeout(attempt_id));
+    state.timers.schedule(deadline, TimerEvent::AttemptTimeout(attempt_id));
     let write_deadline = state.write_deadline(id, machine);
     if write_deadline < deadline {
-        state.timers.set(write_deadline, TimerEvent::WriteDeadline(attempt_id));
+        state.timers.schedule(write_deadline, TimerEvent::WriteDeadline(attempt_id));
     }
     let attempt = Attempt { write_deadline, ..Attempt::new(attempt_id.number, machine, now, deadline) };
     state.tasks.by_id.get_mut(&id).expect("was there").attempt = Some(attempt);
@@ -60,9 +60,11 @@
         let state = &mut *self.0.borrow_mut();
         let attempt_id = begin_attempt(state, task, machine, timeout);
         let target = state.machines.by_id.get(&machine).expect("the policy chooses listed machines");
-        let is_active = target.entry.mode == MachineState::Active;
+        let is_active = target.entry.state == MachineState::Active;
         assert!(is_active, "task {}: an attempt to a machine that drains or was removed", task.0);
-        if let Some(until) = target.slow_start.shut_until(state.now, state.settings.cold.fall) {
+        if let Some(until) =
+            target.slow_start.closed_until(state.now, state.settings.slow_start.budget_window)
+        {
             state.queue_for_slow_start(attempt_id, machine, until);
         } else if !state.write_start_request(task) {
             state.queue_for_connection(attempt_id, machine);
@@ -83,7 +85,7 @@
         assert!(record.attempt.is_none(), "task {}: rejected with an attempt in flight", task.0);
         assert!(is_safe_to_reject(state, record), "task {}: rejected though it may have run", task.0);
         state.counts.rejected += 1;
-        refuse(state, task, why::FULL, retry_after);
+        refuse(state, task, cause_code::FULL, retry_after);
     }
 
     fn fail(&mut self, task: TaskId) {
@@ -91,7 +93,7 @@
         let has_attempt = state.tasks.by_id[&task].attempt.is_some();
         assert!(!has_attempt, "task {}: failed with an attempt in flight", task.0);
         state.counts.failed += 1;
-        refuse(state, task, why::ERROR, Duration::ZERO);
+        refuse(state, task, cause_code::ERROR, Duration::ZERO);
     }
 
     fn preempt(&mut self, task: TaskId) {
@@ -99,12 +101,12 @@
         let record = state.tasks.by_id.get(&task);
         let Some(record) = record.filter(|record| record.running_attempt().is_some()) else { return };
         if let Some(connection_id) = state.clients.recipient(record.client) {
-            state.send(connection_id, |out| protocol::write_message(out, kind::MOVE, task.0, &[]));
+            state.send(connection_id, |out| protocol::write_message(out, kind::MIGRATE, task.0, &[]));
         }
     }
 
     fn wake_at(&mut self, token: u64, at: Timestamp) {
-        self.0.borrow_mut().timers.set(at, TimerEvent::Policy(token));
+        self.0.borrow_mut().timers.schedule(at, TimerEvent::Policy(token));
     }
 
     fn watch_endpoints(&mut self) {
--- a/crates/platform/src/error.rs
+++ b/crates/platform/src/error.rs
@@ -1,13 +1,13 @@
 //! What is wrong with what a peer sent.
 
-use mulleinhub_platform_protocol::{Bad, Unusable};
+use mulleinhub_platform_protocol as protocol;
 use std::fmt;
 
 /// A message that ends the connection it came on.
 #[derive(Debug)]
 pub enum ProtocolError {
     /// The bytes are no message.
-    Decode(Bad),
+    Decode(protocol::ProtocolError),
     /// A message of a type that this peer does not send.
     UnexpectedType(u8),
     /// A start request for a task that is held already.
@@ -32,8 +32,8 @@
 
 impl std::error::Error for ProtocolError {}
 
-impl From<Bad> for ProtocolError {
-    fn from(error: Bad) -> Self {
+impl From<protocol::ProtocolError> for ProtocolError {
+    fn from(error: protocol::ProtocolError) -> Self {
         Self::Decode(error)
     }
 }
@@ -42,7 +42,7 @@
 #[derive(Debug)]
 pub enum InvalidRequest {
     /// A part of it is missing or malformed.
-    Malformed(Unusable),
+    Malformed(protocol::InvalidRequest),
     /// Its use case is not in the settings.
     UnknownUseCase,
     /// Its use case needs an idempotency key and it has none.
@@ -76,8 +76,8 @@
 
 impl std::error::Error for InvalidRequest {}
 
-impl From<Unusable> for InvalidRequest {
-    fn from(error: Unusable) -> Self {
+impl From<protocol::InvalidRequest> for InvalidRequest {
+    fn from(error: protocol::InvalidRequest) -> Self {
         Self::Malformed(error)
     }
 }
