--- a/crates/platform/src/inbound.rs
+++ b/crates/platform/src/inbound.rs
@@ -63,13 +63,13 @@
         self.now = self.now.max(now);
         match self.peer(connection_id) {
             Some(Peer::Machine) => {
-                self.machines.pool.used(now, connection_id.0);
+                self.machines.pool.touch(now, connection_id.0);
                 self.inbound.established.push(connection_id);
             }
             Some(Peer::Discovery) => {
                 let request = self.endpoint_watch.on_connected(now);
                 self.connections.send(connection_id, request.as_bytes(), None);
-                self.timers.set(now + SILENCE_TIMEOUT, TimerEvent::EndpointSilence(connection_id));
+                self.timers.schedule(now + SILENCE_TIMEOUT, TimerEvent::EndpointSilence(connection_id));
             }
             Some(Peer::Client) | None => {}
         }
@@ -80,10 +80,10 @@
         match self.peer(connection_id) {
             Some(Peer::Client) => self.on_client_data(now, connection_id, bytes),
             Some(Peer::Machine) => {
-                self.machines.pool.used(now, connection_id.0);
+                self.machines.pool.touch(now, connection_id.0);
                 let connection = self.machines.connections.get_mut(&connection_id).expect("is one");
                 connection.used_at = now;
-                connection.frames.take(bytes);
+                connection.frames.extend(bytes);
                 self.queue_machine(connection_id);
             }
             Some(Peer::Discovery) => self.on_endpoint_data(now, bytes),
@@ -94,15 +94,15 @@
     fn on_client_data(&mut self, now: Timestamp, connection_id: ConnectionId, bytes: &[u8]) {
         let read_mark = self.read_mark(now);
         let client = self.clients.by_connection.get_mut(&connection_id).expect("is one");
-        client.frames.take(bytes);
+        client.frames.extend(bytes);
         client.last_received_at = now;
         if !client.queued {
             client.read_mark = read_mark;
         }
-        if self.clients.limits.slows(client.frames.kept()) {
-            self.connections.pause(connection_id, true);
+        if self.clients.limits.should_pause_reading(client.frames.unprocessed()) {
+            self.connections.set_reading_paused(connection_id, true);
         }
-        self.clients.limits.heard(now, connection_id.0);
+        self.clients.limits.record_activity(now, connection_id.0);
         self.queue_client(connection_id);
     }
 
@@ -121,10 +121,10 @@
                 self.queue_machine(connection_id);
             }
             Some(Peer::Discovery) => {
-                self.connections.forget(connection_id);
+                self.connections.remove(connection_id);
                 self.on_endpoint_watch_closed();
             }
-            None => drop(self.connections.forget(connection_id)),
+            None => drop(self.connections.remove(connection_id)),
         }
     }
 
@@ -134,7 +134,7 @@
             return;
         }
         let awaits_answer = !client.awaiting.is_empty();
-        if self.clients.limits.speaks(self.now, connection_id.0, awaits_answer) {
+        if self.clients.limits.admit_input(self.now, connection_id.0, awaits_answer) {
             self.inbound.ready.push_back(connection_id);
         }
     }
@@ -158,7 +158,7 @@
     /// The next connection with something to be handled.
     pub fn next_ready(&mut self) -> Option<ConnectionId> {
         let ready = self.inbound.ready.pop_front();
-        let connection_id = ready.or_else(|| self.clients.limits.next_heard().map(ConnectionId))?;
+        let connection_id = ready.or_else(|| self.clients.limits.next_queued().map(ConnectionId))?;
         if let Some(client) = self.clients.by_connection.get_mut(&connection_id) {
             client.queued = false;
         } else if let Some(connection) = self.machines.connections.get_mut(&connection_id) {
@@ -169,36 +169,36 @@
 
     /// Takes over what the event loop reported since the last iteration.
     pub fn begin_inbound(&mut self) {
-        self.clients.limits.begin_turn(self.machines.max_connections);
+        self.clients.limits.begin_iteration(self.machines.max_connections);
         let established_at = self.earliest_sent_at();
         for connection_id in std::mem::take(&mut self.inbound.established) {
             self.machines.mark_established(connection_id, self.now, established_at);
             tracing::debug!(connection = connection_id.0, "machine connection established");
         }
         for connection_id in std::mem::take(&mut self.inbound.deferred_clients) {
-            self.clients.limits.stands_in_line(connection_id.0, true);
+            self.clients.limits.enqueue_input(connection_id.0, true);
         }
     }
 
     /// Whether anything was read and not handled yet.
     pub fn has_unhandled_input(&self) -> bool {
-        !self.inbound.is_empty() || self.clients.limits.any_in_line()
+        !self.inbound.is_empty() || self.clients.limits.has_queued()
     }
 
     /// The mark of something that is read now.
     pub fn read_mark(&self, now: Timestamp) -> ReadMark {
-        ReadMark { at: now, iterations: self.pauses.turns() }
+        ReadMark { at: now, iterations: self.pauses.iterations() }
     }
 
     /// For how long something may have lain unread that was read then.
     pub fn unread_for(&self, mark: ReadMark) -> Duration {
-        self.pauses.lay(self.now, (mark.at, mark.iterations))
+        self.pauses.queued_for(self.now, (mark.at, mark.iterations))
     }
 
     /// When what was read before this iteration was sent at the earliest. Guards against: what a machine had
     /// sent before it stopped lay here through a pause of this process, and counted from when it was read.
     pub fn earliest_sent_at(&self) -> Timestamp {
-        let iterations = self.pauses.turns() - 1;
+        let iterations = self.pauses.iterations() - 1;
         let unread_for = self.unread_for(ReadMark { at: self.now, iterations });
         Timestamp::default() + ((self.now - Timestamp::default()) - unread_for)
     }
--- a/crates/platform/src/lib.rs
+++ b/crates/platform/src/lib.rs
@@ -50,7 +50,7 @@
 impl Scheduler {
     /// A scheduler that was just started. It acts from the first [`StateMachine::poll`] on.
     pub fn new(config: Config) -> Self {
-        let policy = config.settings.brain(config.seed);
+        let policy = config.settings.placement_policy(config.seed);
         Self { policy, state: RefCell::new(SchedulerState::new(config)), started: false }
     }
 
@@ -103,7 +103,7 @@
     discovery::apply_initial(shared, events);
     let state = &mut *shared.borrow_mut();
     state.connect_endpoint_watch();
-    state.timers.set(state.now + status::STATUS_INTERVAL, TimerEvent::LogStatus);
+    state.timers.schedule(state.now + status::STATUS_INTERVAL, TimerEvent::LogStatus);
 }
 
 /// Handles every connection on which something was received, in the order of receiving.
@@ -170,7 +170,7 @@
     fn on_descriptors_exhausted(&mut self, now: Timestamp) {
         let state = self.state.get_mut();
         state.now = state.now.max(now);
-        for connection in state.clients.limits.pinched(now) {
+        for connection in state.clients.limits.on_descriptors_exhausted(now) {
             state.request_eviction(ConnectionId(connection));
         }
     }
--- a/crates/platform/src/machines/connect.rs
+++ b/crates/platform/src/machines/connect.rs
@@ -4,15 +4,15 @@
 use crate::state::SchedulerState;
 use crate::timers::TimerEvent;
 use mulleinhub_interface::{Duration, MachineId, TaskId, Timestamp};
-use mulleinhub_limits::MOST_CONNECTIONS;
-use mulleinhub_platform_protocol::{self as protocol, why};
+use mulleinhub_limits::MAX_CONNECTIONS_PER_MACHINE;
+use mulleinhub_platform_protocol::{self as protocol, cause_code};
 use mulleinhub_sans_io::ConnectionId;
 
 impl SchedulerState {
     /// Whether a connection to a machine may be opened: where the pool is used up, the idle one that was used
     /// longest ago makes room. One used just now may still bring what its machine has to report.
     fn reserve_descriptor(&mut self) -> bool {
-        if self.machines.pool.has_room() {
+        if self.machines.pool.has_capacity() {
             return true;
         }
         let unused_since = self.ago(self.machines.timeouts.connect);
@@ -22,7 +22,7 @@
                 connection.is_idle() && connection.close_reason.is_none() && !connection.queued
             })
         };
-        let least_used = self.machines.pool.to_let_go(unused_since, may_close);
+        let least_used = self.machines.pool.least_recently_used(unused_since, may_close);
         let Some(least_used) = least_used else { return false };
         self.close_machine_connection(ConnectionId(least_used));
         true
@@ -43,12 +43,12 @@
         let connection_id = self.connections.open(&machine.address);
         machine.connections.push(connection_id);
         let (now, pending_stops) = (self.now, std::mem::take(&mut machine.pending_stops));
-        self.machines.pool.opened(now, connection_id.0);
+        self.machines.pool.insert(now, connection_id.0);
         self.machines.connections.insert(connection_id, MachineConnection::new(id, now));
         for task in pending_stops {
             self.send_stop(connection_id, task);
         }
-        self.timers.set(now + self.machines.timeouts.connect, TimerEvent::ConnectTimeout(connection_id));
+        self.timers.schedule(now + self.machines.timeouts.connect, TimerEvent::ConnectTimeout(connection_id));
         self.schedule_check(id);
         Some(connection_id)
     }
@@ -69,7 +69,7 @@
     /// Orders a machine to stop a task.
     pub fn send_stop(&mut self, connection_id: ConnectionId, task: TaskId) {
         self.send(connection_id, |out| {
-            protocol::write_with_cause(out, protocol::kind::RELEASE, task.0, why::CANCELLED);
+            protocol::write_with_cause(out, protocol::kind::RELEASE, task.0, cause_code::CANCELLED);
         });
     }
 
@@ -83,7 +83,7 @@
             .machines
             .by_id
             .get(&machine)
-            .is_some_and(|machine| machine.connections.len() < MOST_CONNECTIONS);
+            .is_some_and(|machine| machine.connections.len() < MAX_CONNECTIONS_PER_MACHINE);
         if may_open && let Some(new) = self.open_machine_connection(machine) {
             return Some(new);
         }
@@ -103,6 +103,6 @@
     /// Closes a connection to a machine on which no answer is awaited.
     pub fn close_machine_connection(&mut self, connection_id: ConnectionId) {
         self.machines.remove_connection(connection_id);
-        self.connections.end(connection_id);
+        self.connections.close(connection_id);
     }
 }
--- a/crates/platform/src/machines/connection.rs
+++ b/crates/platform/src/machines/connection.rs
@@ -1,7 +1,7 @@
 //! The connection to a machine, and which tasks may be sent on it.
 
 use mulleinhub_interface::{MachineId, TaskId, Timestamp};
-use mulleinhub_platform_protocol::Frames;
+use mulleinhub_platform_protocol::FrameBuffer;
 use mulleinhub_sans_io::CloseReason;
 use std::collections::VecDeque;
 
@@ -23,7 +23,7 @@
     /// The machine.
     pub machine: MachineId,
     /// Bytes received and not handled yet.
-    pub frames: Frames,
+    pub frames: FrameBuffer,
     /// How it was closed, once it was; what was received before is handled first.
     pub close_reason: Option<CloseReason>,
     /// It stands in the queue of connections to be handled.
@@ -52,7 +52,7 @@
     pub fn new(machine: MachineId, now: Timestamp) -> Self {
         Self {
             machine,
-            frames: Frames::default(),
+            frames: FrameBuffer::default(),
             close_reason: None,
             queued: false,
             established: false,
--- a/crates/platform/src/machines/disconnect.rs
+++ b/crates/platform/src/machines/disconnect.rs
@@ -17,7 +17,7 @@
         let Some(attempt) = state.tasks.attempt(*task) else { continue };
         let AttemptState::Sent { connection: carrier, token } = attempt.state else { continue };
         if carrier == connection_id {
-            let never_left = unsent.contains(&(token, Unsent::Whole));
+            let never_left = unsent.contains(&(token, Unsent::Entire));
             settle_attempt(state, *task, attempt, Disconnect { reason, never_left, connection: &connection });
         }
     }
@@ -27,19 +27,19 @@
 /// The machine's backoff and liveness after a disconnect.
 fn update_machine(state: &mut SchedulerState, connection: &MachineConnection, reason: CloseReason) {
     let id = connection.machine;
-    let random_part = state.random.part();
+    let random_part = state.random.fraction();
     let has_others = state.machines.connections_of(id).any(|(_, other)| other.established);
     let (now, timeouts) = (state.now, state.machines.timeouts);
     let Some(machine) = state.machines.by_id.get_mut(&id) else { return };
-    machine.slow_start.ended(now);
+    machine.slow_start.on_disconnected(now);
     machine.retract_liveness(connection, now, timeouts.idle);
-    if reason == CloseReason::Untried {
+    if reason == CloseReason::NotAttempted {
         // A lack of descriptors of this process proves nothing about the machine.
         machine.reconnect_at = now + timeouts.check_interval;
     } else if connection.established {
-        machine.reconnect_at = now + backoff::after_end(timeouts.reconnect, random_part);
+        machine.reconnect_at = now + backoff::reconnect_delay(timeouts.reconnect, random_part);
     } else {
-        let delay = backoff::after_failures(timeouts.reconnect, machine.failures, random_part);
+        let delay = backoff::retry_delay(timeouts.reconnect, machine.failures, random_part);
         machine.reconnect_at = now + delay;
         count_failed_connect(machine, reason, has_others);
         if machine.refusals >= REFUSALS_OF_DEAD {
@@ -60,14 +60,15 @@
 /// ended.
 fn settle_attempt(state: &mut SchedulerState, task: TaskId, attempt: Attempt, disconnect: Disconnect<'_>) {
     let Disconnect { reason, never_left, connection } = disconnect;
-    if reason == CloseReason::Untried {
+    if reason == CloseReason::NotAttempted {
         set_attempt(state, task, Attempt { state: AttemptState::Queued, ..attempt });
         return state.queue_for_connection(attempt.id(task), connection.machine);
     }
     if never_left && connection.established && resend(state, task, attempt) {
         return;
     }
-    let outcome = if never_left { Outcome::NoConnection } else { Outcome::Lost(FailureCause::Unspecified) };
+    let outcome =
+        if never_left { Outcome::ConnectionFailed } else { Outcome::Lost(FailureCause::Unspecified) };
     state.policy_queue.push_outcome(attempt.id(task), outcome);
 }
 
--- a/crates/platform/src/machines/health.rs
+++ b/crates/platform/src/machines/health.rs
@@ -57,7 +57,7 @@
         // Where the pool is used up, machines where tasks run are visited in turn, each well within the time
         // in which clients must be notified of an end that nobody could report.
         let is_due =
-            if self.established == 0 { state.machines.pool.has_room() || is_silent } else { is_silent };
+            if self.established == 0 { state.machines.pool.has_capacity() || is_silent } else { is_silent };
         !self.is_connecting && (self.has_pending_stops || (self.has_running_tasks && is_due))
     }
 }
@@ -113,7 +113,7 @@
         .iter()
         .filter(|(connection_id, _)| state.machines.connections.contains_key(connection_id))
         .min_by_key(|(_, used_at)| *used_at);
-    let needs_descriptor = !state.machines.pool.has_room() && check.established > 1;
+    let needs_descriptor = !state.machines.pool.has_capacity() && check.established > 1;
     if let Some((connection_id, _)) = oldest_idle.filter(|_| needs_descriptor) {
         state.close_machine_connection(*connection_id);
     }
@@ -125,14 +125,15 @@
     pub fn schedule_check(&mut self, id: MachineId) {
         let timeouts = self.machines.timeouts;
         // Drawn in any case, so that the sequence of draws depends on the calls alone.
-        let drawn = self.now + backoff::sign(timeouts.check_interval * 2.0, self.random.part());
+        let drawn =
+            self.now + backoff::keepalive_check(timeouts.check_interval * 2.0, self.random.fraction());
         if let Some(machine) = self.machines.by_id.get_mut(&id)
             && !std::mem::replace(&mut machine.check_scheduled, true)
         {
             // The check that finds it lost comes in time.
             let lost_at = machine.last_seen_at + timeouts.lost_after;
             let at = if lost_at > self.now { drawn.min(lost_at) } else { drawn };
-            self.timers.set(at, TimerEvent::CheckMachine(id));
+            self.timers.schedule(at, TimerEvent::CheckMachine(id));
         }
     }
 
--- a/crates/platform/src/machines/messages.rs
+++ b/crates/platform/src/machines/messages.rs
@@ -5,7 +5,7 @@
 use crate::state::{SchedulerState, SharedState};
 use crate::tasks::{TaskRecord, hex};
 use mulleinhub_interface::{PolicyEvents, TaskId};
-use mulleinhub_platform_protocol::{self as protocol, Frame, Frames, kind};
+use mulleinhub_platform_protocol::{self as protocol, Frame, FrameBuffer, kind};
 use mulleinhub_sans_io::{CloseReason, ConnectionId};
 
 /// Handles everything that was received on a connection to a machine, and its close after that.
@@ -22,7 +22,7 @@
         return handle_disconnect(state, connection_id, CloseReason::Broken);
     }
     let Some(connection) = state.machines.connections.get_mut(&connection_id) else { return };
-    frames.tidy();
+    frames.release_if_empty();
     connection.frames = frames;
     if let Some(reason) = connection.close_reason {
         handle_disconnect(state, connection_id, reason);
@@ -33,7 +33,7 @@
     shared: &SharedState,
     events: &mut dyn PolicyEvents,
     connection_id: ConnectionId,
-    frames: &mut Frames,
+    frames: &mut FrameBuffer,
 ) -> Result<(), ProtocolError> {
     while let Some(frame) = frames.next_frame()? {
         record_liveness(&mut shared.borrow_mut(), connection_id, &frame);
@@ -50,7 +50,7 @@
 /// of a day were released while they ran.
 fn record_liveness(state: &mut SchedulerState, connection_id: ConnectionId, frame: &Frame<'_>) {
     let is_sign = match frame.kind {
-        kind::ANSWER | kind::NOTE => true,
+        kind::ACCEPT | kind::NOTE => true,
         kind::RELEASE => {
             let task = state.tasks.by_id.get(&TaskId(frame.task));
             task.is_some_and(|task| task.running_attempt().is_some())
@@ -71,18 +71,18 @@
 ) -> Result<(), ProtocolError> {
     let id = TaskId(frame.task);
     match frame.kind {
-        kind::ANSWER => {
+        kind::ACCEPT => {
             let description = frame.param(protocol::code::DESCRIPTION);
             let description = description.ok_or(ProtocolError::MissingDescription)?;
             replies::handle_acceptance(shared, events, connection_id, id, description);
         }
         kind::RELEASE => {
             let cause = protocol::cause(frame).ok_or(ProtocolError::MissingCause)?;
-            let release = replies::Release { cause, detail: protocol::why(frame) };
+            let release = replies::Release { cause, detail: protocol::reason(frame) };
             replies::handle_release(shared, events, connection_id, id, release);
         }
         kind::NOTE => handle_note(shared, events, connection_id, id, frame),
-        kind::PROGRESS | kind::RELEASE_HEARD | kind::TESTED => {}
+        kind::PROGRESS | kind::RELEASE_ACK | kind::HEALTH_RESULT => {}
         other => return Err(ProtocolError::UnexpectedType(other)),
     }
     Ok(())
--- a/crates/platform/src/machines/mod.rs
+++ b/crates/platform/src/machines/mod.rs
@@ -19,7 +19,7 @@
 
 use crate::tasks::AttemptId;
 use mulleinhub_interface::{Duration, MachineEntry, MachineId, MachineState, TaskId, Timestamp};
-use mulleinhub_limits::{Pool, connections_to_machines};
+use mulleinhub_limits::{ConnectionPool, machine_connection_limit};
 use mulleinhub_resilience::SlowStartGate;
 use mulleinhub_sans_io::ConnectionId;
 use std::collections::BTreeMap;
@@ -110,7 +110,7 @@
     /// The connections by their ids.
     pub connections: BTreeMap<ConnectionId, MachineConnection>,
     /// Descriptors of connections to machines, and when each was last used.
-    pub pool: Pool,
+    pub pool: ConnectionPool,
     /// How many connections to machines may be open.
     pub max_connections: usize,
     /// Timeouts of machines and connections.
@@ -129,11 +129,11 @@
 impl Machines {
     /// No machines yet, in a process with so many descriptors.
     pub fn new(descriptors: usize, idle_timeout: Duration, connect_timeout: Duration) -> Self {
-        let max_connections = connections_to_machines(descriptors);
+        let max_connections = machine_connection_limit(descriptors);
         Self {
             by_id: BTreeMap::new(),
             connections: BTreeMap::new(),
-            pool: Pool::new(max_connections),
+            pool: ConnectionPool::new(max_connections),
             max_connections,
             timeouts: Timeouts::new(idle_timeout, connect_timeout),
         }
@@ -201,7 +201,7 @@
 
     /// Removes a connection and frees its descriptor.
     pub fn remove_connection(&mut self, connection_id: ConnectionId) -> Option<MachineConnection> {
-        self.pool.over(connection_id.0);
+        self.pool.remove(connection_id.0);
         let connection = self.connections.remove(&connection_id)?;
         if let Some(machine) = self.by_id.get_mut(&connection.machine) {
             machine.connections.retain(|other| *other != connection_id);
@@ -212,7 +212,7 @@
     /// Forgets the machines that left the list and of which nothing is left.
     pub fn forget_removed(&mut self, is_needed: impl Fn(MachineId) -> bool) {
         self.by_id.retain(|id, machine| {
-            machine.entry.mode != MachineState::Removed || !machine.connections.is_empty() || is_needed(*id)
+            machine.entry.state != MachineState::Removed || !machine.connections.is_empty() || is_needed(*id)
         });
     }
 }
--- a/crates/platform/src/machines/replies.rs
+++ b/crates/platform/src/machines/replies.rs
@@ -5,7 +5,7 @@
 use crate::state::{SchedulerState, SharedState};
 use crate::tasks::{Attempt, AttemptId, AttemptState, hex};
 use mulleinhub_interface::{FailureCause, MachineId, Outcome, PolicyEvents, Rejection, TaskId};
-use mulleinhub_platform_protocol::{self as protocol, Cause, Why, kind, why};
+use mulleinhub_platform_protocol::{self as protocol, Cause, Reason, cause_code, kind};
 use mulleinhub_sans_io::ConnectionId;
 
 /// What a machine says as it releases a task.
@@ -14,7 +14,7 @@
     /// The cause.
     pub cause: Cause,
     /// What it says beside the cause.
-    pub detail: Option<Why>,
+    pub detail: Option<Reason>,
 }
 
 /// A machine says that it accepted a task.
@@ -39,7 +39,7 @@
     settle_earlier_writes(state, attempt.machine, attempt.id(id));
     if let Some(client) = client {
         proves_itself(state, client);
-        state.send(client, |out| protocol::write_answer(out, id.0, description));
+        state.send(client, |out| protocol::write_acceptance(out, id.0, description));
     }
     state.schedule_check(attempt.machine);
     drop(borrowed);
@@ -80,9 +80,9 @@
 
 /// A machine answered this attempt: what was written before it has arrived too.
 fn settle_earlier_writes(state: &mut SchedulerState, machine_id: MachineId, attempt: AttemptId) {
-    let (now, window) = (state.now, state.settings.cold.fall);
+    let (now, window) = (state.now, state.settings.slow_start.budget_window);
     if let Some(machine) = state.machines.by_id.get_mut(&machine_id) {
-        machine.slow_start.answered(now, window, attempt.task.0, attempt.number);
+        machine.slow_start.on_answered(now, window, attempt.task.0, attempt.number);
     }
     state.release_queued(machine_id);
 }
@@ -100,7 +100,7 @@
     let attempt_id = attempt.id(id);
     let is_its_connection = attempt.connection() == Some(connection_id);
     if attempt.is_running() {
-        if matches!(release.cause, why::FULL | why::MOOT) && !is_its_connection {
+        if matches!(release.cause, cause_code::FULL | cause_code::NOT_SENT) && !is_its_connection {
             // A rejection that comes twice is no end of what was sent there after the first.
             return;
         }
@@ -120,7 +120,7 @@
     id: TaskId,
     release: Release,
 ) -> Option<Attempt> {
-    state.send(connection_id, |out| protocol::write_message(out, kind::RELEASE_HEARD, id.0, &[]));
+    state.send(connection_id, |out| protocol::write_message(out, kind::RELEASE_ACK, id.0, &[]));
     let connection = state.machines.connections.get_mut(&connection_id)?;
     connection.given_up.retain(|given_up| given_up.task != id);
     let machine = connection.machine;
@@ -128,7 +128,10 @@
         return state.tasks.attempt(id).filter(|attempt| attempt.machine == machine);
     }
     // A rejection is the end of an attempt only, and a client that cancelled a task is not notified.
-    let is_rejection = matches!(release.cause, why::FULL | why::BUSY | why::ERROR | why::MOOT);
+    let is_rejection = matches!(
+        release.cause,
+        cause_code::FULL | cause_code::BUSY | cause_code::ERROR | cause_code::NOT_SENT
+    );
     if !is_rejection && outcome_of_running(release) != Outcome::Cancelled {
         state.adoptions.record_end(state.now, id, machine, release.cause, state.max_tasks);
     }
@@ -137,28 +140,28 @@
 
 fn outcome_of_unanswered(release: Release) -> Outcome {
     match release.cause {
-        why::FULL => Outcome::Rejected(match release.detail {
+        cause_code::FULL => Outcome::Rejected(match release.detail {
             None => Rejection::Unspecified,
-            Some(Why::NoCores) => Rejection::InsufficientCores,
-            Some(Why::NoMemory) => Rejection::InsufficientMemory,
-            Some(Why::LineFull) => Rejection::QueueFull,
-            Some(Why::NotHere) => Rejection::NotHere,
-            Some(Why::Evicted | Why::PushedOut | Why::SentAway) => Rejection::Returned,
+            Some(Reason::InsufficientCores) => Rejection::InsufficientCores,
+            Some(Reason::InsufficientMemory) => Rejection::InsufficientMemory,
+            Some(Reason::QueueFull) => Rejection::QueueFull,
+            Some(Reason::NotHere) => Rejection::Ineligible,
+            Some(Reason::Evicted | Reason::Preempted | Reason::Dismissed) => Rejection::Returned,
         }),
-        why::ERROR => Outcome::Failed,
-        why::MOOT => Outcome::NotSent,
+        cause_code::ERROR => Outcome::Failed,
+        cause_code::NOT_SENT => Outcome::NotSent,
         _ => Outcome::Lost(FailureCause::Unspecified),
     }
 }
 
 fn outcome_of_running(release: Release) -> Outcome {
     match release.cause {
-        why::ENDED => Outcome::Ok,
-        why::CANCELLED => Outcome::Cancelled,
+        cause_code::ENDED => Outcome::Succeeded,
+        cause_code::CANCELLED => Outcome::Cancelled,
         _ => Outcome::Lost(match release.detail {
-            Some(Why::Evicted) => FailureCause::Evicted,
-            Some(Why::PushedOut) => FailureCause::Preempted,
-            Some(Why::SentAway) => FailureCause::SentAway,
+            Some(Reason::Evicted) => FailureCause::Evicted,
+            Some(Reason::Preempted) => FailureCause::Preempted,
+            Some(Reason::Dismissed) => FailureCause::Relocated,
             _ => FailureCause::Unspecified,
         }),
     }
--- a/crates/platform/src/shutdown.rs
+++ b/crates/platform/src/shutdown.rs
@@ -55,7 +55,7 @@
         self.shutdown.requested_at.is_some_and(|requested_at| now - requested_at >= MIN_DURATION)
             && self.tasks.unanswered == 0
             && !self.has_unhandled_input()
-            && self.clients.by_connection.keys().all(|id| self.connections.unwritten(*id) == 0)
+            && self.clients.by_connection.keys().all(|id| self.connections.pending_bytes(*id) == 0)
     }
 }
 
@@ -78,7 +78,7 @@
         if let Some(attempt) = task.attempt.as_mut().filter(|attempt| attempt.deadline > last) {
             attempt.deadline = last;
             let attempt_id = attempt.id(*id);
-            state.timers.set(last, TimerEvent::AttemptTimeout(attempt_id));
+            state.timers.schedule(last, TimerEvent::AttemptTimeout(attempt_id));
         }
     }
     Some(last)
--- a/crates/platform/src/state.rs
+++ b/crates/platform/src/state.rs
@@ -13,10 +13,10 @@
 use crate::timers::TimerEvent;
 use mulleinhub::{Pcg, mix};
 use mulleinhub_interface::{Outcome, TaskId, Timestamp};
-use mulleinhub_limits::{Admission, tasks_held, tasks_in_hand};
-use mulleinhub_platform_protocol::Event;
-use mulleinhub_platform_settings::Site;
-use mulleinhub_resilience::{HEARTBEAT, PauseDetector};
+use mulleinhub_limits::{AdmissionControl, max_tasks_in_flight, max_tasks_tracked};
+use mulleinhub_platform_protocol::ListEvent;
+use mulleinhub_platform_settings::PlatformSettings;
+use mulleinhub_resilience::{MAX_POLL_INTERVAL, PauseDetector};
 use mulleinhub_sans_io::{CloseReason, ConnectionId, Connections, Timers};
 use std::cell::RefCell;
 use std::collections::VecDeque;
@@ -54,7 +54,7 @@
 /// The state of a scheduler: connections, tasks, and what is due. In memory only; lost with the process.
 pub struct SchedulerState {
     /// Use cases, machine kinds and rules of the platform.
-    pub settings: Site,
+    pub settings: PlatformSettings,
     /// The instant of this iteration.
     pub now: Timestamp,
     /// The connections' outgoing bytes, and commands to the event loop.
@@ -68,11 +68,11 @@
     /// The stream of endpoint events.
     pub endpoint_watch: EndpointWatch,
     /// The endpoint list of the configuration; empty once the policy was notified.
-    pub initial_endpoints: Vec<Event>,
+    pub initial_endpoints: Vec<ListEvent>,
     /// The tasks that are held.
     pub tasks: Tasks,
     /// Shares the places for unanswered tasks among services.
-    pub admission: Admission,
+    pub admission: AdmissionControl,
     /// Tasks that may be held in all.
     pub max_tasks: usize,
     /// Adoptions that wait for their machine.
@@ -103,21 +103,21 @@
         let settings = config.settings;
         Self {
             clients: Clients::new(config.descriptors),
-            machines: Machines::new(config.descriptors, settings.idle_after, settings.connect_within),
-            admission: Admission::new(tasks_in_hand(config.memory_mb)),
-            max_tasks: tasks_held(config.memory_mb),
+            machines: Machines::new(config.descriptors, settings.idle_timeout, settings.connect_timeout),
+            admission: AdmissionControl::new(max_tasks_in_flight(config.memory_mb)),
+            max_tasks: max_tasks_tracked(config.memory_mb),
             now: Timestamp::default(),
             connections: Connections::default(),
             timers: Timers::default(),
-            endpoint_watch: EndpointWatch::new(config.discovery_address, config.initial_endpoints.no),
-            initial_endpoints: config.initial_endpoints.items,
+            endpoint_watch: EndpointWatch::new(config.discovery_address, config.initial_endpoints.sequence),
+            initial_endpoints: config.initial_endpoints.events,
             tasks: Tasks::default(),
             adoptions: Adoptions::default(),
             inbound: InboundQueue::default(),
             policy_queue: PolicyQueue::default(),
             shutdown: Shutdown::default(),
             pauses: PauseDetector::default(),
-            random: Pcg::new(mix(config.seed, settings.cold.number.into())),
+            random: Pcg::new(mix(config.seed, settings.slow_start.scheduler_index.into())),
             counts: Counts::default(),
             output: Vec::with_capacity(OUTPUT_CAPACITY),
             last_token: 0,
@@ -130,8 +130,8 @@
     /// An iteration begins: everything that came in before it was reported.
     pub fn begin_iteration(&mut self, now: Timestamp) {
         self.now = now;
-        if self.pauses.begin(now) {
-            self.clients.limits.woke(now);
+        if self.pauses.begin_iteration(now) {
+            self.clients.limits.on_process_resumed(now);
         }
         self.begin_inbound();
     }
@@ -145,7 +145,7 @@
                 self.on_closed(self.now, connection_id, CloseReason::Broken);
             }
         }
-        self.pauses.end(self.next_wakeup());
+        self.pauses.end_iteration(self.next_wakeup());
     }
 
     /// When the next iteration is needed at the latest.
@@ -157,11 +157,16 @@
             return Some(self.now);
         }
         let limits = &self.clients.limits;
-        let accept_resumes_at = limits.waits_until().filter(|until| *until > self.now);
-        [self.timers.next(), limits.wake(), accept_resumes_at, Some(self.now + HEARTBEAT)]
-            .into_iter()
-            .flatten()
-            .min()
+        let accept_resumes_at = limits.accept_paused_until().filter(|until| *until > self.now);
+        [
+            self.timers.next_wakeup(),
+            limits.next_wakeup(),
+            accept_resumes_at,
+            Some(self.now + MAX_POLL_INTERVAL),
+        ]
+        .into_iter()
+        .flatten()
+        .min()
     }
 
     /// Logs a fault of a peer, at a limited rate.
@@ -179,7 +184,7 @@
     /// Sends the message that was composed; one with a token can be withdrawn while it is unsent.
     pub fn send_output(&mut self, connection_id: ConnectionId, token: Option<u64>) {
         self.connections.send(connection_id, &self.output, token);
-        if self.connections.unwritten(connection_id) > MAX_UNSENT {
+        if self.connections.pending_bytes(connection_id) > MAX_UNSENT {
             self.slow_readers.push(connection_id);
         }
     }
--- a/crates/platform/src/status.rs
+++ b/crates/platform/src/status.rs
@@ -37,7 +37,7 @@
 /// Logs the status line and sets the timer for the next one.
 pub fn log_and_reschedule(state: &mut SchedulerState) {
     log(state);
-    state.timers.set(state.now + STATUS_INTERVAL, TimerEvent::LogStatus);
+    state.timers.schedule(state.now + STATUS_INTERVAL, TimerEvent::LogStatus);
 }
 
 /// One line that can be compared with what passed on the sockets.
--- a/crates/platform/src/tests/attempts.rs
+++ b/crates/platform/src/tests/attempts.rs
@@ -2,7 +2,7 @@
 
 use super::harness::*;
 use mulleinhub_interface::Timestamp;
-use mulleinhub_platform_protocol::{kind, why};
+use mulleinhub_platform_protocol::{cause_code, kind};
 use mulleinhub_sans_io::CloseReason;
 
 #[test]
@@ -14,10 +14,12 @@
         let (connection, _) = harness.start_requests().pop().unwrap();
         harness.advance(ms(1_900));
         let given_up = harness.received_on(connection);
-        assert_eq!((given_up[0].kind, given_up[0].cause()), (kind::RELEASE, Some(why::ENDED)));
+        assert_eq!((given_up[0].kind, given_up[0].cause()), (kind::RELEASE, Some(cause_code::ENDED)));
         harness.deliver(connection, &acceptance(3));
-        let stop =
-            harness.received_on(connection).iter().any(|message| message.cause() == Some(why::CANCELLED));
+        let stop = harness
+            .received_on(connection)
+            .iter()
+            .any(|message| message.cause() == Some(cause_code::CANCELLED));
         assert_eq!(stop, is_stopped, "{class}");
         harness.advance(ms(1_000));
         let answers = harness.received_on(client);
@@ -50,7 +52,7 @@
     harness.deliver(connections[1].0, &acceptance(connections[1].1.task));
     let answers = harness.received_on(client);
     assert!(
-        answers.iter().any(|message| (message.kind, message.task) == (kind::ANSWER, connections[1].1.task))
+        answers.iter().any(|message| (message.kind, message.task) == (kind::ACCEPT, connections[1].1.task))
     );
 }
 
--- a/crates/platform/src/tests/clients.rs
+++ b/crates/platform/src/tests/clients.rs
@@ -2,7 +2,7 @@
 
 use super::harness::*;
 use mulleinhub_interface::Duration;
-use mulleinhub_platform_protocol::{code, kind, why};
+use mulleinhub_platform_protocol::{cause_code, code, kind};
 use mulleinhub_sans_io::{CloseReason, ConnectionId};
 
 #[test]
@@ -12,24 +12,24 @@
     harness.deliver(client, &start_request(77, "batch", ""));
     let (connection, message) = harness.start_requests().pop().unwrap();
     assert_eq!(message.param(code::CLASS), Some(&b"batch"[..]));
-    assert_eq!(message.param(code::KEY), Some(KEY));
+    assert_eq!(message.param(code::IDEMPOTENCY_KEY), Some(KEY));
     assert_eq!(message.param(code::NAME), Some(&b"000000000000ab80"[..]));
     assert_eq!(message.param(code::DESCRIPTION), Some(&b"wanted\r\n"[..]));
-    assert!(message.param(code::FIGURES).is_none() && message.param(code::AGAIN).is_none());
+    assert!(message.param(code::RESOURCES).is_none() && message.param(code::RETRY).is_none());
     harness.deliver(connection, &acceptance(77));
     let answers = harness.received_on(client);
     assert_eq!(answers.len(), 1);
     assert_eq!(
         (answers[0].kind, answers[0].param(code::DESCRIPTION)),
-        (kind::ANSWER, Some(&b"made\r\n"[..]))
+        (kind::ACCEPT, Some(&b"made\r\n"[..]))
     );
     // A second acceptance, and one that was not requested, change nothing.
     harness.deliver(connection, &[acceptance(77), acceptance(78)].concat());
     harness.advance(ms(500));
-    harness.deliver(connection, &release(77, why::ENDED));
+    harness.deliver(connection, &release(77, cause_code::ENDED));
     let ends = harness.received_on(client);
     assert_eq!(ends.len(), 1);
-    assert_eq!((ends[0].kind, ends[0].cause()), (kind::RELEASE, Some(why::ENDED)));
+    assert_eq!((ends[0].kind, ends[0].cause()), (kind::RELEASE, Some(cause_code::ENDED)));
 }
 
 #[test]
@@ -42,7 +42,7 @@
     harness.advance(ms(500));
     let connection = harness.connections_to(&address(2))[0];
     harness.close(client, CloseReason::Closed);
-    harness.deliver(connection, &release(5, why::ENDED));
+    harness.deliver(connection, &release(5, cause_code::ENDED));
     harness.advance(ms(900));
     // One that only sent a request is not notified: it need be no client.
     let another = harness.connect_client();
@@ -67,13 +67,13 @@
         start_request(0, "front", ""),
         start_request(2, "nobody", ""),
         start_request(3, "front", ";cores:1"),
-        encode(kind::SET_UP, 4, &[]),
+        encode(kind::START, 4, &[]),
     ];
     for bytes in invalid {
         let bad = harness.connect_client();
         harness.deliver(bad, &bytes);
         let messages = harness.received_on(bad);
-        assert_eq!((messages.len(), messages[0].cause()), (1, Some(why::ERROR)));
+        assert_eq!((messages.len(), messages[0].cause()), (1, Some(cause_code::ERROR)));
         assert!(!harness.closed.contains(&bad), "the connection stays open");
     }
     let malformed = [
@@ -91,10 +91,10 @@
     }
     // Cancelled by another client: untouched.
     let bad = harness.connect_client();
-    harness.deliver(bad, &release(1, why::ENDED));
+    harness.deliver(bad, &release(1, cause_code::ENDED));
     assert!(harness.start_requests().is_empty(), "nothing invalid was forwarded");
     harness.deliver(connection, &acceptance(1));
-    assert_eq!(harness.received_on(good)[0].kind, kind::ANSWER);
+    assert_eq!(harness.received_on(good)[0].kind, kind::ACCEPT);
     // Two requests under one number: the first has its one answer before the connection ends.
     let bad = harness.connect_client();
     harness.deliver(bad, &[start_request(8, "front", ""), start_request(8, "front", "")].concat());
@@ -105,7 +105,7 @@
     harness.deliver(bad, &start_request(5, "front", ";at:s-none"));
     harness.advance(ms(2_600));
     let messages = harness.received_on(bad);
-    assert_eq!((messages.len(), messages[0].cause()), (1, Some(why::ERROR)));
+    assert_eq!((messages.len(), messages[0].cause()), (1, Some(cause_code::ERROR)));
     assert!(!harness.closed.contains(&bad), "the connection stays open");
 }
 
@@ -135,11 +135,11 @@
     for n in 0..400 {
         let idle_client = harness.connect_client();
         harness.deliver(idle_client, &start_request(100 + n, "front", ""));
-        harness.deliver(idle_client, &release(100 + n, why::ENDED));
+        harness.deliver(idle_client, &release(100 + n, cause_code::ENDED));
         harness.advance(ms(2));
     }
     assert!(!harness.closed.contains(&client), "others are closed before it");
-    harness.deliver(connection, &release(1, why::ENDED));
+    harness.deliver(connection, &release(1, cause_code::ENDED));
     assert_eq!(harness.received_on(client).iter().filter(|message| message.task == 1).count(), 1);
 }
 
@@ -151,13 +151,13 @@
     let at = format!(";at:{}", uid(1));
     (1..=200).for_each(|task| harness.deliver(client, &start_request(task, "front", &at)));
     assert_eq!(harness.scheduler.state.get_mut().tasks.by_id.len(), 4 * 32);
-    assert!(harness.received_on(client).iter().all(|message| message.cause() == Some(why::ERROR)));
+    assert!(harness.received_on(client).iter().all(|message| message.cause() == Some(cause_code::ERROR)));
     harness.deliver(client, &start_request(500, "front", ""));
-    assert_eq!(harness.received_on(client)[0].cause(), Some(why::BUSY));
+    assert_eq!(harness.received_on(client)[0].cause(), Some(cause_code::BUSY));
     harness.advance(ms(500));
     let connection = harness.connections_to(&address(1))[0];
     harness.close(client, CloseReason::Closed);
-    (1..=128).for_each(|task| harness.deliver(connection, &release(task, why::ENDED)));
+    (1..=128).for_each(|task| harness.deliver(connection, &release(task, cause_code::ENDED)));
     assert_eq!(harness.scheduler.state.get_mut().clients.unreported_ends.len(), 128);
     harness.advance(Duration::from_secs(61));
     assert!(harness.scheduler.state.get_mut().clients.unreported_ends.is_empty());
@@ -170,7 +170,7 @@
         let client = harness.connect_client();
         let connection =
             place_task(&mut harness, client, 1_000 + n, if n % 2 == 0 { "front" } else { "batch" });
-        harness.deliver(connection, &release(1_000 + n, why::ENDED));
+        harness.deliver(connection, &release(1_000 + n, cause_code::ENDED));
         harness.close(client, CloseReason::Closed);
         let (new, discovery) = (100 + n, harness.connections_to(DISCOVERY)[0]);
         for (number, state) in [(2 + 2 * n, "in_service"), (3 + 2 * n, "terminated")] {
@@ -185,5 +185,5 @@
     assert_eq!((state.machines.by_id.len(), state.machines.connections.len()), (2, 0));
     assert!(state.timers.len() < 20 && state.policy_queue.outcomes.is_empty(), "{}", state.timers.len());
     assert_eq!(state.clients.limits.len(), 0);
-    assert!(state.connections.held() < 2_000_000);
+    assert!(state.connections.buffer_capacity() < 2_000_000);
 }
--- a/crates/platform/src/tests/connection_limits.rs
+++ b/crates/platform/src/tests/connection_limits.rs
@@ -2,7 +2,7 @@
 
 use super::harness::*;
 use mulleinhub_interface::Duration;
-use mulleinhub_platform_protocol::{code, kind, why};
+use mulleinhub_platform_protocol::{cause_code, code, kind};
 use mulleinhub_sans_io::{ConnectionId, ListenerId, StateMachine};
 use std::collections::BTreeSet;
 
@@ -71,7 +71,7 @@
             for (connection_id, to) in fresh {
                 coverage.insert(connection_id);
                 if let Some(n) = (1..=machines).find(|n| address(*n) == to).filter(|n| reported.insert(*n)) {
-                    harness.deliver(connection_id, &release(n, why::ENDED));
+                    harness.deliver(connection_id, &release(n, cause_code::ENDED));
                 }
             }
         }
@@ -118,8 +118,8 @@
     let silent = harness.connect_client();
     harness.deliver(requester, &start_request(900, "front", ""));
     let messages = harness.received_on(requester);
-    assert_eq!((messages.len(), messages[0].cause()), (1, Some(why::BUSY)));
-    assert!(messages[0].param(code::STAY_AWAY).is_some());
+    assert_eq!((messages.len(), messages[0].cause()), (1, Some(cause_code::BUSY)));
+    assert!(messages[0].param(code::RETRY_AFTER).is_some());
     assert!(harness.closed.contains(&requester), "and then it is ended");
     harness.advance(ms(300));
     assert!(harness.closed.contains(&silent));
@@ -150,7 +150,7 @@
         harness.start_requests().pop().expect("the same attempt, once there is a descriptor");
     assert_eq!((message.task, harness.scheduler.counts().attempts), (2, 1));
     harness.deliver(connection, &acceptance(2));
-    assert_eq!(harness.received_on(client)[0].kind, kind::ANSWER);
+    assert_eq!(harness.received_on(client)[0].kind, kind::ACCEPT);
     // And for longer: what runs does not count as lost for it, before the silence does.
     harness.close(connection, mulleinhub_sans_io::CloseReason::Closed);
     harness.reachability.insert(address(1), Reachability::Untried);
--- a/crates/platform/src/tests/harness.rs
+++ b/crates/platform/src/tests/harness.rs
@@ -3,7 +3,7 @@
 
 use crate::{Config, Scheduler};
 use mulleinhub_interface::{Duration, Timestamp};
-use mulleinhub_platform_protocol::{Frames, code, kind, write_message};
+use mulleinhub_platform_protocol::{FrameBuffer, code, kind, write_message};
 use mulleinhub_sans_io::{CloseReason, Command, ConnectionId, ListenerId, StateMachine};
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -45,7 +45,7 @@
     pub opened: BTreeMap<ConnectionId, String>,
     pub blocked: BTreeSet<ConnectionId>,
     clients: BTreeSet<ConnectionId>,
-    frames: BTreeMap<ConnectionId, Frames>,
+    frames: BTreeMap<ConnectionId, FrameBuffer>,
     pub raw_bytes: BTreeMap<ConnectionId, Vec<u8>>,
     received: Vec<(ConnectionId, Message)>,
     pub closed: BTreeSet<ConnectionId>,
@@ -153,7 +153,7 @@
     fn transfer(&mut self) -> bool {
         let mut brought_back = false;
         loop {
-            while let Some(connection_id) = self.scheduler.connections().next_dirty() {
+            while let Some(connection_id) = self.scheduler.connections().next_with_output() {
                 self.take_output(connection_id);
             }
             let Some(command) = self.scheduler.connections().next_command() else { return brought_back };
@@ -170,7 +170,7 @@
                             let reason = if refusal == Reachability::Refuses {
                                 CloseReason::Refused
                             } else {
-                                CloseReason::Untried
+                                CloseReason::NotAttempted
                             };
                             self.scheduler.on_closed(self.now, connection_id, reason);
                         }
@@ -180,7 +180,7 @@
                     }
                     brought_back = true;
                 }
-                Command::End { link: connection_id, .. } => {
+                Command::Close { connection: connection_id, .. } => {
                     self.take_output(connection_id);
                     self.scheduler.connections().discard(connection_id);
                     self.opened.remove(&connection_id);
@@ -196,12 +196,12 @@
             return;
         }
         let bytes = self.scheduler.connections().outgoing(connection_id).to_vec();
-        self.scheduler.connections().wrote(connection_id, bytes.len());
+        self.scheduler.connections().mark_written(connection_id, bytes.len());
         if self.opened.get(&connection_id).is_some_and(|to| to.ends_with(":8500") || to.ends_with(":8501")) {
             return self.raw_bytes.entry(connection_id).or_default().extend(bytes);
         }
         let frames = self.frames.entry(connection_id).or_default();
-        frames.take(&bytes);
+        frames.extend(&bytes);
         while let Some(frame) = frames.next_frame().expect("the scheduler sends valid frames") {
             let params = frame.params().map(|(code, value)| (code, value.to_vec())).collect();
             self.received
@@ -288,7 +288,7 @@
         let clients = self.clients.clone();
         let all = self.received(|connection_id| !clients.contains(&connection_id));
         let (start_requests, others): (Vec<_>, Vec<_>) =
-            all.into_iter().partition(|(_, message)| message.kind == kind::SET_UP);
+            all.into_iter().partition(|(_, message)| message.kind == kind::START);
         self.received.extend(others);
         start_requests
     }
@@ -311,14 +311,14 @@
 pub fn start_request(task: u64, class: &str, more: &str) -> Vec<u8> {
     let name = format!("{:016x}", task ^ 0xabcd);
     let figures = format!("cores:1;memory:2;service:{:016x}{more}", task % 7);
-    let mut params: Vec<(u8, &[u8])> = vec![(code::CLASS, class.as_bytes()), (code::PATIENCE, b"2000")];
+    let mut params: Vec<(u8, &[u8])> = vec![(code::CLASS, class.as_bytes()), (code::TIMEOUT, b"2000")];
     if class == "batch" {
-        params.push((code::KEY, KEY));
+        params.push((code::IDEMPOTENCY_KEY, KEY));
     }
     params.push((code::NAME, name.as_bytes()));
-    params.push((code::FIGURES, figures.as_bytes()));
+    params.push((code::RESOURCES, figures.as_bytes()));
     params.push((code::DESCRIPTION, b"wanted\r\n"));
-    encode(kind::SET_UP, task, &params)
+    encode(kind::START, task, &params)
 }
 
 /// The same, of a client that waits for so long.
@@ -331,7 +331,7 @@
 }
 
 pub fn acceptance(task: u64) -> Vec<u8> {
-    encode(kind::ANSWER, task, &[(code::DESCRIPTION, b"made\r\n")])
+    encode(kind::ACCEPT, task, &[(code::DESCRIPTION, b"made\r\n")])
 }
 
 pub fn release(task: u64, cause: u8) -> Vec<u8> {
--- a/crates/platform/src/tests/invariants.rs
+++ b/crates/platform/src/tests/invariants.rs
@@ -3,7 +3,7 @@
 use super::harness::*;
 use mulleinhub::Pcg;
 use mulleinhub_interface::{Duration, Timestamp};
-use mulleinhub_platform_protocol::{kind, why};
+use mulleinhub_platform_protocol::{cause_code, kind};
 use mulleinhub_sans_io::{CloseReason, ConnectionId, StateMachine};
 use std::collections::BTreeMap;
 
@@ -69,7 +69,7 @@
         for (connection_id, message) in self.harness.received(|_| true) {
             let machine = self.connections.get(&connection_id).copied();
             match (machine, message.kind) {
-                (Some(machine), kind::SET_UP) => {
+                (Some(machine), kind::START) => {
                     self.check_attempt(connection_id, machine, message.task, message.at)
                 }
                 (Some(_), kind::RELEASE) => {
@@ -81,7 +81,7 @@
                         (attempt.in_flight, attempt.may_have_run) = (false, true);
                     }
                 }
-                (None, kind::ANSWER) | (None, kind::RELEASE) => {
+                (None, kind::ACCEPT) | (None, kind::RELEASE) => {
                     let task = self.tasks.get_mut(&message.task).expect("a task that was asked for");
                     // An acceptance that crossed its client's leaving was told to a connection that had
                     // ended.
@@ -100,9 +100,10 @@
                         "rule 1: {} was answered late",
                         message.task
                     );
-                    task.running = message.kind == kind::ANSWER;
-                    let harmless =
-                        message.cause().is_some_and(|cause| [why::FULL, why::BUSY].contains(&cause));
+                    task.running = message.kind == kind::ACCEPT;
+                    let harmless = message
+                        .cause()
+                        .is_some_and(|cause| [cause_code::FULL, cause_code::BUSY].contains(&cause));
                     let may_have_run =
                         task.attempts.iter().any(|attempt| attempt.may_have_run || attempt.in_flight);
                     assert!(
@@ -173,7 +174,7 @@
             waiting
         } else {
             let id = waiting[random.below(waiting.len())];
-            self.harness.scheduler.on_data(self.harness.now, client, &release(id, why::ENDED));
+            self.harness.scheduler.on_data(self.harness.now, client, &release(id, cause_code::ENDED));
             vec![id]
         };
         self.coverage.client_left += departed.len();
@@ -231,11 +232,11 @@
             0 => {
                 settle(false);
                 self.coverage.refused += 1;
-                self.harness.deliver(connection_id, &release(id, why::FULL));
+                self.harness.deliver(connection_id, &release(id, cause_code::FULL));
             }
             1 => {
                 settle(true);
-                self.harness.deliver(connection_id, &release(id, why::ERROR));
+                self.harness.deliver(connection_id, &release(id, cause_code::ERROR));
             }
             2 | 3 => {
                 for (_, task) in self.tasks.iter_mut() {
@@ -323,7 +324,7 @@
                     .filter(|(_, connection_id)| checker.harness.opened.contains_key(connection_id))
                     .collect();
                 if let Some((id, connection_id)) = running.get(random.below(running.len().max(1))).copied() {
-                    checker.harness.deliver(connection_id, &release(id, why::ENDED));
+                    checker.harness.deliver(connection_id, &release(id, cause_code::ENDED));
                     // Its client may be told later, where none is connected, or never, where it cancelled it.
                     checker.tasks.get_mut(&id).expect("is known").ended = true;
                 }
--- a/crates/platform/src/tests/large_lists.rs
+++ b/crates/platform/src/tests/large_lists.rs
@@ -29,7 +29,7 @@
     harness.deliver(client, &start_request(task, "batch", ""));
     let (connection, _) = harness.start_requests().pop().expect("it is sent at once");
     harness.deliver(connection, &acceptance(task));
-    assert_eq!(harness.received_on(client).pop().map(|message| message.kind), Some(kind::ANSWER));
+    assert_eq!(harness.received_on(client).pop().map(|message| message.kind), Some(kind::ACCEPT));
     harness.opened[&connection].clone()
 }
 
--- a/crates/platform/src/tests/machine_loss.rs
+++ b/crates/platform/src/tests/machine_loss.rs
@@ -21,7 +21,7 @@
                 "health checks cost the machine work and prove nothing"
             );
             // Should one ever be sent: a machine that drains fails its health checks.
-            harness.deliver(connection, &encode(kind::TESTED, 9, &[(code::CAUSE, &[0])]));
+            harness.deliver(connection, &encode(kind::HEALTH_RESULT, 9, &[(code::CAUSE, &[0])]));
         }
         assert!(harness.received_on(client).is_empty(), "it runs");
         if dies {
@@ -79,7 +79,7 @@
             let connection = harness.connections_to(&cut_off)[0];
             harness.deliver(
                 connection,
-                &encode(kind::NOTE, 1, &[(code::NOTE, b"use_cpu"), (code::FIGURE, b"0.5")]),
+                &encode(kind::NOTE, 1, &[(code::NOTE, b"use_cpu"), (code::VALUE, b"0.5")]),
             );
         }
         harness.advance(ms(900));
--- a/crates/platform/src/tests/races.rs
+++ b/crates/platform/src/tests/races.rs
@@ -2,7 +2,7 @@
 
 use super::harness::*;
 use mulleinhub_interface::Duration;
-use mulleinhub_platform_protocol::{code, kind, why};
+use mulleinhub_platform_protocol::{cause_code, code, kind};
 use mulleinhub_sans_io::{CloseReason, ConnectionId, StateMachine};
 use std::collections::BTreeSet;
 
@@ -24,7 +24,7 @@
     harness.advance(ms(200));
     let (connection, _) = harness.start_requests().pop().expect("it is sent");
     harness.deliver(connection, &acceptance(1));
-    assert_eq!(harness.received_on(client)[0].kind, kind::ANSWER);
+    assert_eq!(harness.received_on(client)[0].kind, kind::ACCEPT);
 }
 
 #[test]
@@ -51,7 +51,7 @@
         let client = harness.connect_client();
         harness.deliver(client, &start_request(1, "front", ""));
         let (first, _) = harness.start_requests().pop().expect("it is sent");
-        harness.deliver(first, &release(1, why::ERROR));
+        harness.deliver(first, &release(1, cause_code::ERROR));
         harness.advance(ms(idle));
         harness.deliver(client, &start_request(2, "batch", ""));
         let (connection, message) = harness.start_requests().pop().expect("it is sent");
@@ -65,31 +65,31 @@
     let client = harness.connect_client();
     harness.deliver(client, &start_request(1, "front", ""));
     let (first, _) = harness.start_requests().pop().expect("it is sent");
-    harness.deliver(first, &release(1, why::FULL));
+    harness.deliver(first, &release(1, cause_code::FULL));
     let (second, _) = harness.start_requests().pop().expect("to the other machine");
-    harness.deliver(second, &release(1, why::FULL));
+    harness.deliver(second, &release(1, cause_code::FULL));
     harness.advance(ms(1_100));
     let (third, _) =
         harness.start_requests().pop().expect("to the first one again, once its backoff has ended");
     assert_eq!(harness.address_of(first), harness.address_of(third));
     // The first refusal once more, before the answer and after it.
-    harness.deliver(first, &release(1, why::FULL));
+    harness.deliver(first, &release(1, cause_code::FULL));
     assert!(
         harness.start_requests().is_empty() && harness.received_on(client).is_empty(),
         "the third attempt is in flight"
     );
     harness.deliver(third, &acceptance(1));
-    harness.deliver(first, &release(1, why::FULL));
+    harness.deliver(first, &release(1, cause_code::FULL));
     let received = harness.received_on(client);
-    assert_eq!((received.len(), received[0].kind), (1, kind::ANSWER), "{received:?}");
-    harness.deliver(third, &release(1, why::ENDED));
+    assert_eq!((received.len(), received[0].kind), (1, kind::ACCEPT), "{received:?}");
+    harness.deliver(third, &release(1, cause_code::ENDED));
     assert_eq!(harness.received_on(client).len(), 1);
 }
 
 #[test]
 fn rejection_timeout_and_cancel_end_attempt_once() {
     // 0: the machine's release, 1: the client's cancel; the timeout falls due at the instant.
-    for cause in [why::FULL, why::ERROR, why::RESET, why::MOOT] {
+    for cause in [cause_code::FULL, cause_code::ERROR, cause_code::RESET, cause_code::NOT_SENT] {
         for order in [[0, 1], [1, 0]] {
             for class in ["front", "batch"] {
                 let mut harness = Harness::new(3);
@@ -101,7 +101,7 @@
                 for event in order {
                     match event {
                         0 => harness.scheduler.on_data(harness.now, connection, &release(1, cause)),
-                        _ => harness.scheduler.on_data(harness.now, client, &release(1, why::ENDED)),
+                        _ => harness.scheduler.on_data(harness.now, client, &release(1, cause_code::ENDED)),
                     }
                 }
                 harness.run_until_idle();
@@ -127,7 +127,7 @@
     harness.run_until_idle();
     harness.advance(Duration::from_secs(2));
     let received = harness.received_on(client);
-    let answers = received.iter().filter(|message| message.kind == kind::ANSWER).count();
+    let answers = received.iter().filter(|message| message.kind == kind::ACCEPT).count();
     let ends = received.iter().filter(|message| message.kind == kind::RELEASE).count();
     assert!(answers <= 1 && ends <= 1 && answers + ends >= 1, "{received:?}");
     assert_eq!(harness.scheduler.state.get_mut().tasks.by_id.len(), answers.saturating_sub(ends));
@@ -157,8 +157,8 @@
         format!("data: {}\n\n", event(3, true, &[endpoint(3, "in_service", 0)])).as_bytes(),
     );
     harness.deliver(connection, &acceptance(1));
-    assert_eq!(harness.received_on(client)[0].kind, kind::ANSWER);
-    harness.deliver(connection, &release(1, why::ENDED));
+    assert_eq!(harness.received_on(client)[0].kind, kind::ACCEPT);
+    harness.deliver(connection, &release(1, cause_code::ENDED));
     assert_eq!(harness.received_on(client)[0].kind, kind::RELEASE);
 }
 
@@ -215,16 +215,19 @@
         Harness::with_config(1, |config_json| config_json.replace(r#""memory_mb":32"#, r#""memory_mb":1"#));
     let client = harness.connect_client();
     let connection = place_task(&mut harness, client, 1, "front");
-    (100..1_000).for_each(|task| harness.deliver(connection, &release(task, why::ENDED)));
+    (100..1_000).for_each(|task| harness.deliver(connection, &release(task, cause_code::ENDED)));
     assert_eq!(harness.scheduler.state.get_mut().adoptions.recorded_ends(), 4 * 32);
     // Of the newest it is known, and a refusal or a cancel is no end.
-    harness.deliver(connection, &[release(2_000, why::FULL), release(2_001, why::CANCELLED)].concat());
+    harness.deliver(
+        connection,
+        &[release(2_000, cause_code::FULL), release(2_001, cause_code::CANCELLED)].concat(),
+    );
     harness.received_on(client);
     for (task, is_over) in [(999, true), (2_000, false), (2_001, false)] {
         harness.deliver(client, &start_request(task, "front", &format!(";at:{}", uid(1))));
         let received = harness.received_on(client);
         assert_eq!(!received.is_empty(), is_over, "{task}");
-        assert!(received.iter().all(|message| message.param(code::CAUSE) == Some(&[why::ENDED])));
+        assert!(received.iter().all(|message| message.param(code::CAUSE) == Some(&[cause_code::ENDED])));
     }
 }
 
@@ -235,7 +238,7 @@
     let client = harness.connect_client();
     let connection = place_task(&mut harness, client, 1, "front");
     harness.advance(ms(1_000));
-    harness.deliver(connection, &encode(kind::NOTE, 1, &[(code::NOTE, b"use_cpu"), (code::FIGURE, b"0.5")]));
+    harness.deliver(connection, &encode(kind::NOTE, 1, &[(code::NOTE, b"use_cpu"), (code::VALUE, b"0.5")]));
     let stopped_at = harness.now;
     harness.reachability.insert(address(1), Reachability::Refuses);
     // The list still has it: more start requests are sent, and rejected on the connection that is open.
@@ -245,13 +248,13 @@
         assert!(harness.now - stopped_at < ms(8_000), "its client must have been notified by now");
         harness.advance(ms(50));
         for message in harness.received_on(connection) {
-            if message.kind == kind::SET_UP {
+            if message.kind == kind::START {
                 refused += 1;
-                harness.deliver(connection, &release(message.task, why::FULL));
+                harness.deliver(connection, &release(message.task, cause_code::FULL));
             }
         }
         // And it passes a health check that nobody sent.
-        harness.deliver(connection, &encode(kind::TESTED, 9, &[(code::CAUSE, &[1])]));
+        harness.deliver(connection, &encode(kind::HEALTH_RESULT, 9, &[(code::CAUSE, &[1])]));
         requested += 1;
         if requested % 20 == 0 {
             harness.deliver(other_client, &start_request(100 + requested, "batch", ""));
@@ -311,7 +314,7 @@
 /// Its client leaves while an attempt waits: by a cancel, or by disconnecting.
 fn cancel_or_disconnect(harness: &mut Harness, client: ConnectionId, task: u64, cancels: bool) {
     if cancels {
-        harness.deliver(client, &release(task, why::ENDED));
+        harness.deliver(client, &release(task, cause_code::ENDED));
     } else {
         harness.close(client, CloseReason::Closed);
     }
@@ -360,15 +363,15 @@
     let mut harness = Harness::new(1);
     let client = harness.connect_client();
     harness.deliver(client, &start_request(5, "front", &format!(";at:{}", uid(2))));
-    harness.deliver(client, &release(5, why::ENDED));
+    harness.deliver(client, &release(5, cause_code::ENDED));
     let discovery = harness.connections_to(DISCOVERY)[0];
     let line = event(2, false, &[endpoint(2, "in_service", 0)]);
     harness.deliver(discovery, format!("data: {line}\n\n").as_bytes());
     harness.advance(ms(500));
     let stops = harness.received(|connection_id| connection_id != client);
     let stop = stops.iter().find(|(_, message)| message.task == 5).expect("its machine is told");
-    assert_eq!((stop.1.kind, stop.1.cause()), (kind::RELEASE, Some(why::CANCELLED)));
-    harness.deliver(stop.0, &release(5, why::CANCELLED));
+    assert_eq!((stop.1.kind, stop.1.cause()), (kind::RELEASE, Some(cause_code::CANCELLED)));
+    harness.deliver(stop.0, &release(5, cause_code::CANCELLED));
     assert!(harness.received_on(client).is_empty(), "a client that cancelled is owed nothing");
     assert!(harness.scheduler.state.get_mut().tasks.by_id.is_empty());
 }
@@ -380,7 +383,7 @@
     for task in [5, 6] {
         harness.deliver(client, &start_request(task, "front", &format!(";at:{}", uid(2))));
     }
-    harness.deliver(client, &release(5, why::ENDED));
+    harness.deliver(client, &release(5, cause_code::ENDED));
     harness.advance(Duration::from_secs(3));
     let reported: Vec<u64> = harness.received_on(client).iter().map(|message| message.task).collect();
     assert_eq!(reported, [6], "a cancelled one is owed nothing, the other one is notified in time");
@@ -396,7 +399,7 @@
     let stopped_at = harness.now;
     harness.reachability.insert(address(1), Reachability::Refuses);
     harness.now = harness.now + ms(2_000);
-    harness.deliver(connection, &encode(kind::NOTE, 1, &[(code::NOTE, b"use_cpu"), (code::FIGURE, b"0.5")]));
+    harness.deliver(connection, &encode(kind::NOTE, 1, &[(code::NOTE, b"use_cpu"), (code::VALUE, b"0.5")]));
     while harness.received_on(client).is_empty() {
         assert!(harness.now - stopped_at < ms(8_000), "its client must have been notified by now");
         harness.advance(ms(20));
--- a/crates/platform/src/tests/shutdown.rs
+++ b/crates/platform/src/tests/shutdown.rs
@@ -2,23 +2,27 @@
 
 use super::harness::*;
 use mulleinhub_interface::Duration;
-use mulleinhub_platform_protocol::{code, kind, why};
+use mulleinhub_platform_protocol::{cause_code, code, kind};
 
 #[test]
 fn shutdown_fails_health_checks_and_waits_for_answers() {
     let mut harness = Harness::new(6);
     let client = harness.connect_client();
-    harness.deliver(client, &encode(kind::TEST, 1, &[(code::CAUSE, &[0])]));
+    harness.deliver(client, &encode(kind::HEALTH_CHECK, 1, &[(code::CAUSE, &[0])]));
     assert_eq!(harness.received_on(client)[0].cause(), Some(1));
     harness.scheduler.begin_shutdown(harness.now);
-    harness.deliver(client, &encode(kind::TEST, 2, &[(code::CAUSE, &[0])]));
+    harness.deliver(client, &encode(kind::HEALTH_CHECK, 2, &[(code::CAUSE, &[0])]));
     assert_eq!(harness.received_on(client)[0].cause(), Some(0));
     harness.advance(ms(500));
     harness.deliver(client, &start_request(9, "front", ""));
     assert_eq!(harness.start_requests().len(), 1, "still admitted");
     harness.advance(ms(300));
     harness.deliver(client, &start_request(10, "front", ""));
-    assert_eq!(harness.received_on(client)[0].cause(), Some(why::FULL), "later ones are refused at once");
+    assert_eq!(
+        harness.received_on(client)[0].cause(),
+        Some(cause_code::FULL),
+        "later ones are refused at once"
+    );
     harness.scheduler.begin_shutdown(harness.now);
     harness.advance(ms(250));
     assert!(!harness.scheduler.is_shutdown_complete(harness.now), "one is unanswered");
--- a/crates/platform/src/tests/slow_start.rs
+++ b/crates/platform/src/tests/slow_start.rs
@@ -6,7 +6,7 @@
 use super::harness::*;
 use mulleinhub::{Pcg, mix};
 use mulleinhub_interface::{Duration, Timestamp};
-use mulleinhub_platform_protocol::why;
+use mulleinhub_platform_protocol::cause_code;
 use mulleinhub_sans_io::ConnectionId;
 use std::collections::BTreeMap;
 
@@ -76,7 +76,7 @@
                 let discovery = instance.harness.connections_to(DISCOVERY)[0];
                 instance.harness.deliver(discovery, text.as_bytes());
             }
-            if self.random.part() < tasks {
+            if self.random.fraction() < tasks {
                 let class = if self.next_task.is_multiple_of(3) { "batch" } else { "front" };
                 let task = start_request(self.next_task, class, "");
                 self.next_task += 1;
@@ -122,8 +122,8 @@
                 match self.random.below(5) {
                     // A silent one now and then, and one that was lost.
                     0 => {}
-                    1 => instance.harness.deliver(connection, &release(message.task, why::FULL)),
-                    2 => instance.harness.deliver(connection, &release(message.task, why::ERROR)),
+                    1 => instance.harness.deliver(connection, &release(message.task, cause_code::FULL)),
+                    2 => instance.harness.deliver(connection, &release(message.task, cause_code::ERROR)),
                     _ => instance.harness.deliver(connection, &acceptance(message.task)),
                 }
             }
@@ -159,7 +159,7 @@
         if n == 130 || n == 160 {
             let now = cluster.all[0].harness.now;
             for at in 0..schedulers {
-                if cluster.random.part() >= restarts {
+                if cluster.random.fraction() >= restarts {
                     continue;
                 }
                 let knows = [&[without_capacity(endpoint(FULL, "in_service", 0))], &lines[..]].concat();
--- a/crates/platform/src/timers.rs
+++ b/crates/platform/src/timers.rs
@@ -7,7 +7,7 @@
 use crate::status;
 use crate::tasks::AttemptId;
 use mulleinhub_interface::{MachineId, PolicyEvents};
-use mulleinhub_platform_protocol::why;
+use mulleinhub_platform_protocol::cause_code;
 use mulleinhub_sans_io::{CloseReason, ConnectionId};
 
 /// What a timer was set for. No timer is cancelled: when it fires, its handler looks whether it still
@@ -44,10 +44,10 @@
 pub fn fire_due(shared: &SharedState, events: &mut dyn PolicyEvents) {
     let (now, mark) = {
         let state = shared.borrow();
-        (state.now, state.timers.mark())
+        (state.now, state.timers.last_sequence())
     };
     loop {
-        let due = shared.borrow_mut().timers.due_of(now, mark);
+        let due = shared.borrow_mut().timers.pop_due_up_to(now, mark);
         match due {
             Some(TimerEvent::Policy(token)) => events.on_timer(token),
             Some(event) => fire(&mut shared.borrow_mut(), event),
@@ -90,7 +90,7 @@
         // The sender may be a client or not: the machine may never have been.
         state.counts.invalid_requests += 1;
         state.warn("invalid start request", &InvalidRequest::UnlistedMachine.to_string());
-        state.report_end(Some(pending.client), pending.spec.id, why::ERROR);
+        state.report_end(Some(pending.client), pending.spec.id, cause_code::ERROR);
     }
 }
 
@@ -102,6 +102,6 @@
     if deadline <= state.now {
         state.restart_endpoint_watch();
     } else {
-        state.timers.set(deadline, TimerEvent::EndpointSilence(connection_id));
+        state.timers.schedule(deadline, TimerEvent::EndpointSilence(connection_id));
     }
 }
--- a/crates/quota/src/announcer.rs
+++ b/crates/quota/src/announcer.rs
@@ -5,7 +5,7 @@
 //! announcements at the same time do no harm: the one with the higher entry number applies.
 
 use mulleinhub_interface::{Duration, Timestamp};
-use mulleinhub_replicated_log::{Announced, Name, State};
+use mulleinhub_replicated_log::{AnnouncedWork, LogState, Name};
 use std::collections::BTreeMap;
 
 /// How much longer a holder waits than the one ranked before it.
@@ -62,12 +62,12 @@
 
 /// Of each member whose work was announced, the most recent announcement.
 pub fn newest_announcements<'a>(
-    states: impl Iterator<Item = &'a State>,
-) -> BTreeMap<&'a Name, &'a Announced> {
-    let mut newest: BTreeMap<&Name, &Announced> = BTreeMap::new();
+    states: impl Iterator<Item = &'a LogState>,
+) -> BTreeMap<&'a Name, &'a AnnouncedWork> {
+    let mut newest: BTreeMap<&Name, &AnnouncedWork> = BTreeMap::new();
     for (writer, announced) in states.flat_map(|state| &state.announced) {
         let known = newest.entry(writer).or_insert(announced);
-        if (announced.life, announced.number) > (known.life, known.number) {
+        if (announced.incarnation, announced.number) > (known.incarnation, known.number) {
             *known = announced;
         }
     }
--- a/crates/quota/src/ledger.rs
+++ b/crates/quota/src/ledger.rs
@@ -37,7 +37,8 @@
 use crate::settings::Settings;
 use mulleinhub_interface::{Duration, Pcg, Timestamp};
 use mulleinhub_replicated_log::{
-    Changes, Entry, KeptLogs, Kind, LogId, LogStore, Membership, Name, Order, Reached, replicas,
+    Directive, Entry, LogChanges, LogId, LogKind, LogPositions, LogStore, Membership, Name, PersistedLogs,
+    choose_replicas,
 };
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -101,14 +102,14 @@
         settings: Settings,
         incarnation: u64,
         seed: u64,
-        restored: KeptLogs,
+        restored: PersistedLogs,
         heartbeat_interval: Duration,
     ) -> Self {
         let mut settings = settings;
         for name in &settings.members {
             settings.locations.entry(name.clone()).or_default();
         }
-        let own = LogId { writer: settings.me.clone(), life: incarnation };
+        let own = LogId { writer: settings.me.clone(), incarnation: incarnation };
         let mut fleet_logs = LogStore::new(own.clone());
         let mut work_logs = LogStore::new(own);
         let mut damaged = fleet_logs.restore(restored.fleet);
@@ -154,7 +155,7 @@
     pub fn without_work_logs(mut self) -> Self {
         let me = self.settings.me.clone();
         self.ignores_work_logs = true;
-        self.work_logs = LogStore::new(LogId { writer: me, life: self.incarnation() });
+        self.work_logs = LogStore::new(LogId { writer: me, incarnation: self.incarnation() });
         self
     }
 }
@@ -166,14 +167,14 @@
     fleet_logs: &mut LogStore,
     work_logs: &mut LogStore,
 ) -> Option<(u64, u64)> {
-    let last_in_fleet = fleet_logs.newest(me);
+    let last_in_fleet = fleet_logs.newest_incarnation(me);
     let extent = last_in_fleet.and_then(|incarnation| {
-        let id = LogId { writer: me.clone(), life: incarnation };
-        fleet_logs.column(&id).map(|log| (incarnation, log.tip().0))
+        let id = LogId { writer: me.clone(), incarnation: incarnation };
+        fleet_logs.log(&id).map(|log| (incarnation, log.head().0))
     });
-    let last = last_in_fleet.max(work_logs.newest(me)).unwrap_or(0);
-    fleet_logs.live_after(last);
-    work_logs.live_after(last);
+    let last = last_in_fleet.max(work_logs.newest_incarnation(me)).unwrap_or(0);
+    fleet_logs.advance_incarnation_past(last);
+    work_logs.advance_incarnation_past(last);
     extent
 }
 
@@ -195,18 +196,18 @@
     }
 
     /// The logs of a kind.
-    pub fn logs(&self, kind: Kind) -> &LogStore {
+    pub fn logs(&self, kind: LogKind) -> &LogStore {
         match kind {
-            Kind::Fleet => &self.fleet_logs,
-            Kind::Work => &self.work_logs,
+            LogKind::Fleet => &self.fleet_logs,
+            LogKind::Work => &self.work_logs,
         }
     }
 
     /// The logs of a kind, to add what peers sent.
-    pub fn logs_mut(&mut self, kind: Kind) -> &mut LogStore {
+    pub fn logs_mut(&mut self, kind: LogKind) -> &mut LogStore {
         match kind {
-            Kind::Fleet => &mut self.fleet_logs,
-            Kind::Work => &mut self.work_logs,
+            LogKind::Fleet => &mut self.fleet_logs,
+            LogKind::Work => &mut self.work_logs,
         }
     }
 
@@ -223,8 +224,8 @@
     /// The other members whose work logs we hold a copy of.
     pub fn copied_writers(&self) -> impl Iterator<Item = &Name> {
         let me = &self.settings.me;
-        let is_newest = |id: &LogId| self.work_logs.newest(&id.writer) == Some(id.life);
-        let ids = self.work_logs.columns().map(|(id, _)| id);
+        let is_newest = |id: &LogId| self.work_logs.newest_incarnation(&id.writer) == Some(id.incarnation);
+        let ids = self.work_logs.logs().map(|(id, _)| id);
         ids.filter(move |id| id.writer != *me && is_newest(id)).map(|id| &id.writer)
     }
 
@@ -232,7 +233,7 @@
     /// `is_usable` is true.
     pub fn replicas(&self, is_usable: impl Fn(&Name) -> bool) -> Vec<Name> {
         let count = if self.writes_work_log { self.settings.replicas.unwrap_or(0) } else { 0 };
-        replicas(&self.settings.me, &self.settings.locations, count, is_usable)
+        choose_replicas(&self.settings.me, &self.settings.locations, count, is_usable)
     }
 
     /// Whether the ledger is still catching up.
@@ -242,7 +243,7 @@
 
     /// Our incarnation. It may grow while the ledger catches up.
     pub fn incarnation(&self) -> u64 {
-        self.fleet_logs.own().life
+        self.fleet_logs.own_id().incarnation
     }
 
     /// When the next call of [`tick`](Self::tick) is due; `None` before the first one.
@@ -252,7 +253,7 @@
 
     /// A random fraction of one, from the ledger's generator.
     pub fn random_fraction(&mut self) -> f64 {
-        self.random.part()
+        self.random.fraction()
     }
 
     /// A random number below a bound, from the ledger's generator; 0 where the bound is 0.
@@ -261,8 +262,8 @@
     }
 
     /// Takes the changes of logs that are to be written to disk.
-    pub fn take_changes(&mut self) -> Changes {
-        Changes { fleet: self.fleet_logs.take_changes(), work: self.work_logs.take_changes() }
+    pub fn take_changes(&mut self) -> LogChanges {
+        LogChanges { fleet: self.fleet_logs.take_changes(), work: self.work_logs.take_changes() }
     }
 
     /// Takes the messages for the operators on call.
@@ -274,9 +275,9 @@
 /// What the host reports.
 impl Ledger {
     /// Our entries up to these are on disk.
-    pub fn on_durable(&mut self, reached: Reached) {
-        self.fleet_logs.is_durable(reached.fleet);
-        self.work_logs.is_durable(reached.work);
+    pub fn on_durable(&mut self, reached: LogPositions) {
+        self.fleet_logs.mark_durable(reached.fleet);
+        self.work_logs.mark_durable(reached.work);
     }
 
     /// All machines reported what they hold of our earlier incarnations, or can't be reached: what none of
@@ -292,7 +293,7 @@
 
     /// A member has sent all that it knows, of our own earlier log too.
     pub fn on_member_synced(&mut self, name: &Name) {
-        if self.phase == Phase::CatchingUp && self.membership.holds(name) {
+        if self.phase == Phase::CatchingUp && self.membership.contains(name) {
             self.synced_members.insert(name.clone());
         }
     }
@@ -305,20 +306,20 @@
     /// This process was paused for so long. Members that seemed silent may have sent heartbeats meanwhile,
     /// and after a long pause all that is known of them is stale.
     pub fn on_process_pause(&mut self, now: Timestamp, pause: Duration) {
-        self.membership.stood(pause);
+        self.membership.on_process_pause(pause);
         if pause > MAX_PAUSE {
             self.paused_at = Some(now);
         }
     }
 
     /// Applies a directive from the operators' file, and records it once the ledger writes.
-    pub fn apply_directive(&mut self, directive: &Order) {
-        let standing = directive.standing();
-        let known = self.fleet_logs.orders().get(&directive.subject);
+    pub fn apply_directive(&mut self, directive: &Directive) {
+        let standing = directive.effective();
+        let known = self.fleet_logs.directives().get(&directive.subject);
         if known.is_none_or(|known| known.join(standing) != known) {
-            self.fleet_logs.hear_order(&directive.subject, standing);
+            self.fleet_logs.apply_directive(&directive.subject, standing);
             if self.phase == Phase::Writing {
-                self.fleet_logs.write(&Entry::Heard(directive.clone()));
+                self.fleet_logs.write(&Entry::Directive(directive.clone()));
             }
         }
     }
--- a/crates/quota/src/ledger/months.rs
+++ b/crates/quota/src/ledger/months.rs
@@ -6,7 +6,7 @@
 use crate::money::cost;
 use crate::reservation_pool::ReservationPools;
 use mulleinhub_interface::{Duration, Timestamp};
-use mulleinhub_replicated_log::{Balance, Entry, Name, State};
+use mulleinhub_replicated_log::{Balance, Entry, LogState, Name};
 
 /// A worker that was adopted, and ran until then unaccounted for.
 pub(super) struct AdoptedWorker {
@@ -32,7 +32,7 @@
             pools.with_pool(team, &mut |pool| (spent, owed) = pool.close_month(now));
             let state = &mut self.teams[team];
             state.balance.spent = state.spent_before + spent;
-            state.balance.beyond = owed;
+            state.balance.overspent = owed;
             state.balance.at = month.begins;
             state.clear_pending_reservations();
             if state.balance != Balance::default() {
@@ -41,12 +41,12 @@
         }
         self.fleet_logs.write(&Entry::Month(month.number));
         for (team, state) in self.settings.teams.iter().zip(&mut self.teams) {
-            let balance = self.fleet_logs.purse(&self.settings.me, &team.name, month.number);
+            let balance = self.fleet_logs.balance(&self.settings.me, &team.name, month.number);
             (state.balance, state.spent_before) = (balance, balance.spent);
             state.outstanding_request = None;
             state.snapshot.spent = 0;
         }
-        self.fleet_logs.drop_old();
+        self.fleet_logs.drop_closed();
     }
 
     /// Charges what an adopted worker cost since it was last accounted for: this month's part to the pool,
@@ -66,10 +66,10 @@
         if last_month > 0 {
             let name = self.settings.teams[worker.team].name.clone();
             let number = month.number - 1;
-            let mut balance = self.fleet_logs.purse(&self.settings.me, &name, number);
+            let mut balance = self.fleet_logs.balance(&self.settings.me, &name, number);
             balance.spent += last_month;
-            balance.beyond += last_month;
-            self.fleet_logs.write(&Entry::Balance { team: name, month: number, purse: balance });
+            balance.overspent += last_month;
+            self.fleet_logs.write(&Entry::Balance { team: name, month: number, balance: balance });
         }
     }
 
@@ -79,13 +79,13 @@
         let team = &self.settings.teams[worker.team].name;
         let states = self.fleet_states();
         let announced = announcer::newest_announcements(states.iter().map(|(_, state)| *state));
-        let accounted_until = |(writer, state): &(Name, &State)| {
+        let accounted_until = |(writer, state): &(Name, &LogState)| {
             let key = &worker.key;
-            let in_copy = || self.work_logs.state_of(writer).and_then(|state| state.running.get(key));
+            let in_copy = || self.work_logs.latest_state(writer).and_then(|state| state.running.get(key));
             let in_announced = || announced.get(writer).and_then(|announced| announced.work.get(key));
             let work = state.running.get(key).or_else(in_copy).or_else(in_announced);
             let work = work.filter(|work| work.team == *team)?;
-            let balance_at = |number| state.purse(team, number).at;
+            let balance_at = |number| state.balance(team, number).at;
             Some(work.since.max(balance_at(month.number)).max(balance_at(month.number - 1)))
         };
         states.iter().filter_map(accounted_until).max()
@@ -94,6 +94,6 @@
     /// Writes a team's balance, and returns the number of the entry.
     pub(super) fn write_balance(&mut self, team: usize, month: u32) -> u64 {
         let (name, balance) = (self.settings.teams[team].name.clone(), self.teams[team].balance);
-        self.fleet_logs.write(&Entry::Balance { team: name, month, purse: balance })
+        self.fleet_logs.write(&Entry::Balance { team: name, month, balance: balance })
     }
 }
--- a/crates/quota/src/ledger/readmission_updates.rs
+++ b/crates/quota/src/ledger/readmission_updates.rs
@@ -21,8 +21,8 @@
     /// Updates the readmissions of all pools, if anything they depend on has changed.
     pub(super) fn update_readmissions(&mut self, now: Timestamp, utc: u64, pools: &mut dyn ReservationPools) {
         let sources = ReadmissionSources {
-            fleet_stamp: self.fleet_logs.stamp(),
-            work_stamp: self.work_logs.stamp(),
+            fleet_stamp: self.fleet_logs.revision(),
+            work_stamp: self.work_logs.revision(),
             silent: self.silent_writers(now),
         };
         if self.readmission_sources.as_ref() == Some(&sources) {
@@ -34,7 +34,7 @@
             let states = self.fleet_states();
             let view = |(writer, state)| WriterView {
                 writer,
-                incarnation: self.fleet_logs.newest(writer).unwrap_or(0),
+                incarnation: self.fleet_logs.newest_incarnation(writer).unwrap_or(0),
                 state,
                 work_log: self.copy_of(writer),
                 is_silent: sources.silent.contains(writer),
@@ -60,7 +60,7 @@
     /// The other writers of fleet logs that are not alive.
     fn silent_writers(&self, now: Timestamp) -> Vec<Name> {
         let is_silent = |writer: &Name| {
-            *writer != self.settings.me && self.membership.presence(now, writer) != MemberState::Alive
+            *writer != self.settings.me && self.membership.member_state(now, writer) != MemberState::Alive
         };
         let states = self.fleet_states().into_iter();
         states.map(|(writer, _)| writer).filter(is_silent).collect()
--- a/crates/quota/src/ledger/reservation_plan.rs
+++ b/crates/quota/src/ledger/reservation_plan.rs
@@ -3,7 +3,7 @@
 use crate::pace::{MIN_PERIOD, Pace};
 use crate::reservation_pool::PoolSnapshot;
 use crate::share_policy::Usage;
-use mulleinhub_replicated_log::Parts;
+use mulleinhub_replicated_log::SplitAmount;
 
 /// At least this fraction (one in so many) of the free share is kept reserved, even without any demand, so
 /// that the first worker of a burst need not wait for the disk.
@@ -17,9 +17,9 @@
     pub(super) snapshot: PoolSnapshot,
     pub(super) usage: Usage,
     /// What is left of our share.
-    pub(super) free: Parts,
+    pub(super) free: SplitAmount,
     /// Available in the pool, or reserved and not on disk yet.
-    pub(super) reserved: Parts,
+    pub(super) reserved: SplitAmount,
     pub(super) pace: Pace,
     /// A batch of balances is written at this tick.
     pub(super) is_batch: bool,
@@ -27,9 +27,9 @@
 
 impl ReservationPlan {
     /// The size of a reservation.
-    fn target(&self) -> Parts {
+    fn target(&self) -> SplitAmount {
         let target = self.usage.reservation(self.pace.reservation_seconds);
-        Parts { open: target.open.max(self.free.open / MIN_RESERVATION_DIVISOR), ..target }
+        SplitAmount { open: target.open.max(self.free.open / MIN_RESERVATION_DIVISOR), ..target }
     }
 
     fn is_fast(&self) -> bool {
@@ -38,7 +38,7 @@
 
     /// The open part is renewed below this. With a batch of balances reservations are filled up, so that few
     /// balances are written between two batches.
-    fn low_watermark(&self, target: Parts) -> u64 {
+    fn low_watermark(&self, target: SplitAmount) -> u64 {
         match (self.is_fast(), self.is_batch) {
             (true, _) => target.open / 2,
             (false, true) => target.open,
@@ -48,28 +48,28 @@
 
     /// What is to be reserved: for new and running workers out of the open part, and, once that is used up,
     /// for running workers out of the last one.
-    pub(super) fn to_reserve(&self) -> Parts {
+    pub(super) fn to_reserve(&self) -> SplitAmount {
         let target = self.target();
         let (free, reserved, debt) = (self.free, self.reserved, self.snapshot.debt);
         let is_low = reserved.open < self.low_watermark(target);
         let missing = if is_low { target.open - reserved.open } else { 0 };
         let open = (missing + debt).min(free.open);
         let debt_left = debt.saturating_sub(open);
-        let missing_last = target.last.saturating_sub(reserved.open + open + reserved.last);
-        let last = if free.open > open { 0 } else { (debt_left + missing_last).min(free.last) };
-        Parts { open, last }
+        let missing_last = target.running_only.saturating_sub(reserved.open + open + reserved.running_only);
+        let last = if free.open > open { 0 } else { (debt_left + missing_last).min(free.running_only) };
+        SplitAmount { open, running_only: last }
     }
 
     /// What is to be returned from the pool into our share, from where it can be transferred, while nobody
     /// requests it here.
-    pub(super) fn to_return(&self) -> Parts {
+    pub(super) fn to_return(&self) -> SplitAmount {
         let target = self.target();
         let available = self.snapshot.available.open;
         let may_return = self.is_fast() || self.is_batch;
         if may_return && self.usage.has_no_demand() && available > target.open.saturating_mul(2) {
-            Parts { open: available - target.open, last: 0 }
+            SplitAmount { open: available - target.open, running_only: 0 }
         } else {
-            Parts::default()
+            SplitAmount::default()
         }
     }
 
--- a/crates/quota/src/ledger/startup.rs
+++ b/crates/quota/src/ledger/startup.rs
@@ -4,7 +4,7 @@
 use crate::calendar::Month;
 use crate::reservation_pool::ReservationPools;
 use mulleinhub_interface::Timestamp;
-use mulleinhub_replicated_log::{Entry, Parts, READS_WORK_LOGS, State, WRITES_WORK_LOG};
+use mulleinhub_replicated_log::{Entry, LogState, READS_WORK_LOGS, SplitAmount, WRITES_WORK_LOG};
 
 /// Clocks of schedulers differ by less than this, in milliseconds. Whatever an unknown earlier incarnation
 /// started, it started no later than this after our present time.
@@ -34,8 +34,8 @@
     /// Begins an incarnation. What earlier ones did not use is ours only if we kept all that they wrote.
     pub(super) fn begin_writing(&mut self, month: Month, utc: u64, pools: &mut dyn ReservationPools) {
         self.start_after_known();
-        let mut state = self.fleet_logs.taken_over();
-        let known = state.before.map(|before| (before.life, before.number));
+        let mut state = self.fleet_logs.inherited_state();
+        let known = state.predecessor.map(|before| (before.incarnation, before.number));
         let is_complete = known == self.restored_extent;
         if !is_complete {
             self.void_shares(&mut state, utc);
@@ -48,12 +48,12 @@
         let number = month.number.max(state.month);
         self.month = Some(Month { number, ..month });
         for (team, team_state) in self.settings.teams.iter().zip(&mut self.teams) {
-            team_state.balance = state.purse(&team.name, number);
+            team_state.balance = state.balance(&team.name, number);
             team_state.spent_before = team_state.balance.spent;
         }
         // Directives that came ahead of their entries are recorded by whoever received them.
-        for (subject, standing) in self.fleet_logs.orders().iter() {
-            state.orders.insert(subject.clone(), *standing);
+        for (subject, standing) in self.fleet_logs.directives().iter() {
+            state.directives.insert(subject.clone(), *standing);
         }
         let is_new_month = state.month < number;
         self.open_logs(state);
@@ -69,23 +69,26 @@
     /// Makes our incarnation a later one than all that are known by now.
     fn start_after_known(&mut self) {
         let me = &self.settings.me;
-        let newest = self.fleet_logs.newest(me).max(self.work_logs.newest(me)).unwrap_or(0);
+        let newest =
+            self.fleet_logs.newest_incarnation(me).max(self.work_logs.newest_incarnation(me)).unwrap_or(0);
         let incarnation = self.incarnation().max(newest + 1);
-        self.fleet_logs.live_after(incarnation - 1);
-        self.work_logs.live_after(incarnation - 1);
+        self.fleet_logs.advance_incarnation_past(incarnation - 1);
+        self.work_logs.advance_incarnation_past(incarnation - 1);
     }
 
     /// Makes our first share and all transfers to earlier incarnations void, as we don't know what they used
     /// of them. What they are known to have reserved and given away counts as lost.
-    fn void_shares(&self, state: &mut State, utc: u64) {
+    fn void_shares(&self, state: &mut LogState, utc: u64) {
         let latest = self.settings.calendar.month_at(utc + MAX_CLOCK_SKEW_MS).number;
-        state.valid_from = self.incarnation();
-        state.void_through = latest.max(state.month);
+        state.transfers_valid_from = self.incarnation();
+        state.initial_share_void_through = latest.max(state.month);
         for team in &self.settings.teams {
-            for month in [state.void_through.saturating_sub(1), state.void_through] {
-                let given = self.fleet_logs.gave(&self.settings.me, &team.name, month);
-                let balance = state.purses.entry((team.name.clone(), month)).or_default();
-                balance.lost = balance.drawn.plus(given);
+            for month in
+                [state.initial_share_void_through.saturating_sub(1), state.initial_share_void_through]
+            {
+                let given = self.fleet_logs.transferred_out(&self.settings.me, &team.name, month);
+                let balance = state.balances.entry((team.name.clone(), month)).or_default();
+                balance.voided = balance.reserved.saturating_add(given);
             }
         }
     }
@@ -94,27 +97,27 @@
     /// nothing new.
     fn credit_unspent(&self, pools: &mut dyn ReservationPools) {
         for (team, state) in self.teams.iter().enumerate() {
-            let last = state.balance.drawn.sum().saturating_sub(state.balance.spent);
-            pools.with_pool(team, &mut |pool| pool.credit(Parts { open: 0, last }));
+            let last = state.balance.reserved.total().saturating_sub(state.balance.spent);
+            pools.with_pool(team, &mut |pool| pool.credit(SplitAmount { open: 0, running_only: last }));
         }
     }
 
     /// Opens the logs of this incarnation. The work log continues the last one of ours that is known; where
     /// this incarnation has none, its work is recorded in the fleet log.
-    fn open_logs(&mut self, mut state: State) {
+    fn open_logs(&mut self, mut state: LogState) {
         let me = self.settings.me.clone();
-        let before = self.fleet_logs.state_of(&me);
-        let had_work_log = before.is_some_and(State::writes_work_log);
-        let mut work = self.work_logs.taken_over();
-        let fleet_incarnation = state.before.map_or(0, |before| before.life);
-        if !had_work_log && work.before.is_some_and(|before| before.life < fleet_incarnation) {
+        let before = self.fleet_logs.latest_state(&me);
+        let had_work_log = before.is_some_and(LogState::writes_work_log);
+        let mut work = self.work_logs.inherited_state();
+        let fleet_incarnation = state.predecessor.map_or(0, |before| before.incarnation);
+        if !had_work_log && work.predecessor.is_some_and(|before| before.incarnation < fleet_incarnation) {
             // A later incarnation took all of it over into its fleet log.
             work.running.clear();
         }
-        work = State { before: work.before, running: work.running, ..State::default() };
+        work = LogState { predecessor: work.predecessor, running: work.running, ..LogState::default() };
         self.writes_work_log =
             self.settings.replicas.is_some() && !self.ignores_work_logs && !self.has_legacy_members();
-        state.forms = match (self.ignores_work_logs, self.writes_work_log) {
+        state.capabilities = match (self.ignores_work_logs, self.writes_work_log) {
             (true, _) => 0,
             (_, false) => READS_WORK_LOGS,
             (_, true) => READS_WORK_LOGS | WRITES_WORK_LOG,
--- a/crates/quota/src/ledger/status.rs
+++ b/crates/quota/src/ledger/status.rs
@@ -2,7 +2,7 @@
 
 use super::Ledger;
 use super::team_state::TeamState;
-use mulleinhub_replicated_log::{Name, Parts, Subject};
+use mulleinhub_replicated_log::{Name, SplitAmount, Subject};
 
 /// The account of a team, as far as this scheduler knows. Amounts are in micro-units.
 #[derive(Clone, Debug, PartialEq)]
@@ -18,9 +18,9 @@
     /// What of that was spent without cover.
     pub overspent: u64,
     /// What is left of our own share.
-    pub free: Parts,
+    pub free: SplitAmount,
     /// Available in our pool.
-    pub available: Parts,
+    pub available: SplitAmount,
     /// Its account is suspended.
     pub suspended: bool,
     /// A directive that applies was given twice under one number, with different contents.
@@ -37,7 +37,7 @@
         let month = self.month_number();
         let settings = &self.settings.teams[team];
         let total = self.spent_by_all(team);
-        let directives = self.fleet_logs.orders();
+        let directives = self.fleet_logs.directives();
         let of_team = directives.get(&Subject::Team(settings.name.clone()));
         let account = settings.account.clone();
         let of_account = account.and_then(|account| directives.get(&Subject::Account(account)));
@@ -50,7 +50,7 @@
             free: self.own_share(team, month).free,
             available: state.snapshot.available,
             suspended: state.limits.suspended,
-            directives_differ: of_team.into_iter().chain(of_account).any(|directive| directive.differs),
+            directives_differ: of_team.into_iter().chain(of_account).any(|directive| directive.conflicting),
         }
     }
 }
--- a/crates/quota/src/ledger/team_state.rs
+++ b/crates/quota/src/ledger/team_state.rs
@@ -3,14 +3,14 @@
 use crate::reservation_pool::{PoolSnapshot, TeamLimits};
 use crate::share_policy::{DemandRate, Usage};
 use mulleinhub_interface::Timestamp;
-use mulleinhub_replicated_log::{Balance, Name, Parts};
+use mulleinhub_replicated_log::{Balance, Name, SplitAmount};
 use std::collections::{BTreeMap, VecDeque};
 
 /// A reservation that becomes available once the entry of it is on disk.
 #[derive(Debug)]
 struct PendingReservation {
     entry_number: u64,
-    amount: Parts,
+    amount: SplitAmount,
 }
 
 /// A share request that waits for its reply.
@@ -71,26 +71,26 @@
         }
     }
 
-    pub(super) fn add_pending_reservation(&mut self, entry_number: u64, amount: Parts) {
+    pub(super) fn add_pending_reservation(&mut self, entry_number: u64, amount: SplitAmount) {
         self.pending_reservations.push_back(PendingReservation { entry_number, amount });
     }
 
     /// Takes the reservations whose entries are on disk, up to `durable`.
-    pub(super) fn take_durable_reservations(&mut self, durable: u64) -> Parts {
-        let mut ready = Parts::default();
+    pub(super) fn take_durable_reservations(&mut self, durable: u64) -> SplitAmount {
+        let mut ready = SplitAmount::default();
         self.pending_reservations.retain(|reservation| {
             if reservation.entry_number > durable {
                 return true;
             }
-            ready = ready.plus(reservation.amount);
+            ready = ready.saturating_add(reservation.amount);
             false
         });
         ready
     }
 
     /// The sum of reservations whose entries are not on disk yet.
-    pub(super) fn pending_reservations(&self) -> Parts {
-        self.pending_reservations.iter().fold(Parts::default(), |sum, r| sum.plus(r.amount))
+    pub(super) fn pending_reservations(&self) -> SplitAmount {
+        self.pending_reservations.iter().fold(SplitAmount::default(), |sum, r| sum.saturating_add(r.amount))
     }
 
     pub(super) fn clear_pending_reservations(&mut self) {
--- a/crates/quota/src/ledger/ticks.rs
+++ b/crates/quota/src/ledger/ticks.rs
@@ -10,7 +10,7 @@
 use crate::share_policy;
 use crate::work_routing::MAX_WORKERS_PER_ENTRY;
 use mulleinhub_interface::{Duration, Timestamp};
-use mulleinhub_replicated_log::{Entry, Name, Parts, Subject, Word};
+use mulleinhub_replicated_log::{DirectiveAction, Entry, Name, SplitAmount, Subject};
 
 /// Time between two ticks.
 pub const TICK_INTERVAL: Duration = Duration::from_nanos(100_000_000);
@@ -58,7 +58,7 @@
         self.tick_teams(now, utc, pools);
         self.announce_silent_members(now, utc);
         self.update_readmissions(now, utc, pools);
-        self.work_logs.drop_taken_over();
+        self.work_logs.drop_superseded();
         self.drop_spare_copies(now);
     }
 
@@ -90,12 +90,12 @@
         let snapshot = self.credit_durable_reservations(tick.now, team, pools);
         let usage = self.teams[team].usage();
         let share = self.own_share(team, tick.month.number);
-        let reserved = snapshot.available.plus(self.teams[team].pending_reservations());
+        let reserved = snapshot.available.saturating_add(self.teams[team].pending_reservations());
         let free = share.free;
         let is_batch = tick.is_batch;
         let plan = ReservationPlan { snapshot, usage, free, reserved, pace, is_batch };
         self.adjust_reservation(tick, team, &plan, share.overdrawn, pools);
-        self.request_share(tick.now, team, tick.month.number, usage.shortfall(free.plus(reserved)));
+        self.request_share(tick.now, team, tick.month.number, usage.shortfall(free.saturating_add(reserved)));
         self.refresh_pool(tick, team, share, pools);
     }
 
@@ -106,7 +106,7 @@
         team: usize,
         pools: &mut dyn ReservationPools,
     ) -> PoolSnapshot {
-        let durable = self.fleet_logs.durable();
+        let durable = self.fleet_logs.durable_number();
         let ready = self.teams[team].take_durable_reservations(durable);
         let mut snapshot = PoolSnapshot::default();
         pools.with_pool(team, &mut |pool| {
@@ -123,10 +123,10 @@
         tick: &Tick,
         team: usize,
         plan: &ReservationPlan,
-        overdrawn: Parts,
+        overdrawn: SplitAmount,
         pools: &mut dyn ReservationPools,
     ) {
-        const NOTHING: Parts = Parts { open: 0, last: 0 };
+        const NOTHING: SplitAmount = SplitAmount { open: 0, running_only: 0 };
         let to_reserve = plan.to_reserve();
         let to_return = match overdrawn {
             NOTHING if to_reserve == NOTHING => plan.to_return(),
@@ -144,9 +144,9 @@
         if to_reserve == NOTHING && returned == NOTHING && !(is_due && spent != state.balance.spent) {
             return;
         }
-        state.balance.drawn = state.balance.drawn.plus(to_reserve).less(returned);
+        state.balance.reserved = state.balance.reserved.saturating_add(to_reserve).saturating_sub(returned);
         state.balance.spent = spent;
-        state.balance.beyond = plan.snapshot.debt;
+        state.balance.overspent = plan.snapshot.debt;
         state.balance.at = tick.utc;
         let entry_number = self.write_balance(team, tick.month.number);
         if to_reserve != NOTHING {
@@ -195,7 +195,7 @@
         let name = &self.settings.teams[team].name;
         let work: Vec<(u64, Name)> = keys.iter().map(|key| (*key, name.clone())).collect();
         for work in work.chunks(MAX_WORKERS_PER_ENTRY) {
-            self.fleet_logs.write(&Entry::Passes { at: utc, work: work.to_vec() });
+            self.fleet_logs.write(&Entry::Admitted { at: utc, work: work.to_vec() });
         }
     }
 
@@ -203,9 +203,10 @@
     fn limits(&self, team: usize, utc: u64) -> TeamLimits {
         let account = self.settings.teams[team].account.clone();
         let has_account = account.is_some();
-        let directive = account.and_then(|account| self.fleet_logs.orders().get(&Subject::Account(account)));
-        let (suspended, finish_by) = match directive.map(|directive| directive.word) {
-            Some(Word::Held { finish_by }) => (true, finish_by),
+        let directive =
+            account.and_then(|account| self.fleet_logs.directives().get(&Subject::Account(account)));
+        let (suspended, finish_by) = match directive.map(|directive| directive.action) {
+            Some(DirectiveAction::Suspend { finish_by }) => (true, finish_by),
             _ => (false, None),
         };
         let cap = self.cap(team);
--- a/crates/quota/src/ledger/totals.rs
+++ b/crates/quota/src/ledger/totals.rs
@@ -4,7 +4,7 @@
 //! team. What we ourselves reserved, spent and gave away is read from our own log each time.
 
 use super::Ledger;
-use mulleinhub_replicated_log::{Name, Parts, Standing, Subject};
+use mulleinhub_replicated_log::{EffectiveDirective, Name, SplitAmount, Subject};
 use std::collections::BTreeMap;
 
 /// The part of a cap, as an index: open or last.
@@ -30,15 +30,15 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(super) struct TeamTotals {
     /// The directive that sets the team's cap.
-    directive: Option<Standing>,
+    directive: Option<EffectiveDirective>,
     /// Spending of all others.
     spending: Spending,
     /// What we received of others' shares.
-    received: Parts,
+    received: SplitAmount,
     /// Where a directive may have lowered the cap: what the others have, and what we received, counting
     /// only transfers that are valid for the receiver's incarnation.
     others: SignedTotals,
-    received_valid: Parts,
+    received_valid: SplitAmount,
 }
 
 /// What was spent of a cap.
@@ -60,15 +60,15 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct OwnShare {
     /// What is neither reserved nor given away, less our part of what others reserved too much.
-    pub(super) free: Parts,
+    pub(super) free: SplitAmount,
     /// What we ourselves reserved too much.
-    pub(super) overdrawn: Parts,
+    pub(super) overdrawn: SplitAmount,
     /// All members together reserved too much.
     pub(super) fleet_overdrawn: bool,
 }
 
 impl OwnShare {
-    pub(super) fn new(free: Parts, overdrawn: Parts, fleet_overdrawn: bool) -> Self {
+    pub(super) fn new(free: SplitAmount, overdrawn: SplitAmount, fleet_overdrawn: bool) -> Self {
         Self { free, overdrawn, fleet_overdrawn }
     }
 }
@@ -95,7 +95,7 @@
     pub(super) fn refresh_totals(&mut self) {
         let mut cache = std::mem::take(&mut self.totals);
         let month = self.month_number();
-        let touched = self.fleet_logs.take_touched();
+        let touched = self.fleet_logs.take_dirty_teams();
         if cache.teams.is_empty() || cache.month != month || touched.is_all() {
             cache.teams = vec![None; self.settings.teams.len()];
             let teams = self.settings.teams.iter().enumerate();
@@ -107,8 +107,8 @@
                 cache.invalidate(*index);
             }
         }
-        if cache.directives_stamp != self.fleet_logs.orders_stamp() {
-            cache.directives_stamp = self.fleet_logs.orders_stamp();
+        if cache.directives_stamp != self.fleet_logs.directives_revision() {
+            cache.directives_stamp = self.fleet_logs.directives_revision();
             for team in 0..cache.teams.len() {
                 if cache.teams[team].is_some_and(|totals| totals.directive != self.cap_directive(team)) {
                     cache.invalidate(team);
@@ -125,8 +125,8 @@
     pub(super) fn totals(&self, team: usize, month: u32) -> TeamTotals {
         let cache = &self.totals;
         let is_current = cache.month == month
-            && cache.directives_stamp == self.fleet_logs.orders_stamp()
-            && !self.fleet_logs.touched().contains(&self.settings.teams[team].name);
+            && cache.directives_stamp == self.fleet_logs.directives_revision()
+            && !self.fleet_logs.dirty_teams().contains(&self.settings.teams[team].name);
         let cached = cache.teams.get(team).copied().flatten().filter(|_| is_current);
         cached.unwrap_or_else(|| self.compute_totals(team, month))
     }
@@ -137,11 +137,11 @@
         let directive = self.cap_directive(team);
         let mut totals = TeamTotals { directive, ..TeamTotals::default() };
         for writer in self.fleet_logs.writers().iter().filter(|writer| *writer != me) {
-            let balance = self.fleet_logs.purse(writer, name, month);
-            totals.spending.add(balance.spent, balance.beyond);
+            let balance = self.fleet_logs.balance(writer, name, month);
+            totals.spending.add(balance.spent, balance.overspent);
         }
         if directive.is_none() {
-            totals.received = self.fleet_logs.got(me, self.valid_from(me), name, month);
+            totals.received = self.fleet_logs.transferred_in(me, self.valid_from(me), name, month);
             return totals;
         }
         let received = self.received_by_member(team, month);
@@ -155,8 +155,8 @@
     }
 
     /// The directive that sets a team's cap.
-    fn cap_directive(&self, team: usize) -> Option<Standing> {
-        self.fleet_logs.orders().get(&Subject::Team(self.settings.teams[team].name.clone()))
+    fn cap_directive(&self, team: usize) -> Option<EffectiveDirective> {
+        self.fleet_logs.directives().get(&Subject::Team(self.settings.teams[team].name.clone()))
     }
 
     /// Our own share. Where a cap was lowered, others may have reserved more than their shares; all shares
@@ -166,7 +166,7 @@
         let totals = self.totals(team, month);
         if totals.directive.is_none() {
             let free = self.remaining(me, team, month, totals.received);
-            return OwnShare::new(free, Parts::default(), false);
+            return OwnShare::new(free, SplitAmount::default(), false);
         }
         let (open, last) = self.signed_balance(me, team, month, totals.received_valid);
         let own = [open, last];
@@ -177,7 +177,7 @@
         };
         let parts = |amount: &dyn Fn(PartIndex) -> i128| {
             let [open, last] = [amount(0), amount(1)].map(|amount| u64::try_from(amount).unwrap_or(0));
-            Parts { open, last }
+            SplitAmount { open, running_only: last }
         };
         OwnShare::new(parts(&free), parts(&|part| -own[part]), all.owed[0] > all.has[0])
     }
@@ -186,8 +186,8 @@
     pub(super) fn spent_by_all(&self, team: usize) -> Spending {
         let month = self.month_number();
         let mut spending = self.totals(team, month).spending;
-        let own = self.fleet_logs.purse(&self.settings.me, &self.settings.teams[team].name, month);
-        spending.add(own.spent, own.beyond);
+        let own = self.fleet_logs.balance(&self.settings.me, &self.settings.teams[team].name, month);
+        spending.add(own.spent, own.overspent);
         spending
     }
 }
--- a/crates/quota/src/ledger/totals/tests.rs
+++ b/crates/quota/src/ledger/totals/tests.rs
@@ -7,7 +7,8 @@
 use crate::settings::{Settings, Team};
 use mulleinhub_interface::Duration;
 use mulleinhub_replicated_log::{
-    Balance, Before, Entry, KeptLogs, Log, LogId, Name, Parts, ShareTransfer, Standing, State, Subject, Word,
+    Balance, DirectiveAction, EffectiveDirective, Entry, Log, LogId, LogState, Name, PersistedLogs,
+    Predecessor, ShareTransfer, SplitAmount, Subject,
 };
 use proptest::prelude::*;
 use std::collections::BTreeMap;
@@ -134,20 +135,20 @@
 
 impl Fleet {
     fn new() -> Self {
-        let mut ledger = Ledger::new(settings(), 1, 7, KeptLogs::default(), Duration::from_secs(1));
-        ledger.fleet_logs.open(State { month: MONTH, ..State::default() });
+        let mut ledger = Ledger::new(settings(), 1, 7, PersistedLogs::default(), Duration::from_secs(1));
+        ledger.fleet_logs.open(LogState { month: MONTH, ..LogState::default() });
         ledger.month = Some(month(MONTH));
         let mut fleet = Self { ledger, logs: Vec::new(), directives: 0 };
         for n in 1..MEMBERS {
-            let id = LogId { writer: member(n), life: 1 };
-            fleet.open(id, State { month: MONTH, ..State::default() });
+            let id = LogId { writer: member(n), incarnation: 1 };
+            fleet.open(id, LogState { month: MONTH, ..LogState::default() });
         }
         fleet
     }
 
-    fn open(&mut self, id: LogId, state: State) {
+    fn open(&mut self, id: LogId, state: LogState) {
         let mut log = Log::new(&id);
-        log.push(&Entry::Sum(Box::new(state)).bytes()).expect("an incarnation begins");
+        log.append(&Entry::Snapshot(Box::new(state)).bytes()).expect("an incarnation begins");
         self.logs.push((id, log));
     }
 
@@ -158,23 +159,23 @@
 
     fn write(&mut self, log: usize, entry: &Entry) {
         let (_, log) = self.log(log);
-        log.push(&entry.bytes()).expect("the log goes on");
+        log.append(&entry.bytes()).expect("the log goes on");
     }
 
     fn receive(&mut self, log: usize, entries: usize) {
         let (id, log) = self.log(log).clone();
-        let (known, _) = self.ledger.fleet_logs.known_of(&id);
-        let (base, _) = log.base();
-        let (head, _) = log.tip();
+        let (known, _) = self.ledger.fleet_logs.known_head(&id);
+        let (base, _) = log.compacted_through();
+        let (head, _) = log.head();
         // The other branch of a forked log is received from its beginning.
-        let is_other = log.digest_at(known) != Some(self.ledger.fleet_logs.known_of(&id).1);
+        let is_other = log.digest_at(known) != Some(self.ledger.fleet_logs.known_head(&id).1);
         let after = if is_other || known > head { base } else { known.max(base) };
         let digest = log.digest_at(after).expect("it is kept");
-        let rows = log.rows_after(after).take(entries);
+        let rows = log.entries_after(after).take(entries);
         let rows: Vec<Vec<u8>> = rows.map(|row| row.bytes.to_vec()).collect();
         let rows: Vec<&[u8]> = rows.iter().map(|row| &**row).collect();
         // Entries that don't follow are refused, and must not change anything.
-        let _ = self.ledger.fleet_logs.take(&id, after, digest, &rows);
+        let _ = self.ledger.fleet_logs.append_entries(&id, after, digest, &rows);
     }
 
     fn apply(&mut self, event: &Event) {
@@ -183,17 +184,17 @@
             Event::Balance { log, team, amount } => {
                 let state = self.log(log).1.state();
                 let (team, month) = (team_name(team), state.month);
-                let balance = grown(state.purse(&team, month), amount);
-                self.write(log, &Entry::Balance { team, month, purse: balance });
+                let balance = grown(state.balance(&team, month), amount);
+                self.write(log, &Entry::Balance { team, month, balance: balance });
             }
             Event::ShareTransfer { log, team, to, incarnation, amount } => {
                 let state = self.log(log).1.state();
                 let to = member(to);
                 let transfer =
-                    ShareTransfer { team: team_name(team), month: state.month, to, life: incarnation };
-                let known = state.gave.get(&transfer).copied().unwrap_or_default();
-                let parts = known.plus(Parts { open: amount, last: amount / 5 });
-                self.write(log, &Entry::Gave { gift: transfer, parts });
+                    ShareTransfer { team: team_name(team), month: state.month, to, incarnation: incarnation };
+                let known = state.transferred_out.get(&transfer).copied().unwrap_or_default();
+                let parts = known.saturating_add(SplitAmount { open: amount, running_only: amount / 5 });
+                self.write(log, &Entry::Transferred { transfer: transfer, total: parts });
             }
             Event::Month { log } => {
                 let month = self.log(log).1.state().month + 1;
@@ -201,21 +202,22 @@
             }
             Event::Snapshot { log } => {
                 let state = self.log(log).1.state().clone();
-                self.write(log, &Entry::Sum(Box::new(state)));
+                self.write(log, &Entry::Snapshot(Box::new(state)));
             }
             Event::Incarnation { log, entries, void } => {
                 let (id, log) = self.log(log).clone();
-                let (base, head) = (log.base().0, log.tip().0);
+                let (base, head) = (log.compacted_through().0, log.head().0);
                 let number = (base + 1 + entries as u64).min(head);
                 let digest = log.digest_at(number).expect("it is kept");
                 let mut state = log.state_at(number).expect("it is kept");
                 let own = self.logs.iter().filter(|(other, _)| other.writer == id.writer);
-                let incarnation = own.map(|(id, _)| id.life).max().unwrap_or(0) + 1;
-                state.before = Some(Before { life: id.life, number, digest });
+                let incarnation = own.map(|(id, _)| id.incarnation).max().unwrap_or(0) + 1;
+                state.predecessor = Some(Predecessor { incarnation: id.incarnation, number, digest });
                 if void {
-                    (state.valid_from, state.void_through) = (incarnation, state.month);
+                    (state.transfers_valid_from, state.initial_share_void_through) =
+                        (incarnation, state.month);
                 }
-                self.open(LogId { writer: id.writer, life: incarnation }, state);
+                self.open(LogId { writer: id.writer, incarnation: incarnation }, state);
             }
             Event::Fork { log } => {
                 let (id, log) = self.log(log).clone();
@@ -224,27 +226,29 @@
             Event::Receive { log, entries } => self.receive(log, entries),
             Event::Directive { team, cap } => {
                 self.directives += 1;
-                let word = Word::Cap { amount: cap };
-                let standing = Standing { number: self.directives, word, differs: false };
-                self.ledger.fleet_logs.hear_order(&Subject::Team(team_name(team)), standing);
+                let word = DirectiveAction::Cap { amount: cap };
+                let standing =
+                    EffectiveDirective { number: self.directives, action: word, conflicting: false };
+                self.ledger.fleet_logs.apply_directive(&Subject::Team(team_name(team)), standing);
             }
             Event::OwnBalance { team, amount } => {
                 let team = team_name(team);
-                let balance = grown(self.ledger.fleet_logs.purse(&member(0), &team, now), amount);
-                self.ledger.fleet_logs.write(&Entry::Balance { team, month: now, purse: balance });
+                let balance = grown(self.ledger.fleet_logs.balance(&member(0), &team, now), amount);
+                self.ledger.fleet_logs.write(&Entry::Balance { team, month: now, balance: balance });
             }
             Event::OwnTransfer { team, to, amount } => {
-                let transfer = ShareTransfer { team: team_name(team), month: now, to: member(to), life: 1 };
-                let state = self.ledger.fleet_logs.state_of(&member(0)).expect("it is open");
-                let known = state.gave.get(&transfer).copied().unwrap_or_default();
-                let parts = known.plus(Parts { open: amount, last: 0 });
-                self.ledger.fleet_logs.write(&Entry::Gave { gift: transfer, parts });
+                let transfer =
+                    ShareTransfer { team: team_name(team), month: now, to: member(to), incarnation: 1 };
+                let state = self.ledger.fleet_logs.latest_state(&member(0)).expect("it is open");
+                let known = state.transferred_out.get(&transfer).copied().unwrap_or_default();
+                let parts = known.saturating_add(SplitAmount { open: amount, running_only: 0 });
+                self.ledger.fleet_logs.write(&Entry::Transferred { transfer: transfer, total: parts });
             }
             Event::OwnMonth => {
                 self.ledger.month = Some(month(now + 1));
                 self.ledger.fleet_logs.write(&Entry::Month(now + 1));
             }
-            Event::DropOld => self.ledger.fleet_logs.drop_old(),
+            Event::DropOld => self.ledger.fleet_logs.drop_closed(),
             Event::Refresh => self.ledger.refresh_totals(),
         }
     }
@@ -252,9 +256,9 @@
 
 fn grown(balance: Balance, amount: u64) -> Balance {
     Balance {
-        drawn: balance.drawn.plus(Parts { open: amount, last: amount / 7 }),
+        reserved: balance.reserved.saturating_add(SplitAmount { open: amount, running_only: amount / 7 }),
         spent: balance.spent + amount / 2,
-        beyond: balance.beyond + amount / 11,
+        overspent: balance.overspent + amount / 11,
         at: balance.at + 1,
         ..balance
     }
@@ -264,10 +268,10 @@
 fn expected_share(ledger: &Ledger, team: usize, month: u32) -> OwnShare {
     let me = &ledger.settings.me;
     let name = &ledger.settings.teams[team].name;
-    if ledger.fleet_logs.orders().get(&Subject::Team(name.clone())).is_none() {
-        let received = ledger.fleet_logs.got(me, ledger.valid_from(me), name, month);
+    if ledger.fleet_logs.directives().get(&Subject::Team(name.clone())).is_none() {
+        let received = ledger.fleet_logs.transferred_in(me, ledger.valid_from(me), name, month);
         let free = ledger.remaining(me, team, month, received);
-        return OwnShare { free, overdrawn: Parts::default(), fleet_overdrawn: false };
+        return OwnShare { free, overdrawn: SplitAmount::default(), fleet_overdrawn: false };
     }
     let received = ledger.received_by_member(team, month);
     let (mut has, mut owed, mut own) = ([0i128; 2], [0i128; 2], [0i128; 2]);
@@ -282,18 +286,18 @@
     }
     let free = |part: usize| own[part].max(0) * (has[part] - owed[part]).max(0) / has[part].max(1);
     let amount = |amount: i128| u64::try_from(amount).unwrap_or(0);
-    let free = Parts { open: amount(free(0)), last: amount(free(1)) };
-    let overdrawn = Parts { open: amount(-own[0]), last: amount(-own[1]) };
+    let free = SplitAmount { open: amount(free(0)), running_only: amount(free(1)) };
+    let overdrawn = SplitAmount { open: amount(-own[0]), running_only: amount(-own[1]) };
     OwnShare { free, overdrawn, fleet_overdrawn: owed[0] > has[0] }
 }
 
 fn expected_spent(ledger: &Ledger, team: usize, month: u32) -> Spending {
     let name = &ledger.settings.teams[team].name;
     let writers = ledger.fleet_logs.writers();
-    let balances = writers.iter().map(|writer| ledger.fleet_logs.purse(writer, name, month));
+    let balances = writers.iter().map(|writer| ledger.fleet_logs.balance(writer, name, month));
     balances.fold(Spending::default(), |sum, balance| Spending {
         spent: sum.spent + balance.spent,
-        overspent: sum.overspent + balance.beyond,
+        overspent: sum.overspent + balance.overspent,
     })
 }
 
--- a/crates/quota/src/ledger/transfers.rs
+++ b/crates/quota/src/ledger/transfers.rs
@@ -5,7 +5,7 @@
 use crate::reservation_pool::{PoolSnapshot, ReservationPools};
 use crate::share_policy;
 use mulleinhub_interface::{Duration, Timestamp};
-use mulleinhub_replicated_log::{Entry, MemberState, Name, Parts, ShareTransfer};
+use mulleinhub_replicated_log::{Entry, MemberState, Name, ShareTransfer, SplitAmount};
 
 /// A share request without a reply is given up after this.
 const REPLY_TIMEOUT: Duration = Duration::from_secs(1);
@@ -27,7 +27,7 @@
     /// The month, as numbered by [`crate::Month::number`].
     pub month: u32,
     /// The amounts requested.
-    pub amount: Parts,
+    pub amount: SplitAmount,
 }
 
 /// The reply to a share request, sent once the entry of the transfer is on disk.
@@ -40,7 +40,7 @@
     /// The month of the request.
     pub month: u32,
     /// What was transferred, possibly nothing.
-    pub amount: Parts,
+    pub amount: SplitAmount,
     /// The number of the transfer's entry in our fleet log; 0 where nothing was transferred.
     pub entry_number: u64,
 }
@@ -70,8 +70,8 @@
         incarnation: u64,
         request: &ShareRequest,
         pools: &mut dyn ReservationPools,
-    ) -> (Parts, u64) {
-        const NOTHING: (Parts, u64) = (Parts { open: 0, last: 0 }, 0);
+    ) -> (SplitAmount, u64) {
+        const NOTHING: (SplitAmount, u64) = (SplitAmount { open: 0, running_only: 0 }, 0);
         let team = self.settings.teams.iter().position(|team| team.name == request.team);
         let month = self.month.map(|month| month.number);
         let is_current = self.phase == Phase::Writing && month == Some(request.month);
@@ -81,47 +81,58 @@
         let mut snapshot = PoolSnapshot::default();
         pools.with_pool(team, &mut |pool| snapshot = pool.take_snapshot(now));
         self.teams[team].demand.record(now, snapshot.requested);
-        let wanted = share_policy::amount_to_give(free.plus(snapshot.available), usage, request.amount);
-        if wanted == Parts::default() {
+        let wanted =
+            share_policy::amount_to_give(free.saturating_add(snapshot.available), usage, request.amount);
+        if wanted == SplitAmount::default() {
             return NOTHING;
         }
-        self.return_reserved(team, request.month, wanted.less(free), pools);
+        self.return_reserved(team, request.month, wanted.saturating_sub(free), pools);
         let free = self.own_share(team, request.month).free;
-        let amount = Parts { open: wanted.open.min(free.open), last: wanted.last.min(free.last) };
-        if amount == Parts::default() {
+        let amount = SplitAmount {
+            open: wanted.open.min(free.open),
+            running_only: wanted.running_only.min(free.running_only),
+        };
+        if amount == SplitAmount::default() {
             return NOTHING;
         }
         let transfer = ShareTransfer {
             team: request.team.clone(),
             month: request.month,
             to: from.clone(),
-            life: incarnation,
+            incarnation: incarnation,
         };
         (amount, self.write_transfer(transfer, amount))
     }
 
     /// Returns up to so much from the pool into our share.
-    fn return_reserved(&mut self, team: usize, month: u32, amount: Parts, pools: &mut dyn ReservationPools) {
-        if amount == Parts::default() {
+    fn return_reserved(
+        &mut self,
+        team: usize,
+        month: u32,
+        amount: SplitAmount,
+        pools: &mut dyn ReservationPools,
+    ) {
+        if amount == SplitAmount::default() {
             return;
         }
-        let mut returned = Parts::default();
+        let mut returned = SplitAmount::default();
         pools.with_pool(team, &mut |pool| returned = pool.withdraw(amount));
         let balance = &mut self.teams[team].balance;
-        balance.drawn = balance.drawn.less(returned);
+        balance.reserved = balance.reserved.saturating_sub(returned);
         self.write_balance(team, month);
     }
 
     /// Records a transfer. Entries carry the sum of all transfers to an incarnation of a member.
-    fn write_transfer(&mut self, transfer: ShareTransfer, amount: Parts) -> u64 {
-        let own = self.fleet_logs.state_of(&self.settings.me);
-        let before = own.and_then(|state| state.gave.get(&transfer)).copied().unwrap_or_default();
-        self.fleet_logs.write(&Entry::Gave { gift: transfer, parts: before.plus(amount) })
+    fn write_transfer(&mut self, transfer: ShareTransfer, amount: SplitAmount) -> u64 {
+        let own = self.fleet_logs.latest_state(&self.settings.me);
+        let before = own.and_then(|state| state.transferred_out.get(&transfer)).copied().unwrap_or_default();
+        self.fleet_logs
+            .write(&Entry::Transferred { transfer: transfer, total: before.saturating_add(amount) })
     }
 
     /// Takes the replies whose entries are on disk.
     pub fn take_share_replies(&mut self) -> Vec<ShareReply> {
-        let durable = self.fleet_logs.durable();
+        let durable = self.fleet_logs.durable_number();
         let replies = std::mem::take(&mut self.share_replies).into_iter();
         let (ready, waiting) = replies.partition(|reply| reply.entry_number <= durable);
         self.share_replies = waiting;
@@ -137,20 +148,20 @@
     }
 
     /// Another member's reply to our request. What it transferred counts once its log entry arrives.
-    pub fn on_share_reply(&mut self, now: Timestamp, from: &Name, team: &Name, amount: Parts) {
+    pub fn on_share_reply(&mut self, now: Timestamp, from: &Name, team: &Name, amount: SplitAmount) {
         let Some(team) = self.settings.teams.iter().position(|t| t.name == *team) else { return };
-        let backoff_until = now + DONOR_BACKOFF * (1.0 + self.random.part());
+        let backoff_until = now + DONOR_BACKOFF * (1.0 + self.random.fraction());
         let state = &mut self.teams[team];
         if state.outstanding_request.as_ref().is_some_and(|request| request.donor == *from) {
             state.outstanding_request = None;
-            if amount == Parts::default() {
+            if amount == SplitAmount::default() {
                 state.donor_backoff.insert(from.clone(), backoff_until);
             }
         }
     }
 
     /// Requests a part of another member's share, unless a request is outstanding.
-    pub(super) fn request_share(&mut self, now: Timestamp, team: usize, month: u32, amount: Parts) {
+    pub(super) fn request_share(&mut self, now: Timestamp, team: usize, month: u32, amount: SplitAmount) {
         let state = &mut self.teams[team];
         if state.outstanding_request.as_ref().is_some_and(|request| now < request.deadline) {
             return;
@@ -160,7 +171,7 @@
             state.donor_backoff.insert(request.donor, now + DONOR_BACKOFF);
         }
         let was_checked = state.donors_checked_at.is_some_and(|at| now - at < DONOR_CHECK_INTERVAL);
-        if amount == Parts::default() || was_checked {
+        if amount == SplitAmount::default() || was_checked {
             return;
         }
         state.donors_checked_at = Some(now);
@@ -173,9 +184,9 @@
     }
 
     /// Computes what others have of a team's share, and chooses one of them to request a transfer from.
-    fn choose_donor(&mut self, now: Timestamp, team: usize, month: u32, amount: Parts) -> Option<Name> {
+    fn choose_donor(&mut self, now: Timestamp, team: usize, month: u32, amount: SplitAmount) -> Option<Name> {
         let needs_open = amount.open > 0;
-        let wanted_part = |has: Parts| if needs_open { has.open } else { has.last };
+        let wanted_part = |has: SplitAmount| if needs_open { has.open } else { has.running_only };
         let remaining = self.remaining_of_others(team, month).into_iter();
         let others: Vec<(Name, u64)> = remaining.map(|(name, has)| (name, wanted_part(has))).collect();
         let total = others.iter().fold(0u64, |sum, (_, has)| sum.saturating_add(*has));
@@ -184,7 +195,7 @@
         let candidates: Vec<(&Name, u64)> = others
             .iter()
             .filter(|(name, _)| !state.donor_backoff.contains_key(name))
-            .filter(|(name, _)| self.membership.presence(now, name) != MemberState::Dead)
+            .filter(|(name, _)| self.membership.member_state(now, name) != MemberState::Dead)
             .map(|(name, has)| (name, *has))
             .collect();
         share_policy::choose_donor(&mut self.random, &candidates).cloned()
--- a/crates/quota/src/ledger/work_entries.rs
+++ b/crates/quota/src/ledger/work_entries.rs
@@ -7,13 +7,13 @@
 use crate::reservation_pool::{ReservationPools, WorkerEvent};
 use crate::work_routing::{self, RoutedChanges, Running, WorkChanges};
 use mulleinhub_interface::Timestamp;
-use mulleinhub_replicated_log::{Entry, Kind, Name, State, Work};
+use mulleinhub_replicated_log::{Entry, LogKind, LogState, Name, RunningWork};
 use std::collections::BTreeSet;
 
 impl Ledger {
     /// Whether the newest fleet log of another member is by a version that can't read work logs.
     pub(super) fn has_legacy_members(&self) -> bool {
-        let mut states = self.membership.members().filter_map(|name| self.fleet_logs.state_of(name));
+        let mut states = self.membership.members().filter_map(|name| self.fleet_logs.latest_state(name));
         states.any(|state| !state.reads_work_logs())
     }
 
@@ -25,18 +25,18 @@
         }
         self.writes_work_log = false;
         let me = self.settings.me.clone();
-        let running = self.work_logs.state_of(&me).map(|state| state.running.clone()).unwrap_or_default();
-        self.write_all(Kind::Fleet, &work_routing::started_entries(running.iter()));
-        self.write_all(Kind::Work, &work_routing::moved_entries(utc, running.into_keys()));
-        let own = self.fleet_logs.state_of(&me);
+        let running = self.work_logs.latest_state(&me).map(|state| state.running.clone()).unwrap_or_default();
+        self.write_all(LogKind::Fleet, &work_routing::started_entries(running.iter()));
+        self.write_all(LogKind::Work, &work_routing::moved_entries(utc, running.into_keys()));
+        let own = self.fleet_logs.latest_state(&me);
         let announced = own.map(|state| state.announced.clone()).unwrap_or_default();
         for announced in announced.into_values() {
-            self.write_all(Kind::Fleet, &work_routing::readmissible_entries(utc, &announced.work));
+            self.write_all(LogKind::Fleet, &work_routing::readmissible_entries(utc, &announced.work));
         }
     }
 
     /// Writes entries into one of our logs.
-    pub(super) fn write_all(&mut self, kind: Kind, entries: &[Entry]) {
+    pub(super) fn write_all(&mut self, kind: LogKind, entries: &[Entry]) {
         let logs = self.logs_mut(kind);
         for entry in entries {
             logs.write(entry);
@@ -44,9 +44,11 @@
     }
 
     /// The state of each writer's newest fleet log.
-    pub(super) fn fleet_states(&self) -> Vec<(Name, &State)> {
+    pub(super) fn fleet_states(&self) -> Vec<(Name, &LogState)> {
         let writers = self.fleet_logs.writers().into_iter();
-        writers.filter_map(|writer| self.fleet_logs.state_of(&writer).map(|state| (writer, state))).collect()
+        writers
+            .filter_map(|writer| self.fleet_logs.latest_state(&writer).map(|state| (writer, state)))
+            .collect()
     }
 
     /// Records what happened to workers since the last tick.
@@ -85,7 +87,7 @@
             WorkerEvent::Adopted { key, rate, .. } => {
                 self.adopted.insert(key);
                 // What our own work log has runs on under the same scheduler.
-                let is_ours = self.writes_work_log && self.runs_in_own_log(Kind::Work, key);
+                let is_ours = self.writes_work_log && self.runs_in_own_log(LogKind::Work, key);
                 changes.replacements.extend((!is_ours).then_some(key));
                 changes.started.push((key, name, rate));
             }
@@ -100,20 +102,20 @@
     fn end_unclaimed_work(&self, changes: &mut WorkChanges) {
         let started: BTreeSet<u64> = changes.started.iter().map(|(key, ..)| *key).collect();
         let is_claimed = |key: &u64| self.adopted.contains(key) || started.contains(key);
-        let logs = [Kind::Fleet, Kind::Work].into_iter();
-        let states = logs.filter_map(|kind| self.logs(kind).state_of(&self.settings.me));
+        let logs = [LogKind::Fleet, LogKind::Work].into_iter();
+        let states = logs.filter_map(|kind| self.logs(kind).latest_state(&self.settings.me));
         let running: BTreeSet<u64> = states.flat_map(|state| state.running.keys()).copied().collect();
         changes.ended.extend(running.into_iter().filter(|key| !is_claimed(key)).map(|key| (key, true)));
     }
 
-    fn runs_in_own_log(&self, kind: Kind, key: u64) -> bool {
-        let own = self.logs(kind).state_of(&self.settings.me);
+    fn runs_in_own_log(&self, kind: LogKind, key: u64) -> bool {
+        let own = self.logs(kind).latest_state(&self.settings.me);
         own.is_some_and(|state| state.running.contains_key(&key))
     }
 
     fn write_work_changes(&mut self, utc: u64, changes: WorkChanges) {
         if !self.writes_work_log {
-            return self.write_all(Kind::Fleet, &changes.entries(utc));
+            return self.write_all(LogKind::Fleet, &changes.entries(utc));
         }
         if changes == WorkChanges::default() {
             return;
@@ -121,29 +123,29 @@
         let me = &self.settings.me;
         let none = Running::new();
         let states = self.fleet_states();
-        let in_fleet = self.fleet_logs.state_of(me).map_or(&none, |state| &state.running);
-        let in_work = self.work_logs.state_of(me).map_or(&none, |state| &state.running);
+        let in_fleet = self.fleet_logs.latest_state(me).map_or(&none, |state| &state.running);
+        let in_work = self.work_logs.latest_state(me).map_or(&none, |state| &state.running);
         let known_work = |key| readmission::known_work(me, key, &states);
         let RoutedChanges { fleet, work } = work_routing::route(changes, in_fleet, in_work, known_work);
-        self.write_all(Kind::Fleet, &fleet.entries(utc));
-        self.write_all(Kind::Work, &work.entries(utc));
+        self.write_all(LogKind::Fleet, &fleet.entries(utc));
+        self.write_all(LogKind::Work, &work.entries(utc));
     }
 
     /// Moves work from our work log to the fleet log if others' fleet logs have the same keys.
     pub(super) fn promote_work_recorded_by_others(&mut self, utc: u64) {
         let me = &self.settings.me;
-        let ours = self.work_logs.state_of(me).map(|state| &state.running);
+        let ours = self.work_logs.latest_state(me).map(|state| &state.running);
         let Some(ours) = ours.filter(|running| !running.is_empty()) else { return };
         let states = self.fleet_states();
         let keys: Vec<u64> = readmission::keys_recorded_by_others(me, ours, &states).into_iter().collect();
         if keys.is_empty() {
             return;
         }
-        let work: Vec<(u64, Work)> = keys.iter().map(|key| (*key, ours[key].clone())).collect();
+        let work: Vec<(u64, RunningWork)> = keys.iter().map(|key| (*key, ours[key].clone())).collect();
         let mut entries = work_routing::started_entries(work.iter().map(|(key, work)| (key, work)));
         let replacements = WorkChanges { replacements: keys.clone(), ..WorkChanges::default() };
         entries.extend(replacements.entries(utc));
-        self.write_all(Kind::Fleet, &entries);
-        self.write_all(Kind::Work, &work_routing::moved_entries(utc, keys.into_iter()));
+        self.write_all(LogKind::Fleet, &entries);
+        self.write_all(LogKind::Work, &work_routing::moved_entries(utc, keys.into_iter()));
     }
 }
--- a/crates/quota/src/pace.rs
+++ b/crates/quota/src/pace.rs
@@ -40,12 +40,12 @@
         let fleet_bytes = (members as u64).saturating_mul(member_bytes);
         let period = Duration::from_secs(1) * (fleet_bytes as f64 / BYTES_PER_SECOND as f64);
         let period = period.max(MIN_PERIOD);
-        let reservation_seconds = (2.0 * period.over(Duration::from_secs(1))).max(RESERVATION_SECONDS);
+        let reservation_seconds = (2.0 * period.ratio_to(Duration::from_secs(1))).max(RESERVATION_SECONDS);
         Self { period, reservation_seconds }
     }
 }
 
 /// Whether the open part of a cap is nearly spent by the whole fleet, or this member spent more than it had.
 pub fn is_nearly_spent(open: u64, spent: u64, own: Balance) -> bool {
-    own.beyond > 0 || spent >= open - open / NEARLY_SPENT_DIVISOR
+    own.overspent > 0 || spent >= open - open / NEARLY_SPENT_DIVISOR
 }
--- a/crates/quota/src/readmission.rs
+++ b/crates/quota/src/readmission.rs
@@ -3,7 +3,7 @@
 use crate::reservation_pool::Readmission;
 use crate::settings::Team;
 use crate::work_routing::{KnownWork, Running};
-use mulleinhub_replicated_log::{Announced, COMES_AGAIN, Displaced, Name, State};
+use mulleinhub_replicated_log::{AnnouncedWork, DisplacedWork, LogState, Name, RESTART_WINDOW_MS};
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
 /// What the logs of one scheduler say, as far as they are known here.
@@ -12,9 +12,9 @@
     /// The newest incarnation that is known.
     pub incarnation: u64,
     /// The state of its fleet log in that incarnation.
-    pub state: &'a State,
+    pub state: &'a LogState,
     /// Our copy of its work log, or our own: incarnation, number of the last entry, and state.
-    pub work_log: Option<(u64, u64, &'a State)>,
+    pub work_log: Option<(u64, u64, &'a LogState)>,
     /// Nobody can tell at present whether its work has ended.
     pub is_silent: bool,
     /// It is this scheduler: `work_log` is the log itself, while the logs of others may have more entries.
@@ -28,11 +28,11 @@
     }
 
     /// The work that runs according to its work log: our copy, or an announcement that is newer.
-    fn running_in_work_log<'a>(&'a self, announced: Option<&'a Announced>) -> Option<&'a Running> {
+    fn running_in_work_log<'a>(&'a self, announced: Option<&'a AnnouncedWork>) -> Option<&'a Running> {
         let copy = self.work_log.filter(|(incarnation, ..)| !self.is_superseded(*incarnation));
         let extent = copy.map(|(incarnation, number, _)| (incarnation, number));
-        let announced = announced.filter(|a| !self.is_superseded(a.life));
-        let newer = announced.filter(|a| extent.is_none_or(|extent| (a.life, a.number) > extent));
+        let announced = announced.filter(|a| !self.is_superseded(a.incarnation));
+        let newer = announced.filter(|a| extent.is_none_or(|extent| (a.incarnation, a.number) > extent));
         newer.map(|announced| &announced.work).or_else(|| copy.map(|(.., state)| &state.running))
     }
 }
@@ -42,15 +42,15 @@
     utc: u64,
     teams: &[Team],
     writers: &[WriterView<'_>],
-    announced: &BTreeMap<&Name, &Announced>,
+    announced: &BTreeMap<&Name, &AnnouncedWork>,
 ) -> Vec<HashMap<u64, Readmission>> {
     let mut collector = Collector::new(teams, writers);
     for writer in writers {
         let state = writer.state;
-        let is_valid = |(_, displaced): &(&u64, &Displaced)| displaced.until > utc;
-        let admitted = state.passes.iter().filter(is_valid);
+        let is_valid = |(_, displaced): &(&u64, &DisplacedWork)| displaced.until > utc;
+        let admitted = state.admitted.iter().filter(is_valid);
         admitted.for_each(|(key, d)| collector.add(&d.team, *key, false, d.until));
-        let displaced = state.loose.iter().filter(is_valid);
+        let displaced = state.displaced.iter().filter(is_valid);
         displaced.for_each(|(key, d)| collector.add(&d.team, *key, true, d.until));
         if !writer.is_silent {
             continue;
@@ -58,7 +58,7 @@
         // Running work keeps its place, unless nobody can tell at present whether it has ended.
         let in_work_log = writer.running_in_work_log(announced.get(writer.writer).copied());
         for (key, work) in state.running.iter().chain(in_work_log.into_iter().flatten()) {
-            collector.add(&work.team, *key, true, work.since.saturating_add(COMES_AGAIN));
+            collector.add(&work.team, *key, true, work.since.saturating_add(RESTART_WINDOW_MS));
         }
     }
     let mut readmissions = collector.readmissions;
@@ -79,7 +79,7 @@
 impl<'a> Collector<'a> {
     fn new(teams: &'a [Team], writers: &[WriterView<'_>]) -> Self {
         let mut done: HashMap<u64, u64> = HashMap::new();
-        for (key, until) in writers.iter().flat_map(|writer| &writer.state.done) {
+        for (key, until) in writers.iter().flat_map(|writer| &writer.state.finished_replacements) {
             let known = done.entry(*key).or_default();
             *known = (*known).max(*until);
         }
@@ -125,26 +125,26 @@
 }
 
 /// What the fleet logs say of a key that `me` might start or has started.
-pub fn known_work(me: &Name, key: u64, states: &[(Name, &State)]) -> Option<KnownWork> {
-    let ran = |(writer, state): &(Name, &State)| {
+pub fn known_work(me: &Name, key: u64, states: &[(Name, &LogState)]) -> Option<KnownWork> {
+    let ran = |(writer, state): &(Name, &LogState)| {
         let runs_elsewhere = writer != me && state.running.contains_key(&key);
         let is_announced = state.announced.iter().any(|(of, a)| of != me && a.work.contains_key(&key));
-        runs_elsewhere || is_announced || state.loose.contains_key(&key)
+        runs_elsewhere || is_announced || state.displaced.contains_key(&key)
     };
     if states.iter().any(ran) {
         return Some(KnownWork::Ran);
     }
-    states.iter().any(|(_, state)| state.passes.contains_key(&key)).then_some(KnownWork::Admitted)
+    states.iter().any(|(_, state)| state.admitted.contains_key(&key)).then_some(KnownWork::Admitted)
 }
 
 /// The keys that run according to our own work log and are also in others' fleet logs: two schedulers
 /// started the same task, and all have to know that it runs here.
-pub fn keys_recorded_by_others(me: &Name, ours: &Running, states: &[(Name, &State)]) -> BTreeSet<u64> {
+pub fn keys_recorded_by_others(me: &Name, ours: &Running, states: &[(Name, &LogState)]) -> BTreeSet<u64> {
     let others = states.iter().filter(|(writer, _)| writer != me);
     let keys = others.flat_map(|(_, state)| {
         let announced = state.announced.iter().filter(|(of, _)| *of != me);
         let announced = announced.flat_map(|(_, announced)| announced.work.keys());
-        state.running.keys().chain(state.loose.keys()).chain(state.passes.keys()).chain(announced)
+        state.running.keys().chain(state.displaced.keys()).chain(state.admitted.keys()).chain(announced)
     });
     keys.filter(|key| ours.contains_key(key)).copied().collect()
 }
--- a/crates/quota/src/readmission/tests.rs
+++ b/crates/quota/src/readmission/tests.rs
@@ -4,14 +4,14 @@
 use crate::reservation_pool::Readmission;
 use crate::settings::Team;
 use mulleinhub_replicated_log::{
-    COMES_AGAIN, Displaced, Name, READS_WORK_LOGS, State, WRITES_WORK_LOG, Work,
+    DisplacedWork, LogState, Name, READS_WORK_LOGS, RESTART_WINDOW_MS, RunningWork, WRITES_WORK_LOG,
 };
 use proptest::prelude::*;
 use std::collections::{BTreeMap, HashMap};
 
 const TEAMS: u64 = 4;
 /// An instant, in Unix time.
-const UTC: u64 = COMES_AGAIN * 10;
+const UTC: u64 = RESTART_WINDOW_MS * 10;
 
 /// What a scheduler's logs say: keys that run according to its fleet log and its work log, that may be readmitted, and
 /// that were admitted before a suspension, each with its team; and whether it is silent.
@@ -25,13 +25,13 @@
     Team { name: team_name(team), account: None, tenants: Vec::new(), cap: None }
 }
 
-fn running(keys: &[(u64, u64)]) -> BTreeMap<u64, Work> {
-    let work = |team| Work { team: team_name(team), rate: 1, since: UTC };
+fn running(keys: &[(u64, u64)]) -> BTreeMap<u64, RunningWork> {
+    let work = |team| RunningWork { team: team_name(team), rate: 1, since: UTC };
     keys.iter().map(|(key, team)| (*key, work(*team))).collect()
 }
 
-fn loose(keys: &[(u64, u64)]) -> BTreeMap<u64, Displaced> {
-    let loose = |team| Displaced { team: team_name(team), until: UTC + 1 };
+fn loose(keys: &[(u64, u64)]) -> BTreeMap<u64, DisplacedWork> {
+    let loose = |team| DisplacedWork { team: team_name(team), until: UTC + 1 };
     keys.iter().map(|(key, team)| (*key, loose(*team))).collect()
 }
 
@@ -73,16 +73,16 @@
     fn running_work_is_not_readmissible(samples in prop::collection::vec(scheduler(), 1..5)) {
         let writers: Vec<Name> = (0..samples.len()).map(|n| format!("s{n}").as_str().into()).collect();
         let states = |([fleet, work, loose_keys, passes], _): &Sample| {
-            let fleet = State {
+            let fleet = LogState {
                 running: running(fleet),
-                loose: loose(loose_keys),
-                passes: loose(passes),
-                forms: READS_WORK_LOGS | WRITES_WORK_LOG,
-                ..State::default()
+                displaced: loose(loose_keys),
+                admitted: loose(passes),
+                capabilities: READS_WORK_LOGS | WRITES_WORK_LOG,
+                ..LogState::default()
             };
-            (fleet, State { running: running(work), ..State::default() })
+            (fleet, LogState { running: running(work), ..LogState::default() })
         };
-        let states: Vec<(State, State)> = samples.iter().map(states).collect();
+        let states: Vec<(LogState, LogState)> = samples.iter().map(states).collect();
         let mut views: Vec<WriterView<'_>> = Vec::new();
         for (n, (fleet, work)) in states.iter().enumerate() {
             let (is_me, is_silent) = (n == 0, n > 0 && samples[n].1);
--- a/crates/quota/src/reservation_pool.rs
+++ b/crates/quota/src/reservation_pool.rs
@@ -15,7 +15,7 @@
 
 use crate::money::{accrued, cost};
 use mulleinhub_interface::{Duration, TaskKey, Ticket, Timestamp};
-use mulleinhub_replicated_log::Parts;
+use mulleinhub_replicated_log::SplitAmount;
 use std::collections::HashMap;
 
 /// Bounds of the spare capacity for pending keys.
@@ -37,7 +37,7 @@
     fresh_until: Timestamp,
     retry_after: RetryAfter,
     limits: TeamLimits,
-    available: Parts,
+    available: SplitAmount,
     /// Commitments of all workers that are pending or running.
     committed: u64,
     /// Spent without cover.
@@ -73,7 +73,7 @@
             fresh_until: Timestamp::default(),
             retry_after,
             limits,
-            available: Parts::default(),
+            available: SplitAmount::default(),
             committed: 0,
             debt: 0,
             rate: 0,
@@ -107,7 +107,7 @@
         self.accrue(now);
         self.requests += 1;
         let commitment = cost(rate, self.commitment);
-        let ticket = Ticket { team, key, rate, open: 0, last: 0 };
+        let ticket = Ticket { team, key, rate, reserved_open: 0, reserved_last: 0 };
         let grace_period_over = self.limits.grace_period_over;
         let readmission = self.readmissions.get_mut(&key.0).filter(|r| !r.in_use && !grace_period_over);
         if let Some(readmission) = readmission {
@@ -149,7 +149,7 @@
         }
         self.available.open -= commitment;
         self.committed += commitment;
-        Some(Ticket { open: commitment, ..ticket })
+        Some(Ticket { reserved_open: commitment, ..ticket })
     }
 
     fn release_readmission(&mut self, key: u64) {
@@ -170,16 +170,18 @@
     /// Commits the cost of a worker that can't be rejected: out of the last part, then out of the open one,
     /// as far as they go.
     fn commit(&mut self, ticket: Ticket, commitment: u64) -> Ticket {
-        let last = commitment.min(self.available.last);
+        let last = commitment.min(self.available.running_only);
         let open = (commitment - last).min(self.available.open);
-        self.available = self.available.less(Parts { open, last });
+        self.available = self.available.saturating_sub(SplitAmount { open, running_only: last });
         self.committed += open + last;
-        Ticket { open, last, ..ticket }
+        Ticket { reserved_open: open, reserved_last: last, ..ticket }
     }
 
     fn return_commitment(&mut self, ticket: Ticket) {
-        self.committed -= ticket.open + ticket.last;
-        self.available = self.available.plus(Parts { open: ticket.open, last: ticket.last });
+        self.committed -= ticket.reserved_open + ticket.reserved_last;
+        self.available = self
+            .available
+            .saturating_add(SplitAmount { open: ticket.reserved_open, running_only: ticket.reserved_last });
         self.cover_debt();
     }
 
@@ -194,7 +196,7 @@
     /// The task had its final outcome but may be running all the same: its whole commitment counts as spent.
     pub fn charge_commitment(&mut self, now: Timestamp, ticket: Ticket) {
         self.accrue(now);
-        let commitment = ticket.open + ticket.last;
+        let commitment = ticket.reserved_open + ticket.reserved_last;
         self.committed -= commitment;
         self.spent += commitment;
         self.release_readmission(ticket.key.0);
@@ -216,7 +218,7 @@
         let commitment = cost(rate, self.commitment);
         self.rate += rate;
         self.events.push(WorkerEvent::Adopted { key: key.0, rate, at: now });
-        self.commit(Ticket { team, key, rate, open: 0, last: 0 }, commitment)
+        self.commit(Ticket { team, key, rate, reserved_open: 0, reserved_last: 0 }, commitment)
     }
 
     /// A worker runs no longer; `readmissible` if it was lost, moved or evicted and may run again.
@@ -249,8 +251,8 @@
 
     fn cover_debt(&mut self) {
         let open = self.debt.min(self.available.open);
-        let last = (self.debt - open).min(self.available.last);
-        self.available = self.available.less(Parts { open, last });
+        let last = (self.debt - open).min(self.available.running_only);
+        self.available = self.available.saturating_sub(SplitAmount { open, running_only: last });
         self.debt -= open + last;
         if !self.limits.has_cap {
             self.debt = 0;
@@ -312,16 +314,18 @@
     }
 
     /// Adds a reservation, whose log entry must be on disk.
-    pub fn credit(&mut self, amount: Parts) {
-        self.available = self.available.plus(amount);
+    pub fn credit(&mut self, amount: SplitAmount) {
+        self.available = self.available.saturating_add(amount);
         self.cover_debt();
     }
 
     /// Takes up to `max` of what is available out of the pool, and returns how much that was.
-    pub fn withdraw(&mut self, max: Parts) -> Parts {
-        let withdrawn =
-            Parts { open: self.available.open.min(max.open), last: self.available.last.min(max.last) };
-        self.available = self.available.less(withdrawn);
+    pub fn withdraw(&mut self, max: SplitAmount) -> SplitAmount {
+        let withdrawn = SplitAmount {
+            open: self.available.open.min(max.open),
+            running_only: self.available.running_only.min(max.running_only),
+        };
+        self.available = self.available.saturating_sub(withdrawn);
         withdrawn
     }
 
@@ -353,7 +357,7 @@
     pub fn close_month(&mut self, now: Timestamp) -> (u64, u64) {
         self.accrue(now);
         let closed = (std::mem::take(&mut self.spent), std::mem::replace(&mut self.debt, self.committed));
-        self.available = Parts::default();
+        self.available = SplitAmount::default();
         closed
     }
 }
--- a/crates/quota/src/reservation_pool/tests.rs
+++ b/crates/quota/src/reservation_pool/tests.rs
@@ -16,7 +16,7 @@
 
 fn pool(open: u64, last: u64) -> ReservationPool {
     let mut pool = ReservationPool::new(Duration::from_secs(10), RETRY_AFTER, CAPPED);
-    pool.credit(Parts { open, last });
+    pool.credit(SplitAmount { open, running_only: last });
     pool.refresh(at(1_000_000), RETRY_AFTER, CAPPED);
     pool
 }
@@ -63,9 +63,9 @@
     pool.start(at(0), ticket);
     assert!(pool.admit(at(0), 0, TaskKey(2), 1, 0.0).is_err(), "the last part is not for new workers");
     let snapshot = pool.take_snapshot(at(5_000));
-    assert_eq!((snapshot.available, snapshot.debt, snapshot.spent), (Parts::default(), 20, 50));
-    pool.credit(Parts { open: 0, last: 25 });
-    assert_eq!(pool.take_snapshot(at(5_000)).available.last, 5);
+    assert_eq!((snapshot.available, snapshot.debt, snapshot.spent), (SplitAmount::default(), 20, 50));
+    pool.credit(SplitAmount { open: 0, running_only: 25 });
+    assert_eq!(pool.take_snapshot(at(5_000)).available.running_only, 5);
     pool.end(at(5_000), ticket, false);
     assert_eq!(pool.take_snapshot(at(5_000)).committed, 0);
 }
@@ -76,10 +76,10 @@
     let ticket = pool.admit(at(0), 0, TaskKey(1), 10, 0.0).expect("enough is available");
     pool.start(at(0), ticket);
     pool.end(at(1_000), ticket, true);
-    pool.withdraw(Parts { open: 1_000, last: 0 });
+    pool.withdraw(SplitAmount { open: 1_000, running_only: 0 });
     assert!(pool.admit(at(1_500), 0, TaskKey(2), 10, 0.0).is_err());
     let readmitted = pool.admit(at(1_500), 0, TaskKey(1), 10, 0.0).expect("it ran before");
-    assert_eq!((readmitted.open, readmitted.last), (0, 100));
+    assert_eq!((readmitted.reserved_open, readmitted.reserved_last), (0, 100));
     assert!(pool.admit(at(1_500), 0, TaskKey(1), 10, 0.0).is_err(), "an admission is pending");
     pool.release_unstarted(at(1_600), readmitted);
     assert!(pool.admit(at(1_700), 0, TaskKey(1), 10, 0.0).is_ok());
@@ -119,7 +119,10 @@
     pool.end(at(20), ran, true);
     let readmitted = pool.admit(at(30), 0, TaskKey(1), 10, 0.0).expect("it ran");
     let admitted = pool.admit(at(30), 0, TaskKey(2), 10, 0.0).expect("it was admitted before");
-    assert_eq!((readmitted.open, readmitted.last, admitted.open, admitted.last), (0, 100, 100, 0));
+    assert_eq!(
+        (readmitted.reserved_open, readmitted.reserved_last, admitted.reserved_open, admitted.reserved_last),
+        (0, 100, 100, 0)
+    );
     pool.release_unstarted(at(40), readmitted);
     pool.refresh(at(1_000_000), RETRY_AFTER, TeamLimits { grace_period_over: true, ..suspended });
     assert!(pool.admit(at(50), 0, TaskKey(1), 10, 0.0).is_err(), "the grace period is over");
@@ -133,7 +136,7 @@
     pool.refresh(at(1_000_000), RETRY_AFTER, TeamLimits { suspended: true, ..CAPPED });
     pool.set_readmissions(HashMap::from([(2, Readmission { in_use: false, ran: false })]));
     assert!(pool.admit(at(0), 0, TaskKey(2), 10, 0.0).is_err());
-    pool.credit(Parts { open: 100, last: 0 });
+    pool.credit(SplitAmount { open: 100, running_only: 0 });
     assert!(pool.admit(at(0), 0, TaskKey(2), 10, 0.0).is_ok());
 }
 
@@ -162,9 +165,9 @@
     let snapshot = pool.take_snapshot(at(3_000));
     assert_eq!(
         (snapshot.spent, snapshot.debt, snapshot.available, snapshot.committed),
-        (10, 110, Parts::default(), 100)
+        (10, 110, SplitAmount::default(), 100)
     );
-    pool.credit(Parts { open: 200, last: 0 });
+    pool.credit(SplitAmount { open: 200, running_only: 0 });
     pool.end(at(3_000), ticket, false);
     assert_eq!(pool.take_snapshot(at(3_000)).available.open, 190);
 }
--- a/crates/quota/src/reservation_pool/types.rs
+++ b/crates/quota/src/reservation_pool/types.rs
@@ -2,7 +2,7 @@
 
 use super::ReservationPool;
 use mulleinhub_interface::{Duration, Timestamp};
-use mulleinhub_replicated_log::Parts;
+use mulleinhub_replicated_log::SplitAmount;
 
 /// The range from which the retry delay of a rejected client is chosen.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -79,7 +79,7 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct PoolSnapshot {
     /// Reserved from the share, neither committed nor spent.
-    pub available: Parts,
+    pub available: SplitAmount,
     /// Committed to workers that are pending or running.
     pub committed: u64,
     /// Spent without cover.
--- a/crates/quota/src/settings.rs
+++ b/crates/quota/src/settings.rs
@@ -3,7 +3,7 @@
 use crate::calendar::Calendar;
 use crate::money::{self, Prices};
 use mulleinhub_interface::Duration;
-use mulleinhub_replicated_log::{Name, Parts, Site};
+use mulleinhub_replicated_log::{Location, Name, SplitAmount};
 use std::collections::BTreeMap;
 
 /// A team, whose tenants spend against one cap.
@@ -42,20 +42,20 @@
     /// log.
     pub replicas: Option<usize>,
     /// Where each member runs, so that copies are placed apart.
-    pub locations: BTreeMap<Name, Site>,
+    pub locations: BTreeMap<Name, Location>,
 }
 
 impl Settings {
     /// The share of a cap that a member begins each month with; zero for a name that is not a member.
-    pub fn first_share(&self, member: &Name, cap: u64) -> Parts {
+    pub fn first_share(&self, member: &Name, cap: u64) -> SplitAmount {
         // The list is usually sorted.
         let index = self.members.binary_search(member).ok();
         let index = index.or_else(|| self.members.iter().position(|name| name == member));
-        let Some(index) = index else { return Parts::default() };
+        let Some(index) = index else { return SplitAmount::default() };
         let (members, index) = (self.members.len() as u64, index as u64);
         let open = money::fraction(cap, self.open_millionths);
         // The remainder of the division goes to the first members, one micro-unit each.
         let share = |whole: u64| whole / members + u64::from(index < whole % members);
-        Parts { open: share(open), last: share(cap - open) }
+        SplitAmount { open: share(open), running_only: share(cap - open) }
     }
 }
--- a/crates/quota/src/share_policy.rs
+++ b/crates/quota/src/share_policy.rs
@@ -10,7 +10,7 @@
 
 use crate::reservation_pool::RetryAfter;
 use mulleinhub_interface::{Duration, Pcg, Timestamp};
-use mulleinhub_replicated_log::{Name, Parts};
+use mulleinhub_replicated_log::{Name, SplitAmount};
 
 /// A member keeps the usage of this many seconds for itself and requests that of twice as many. Longer than
 /// a request takes to be answered even with a retry, and short compared with a month.
@@ -75,26 +75,26 @@
         self.has_no_demand() && self.running == 0
     }
 
-    fn over(self, seconds: f64) -> Parts {
+    fn over(self, seconds: f64) -> SplitAmount {
         let running = self.running as f64 * seconds;
-        Parts { open: (self.new * seconds + running) as u64, last: running as u64 }
+        SplitAmount { open: (self.new * seconds + running) as u64, running_only: running as u64 }
     }
 
     /// What a scheduler keeps of its share for itself.
-    fn own_need(self) -> Parts {
+    fn own_need(self) -> SplitAmount {
         self.over(HORIZON_SECONDS)
     }
 
     /// The size of a reservation for this many seconds of usage, enough for at least two workers.
-    pub fn reservation(self, seconds: f64) -> Parts {
+    pub fn reservation(self, seconds: f64) -> SplitAmount {
         let usage = self.over(seconds);
         let two_workers = if self.new > 0.0 { self.largest_request.saturating_mul(2) } else { 0 };
-        Parts { open: usage.open.max(two_workers), ..usage }
+        SplitAmount { open: usage.open.max(two_workers), ..usage }
     }
 
     /// What a scheduler that has this much requests from others. The last part is requested only once the
     /// open one runs out.
-    pub fn shortfall(self, has: Parts) -> Parts {
+    pub fn shortfall(self, has: SplitAmount) -> SplitAmount {
         let (low, high) = (self.over(HORIZON_SECONDS * LOW_WATERMARK), self.over(HORIZON_SECONDS * 2.0));
         let lacks_one_worker = self.new > 0.0 && has.open < self.largest_request;
         let open = if has.open < low.open || lacks_one_worker {
@@ -102,27 +102,30 @@
         } else {
             0
         };
-        let is_short = has.open < low.last && has.last < low.last;
-        Parts { open, last: if is_short { high.last - has.last } else { 0 } }
+        let is_short = has.open < low.running_only && has.running_only < low.running_only;
+        SplitAmount { open, running_only: if is_short { high.running_only - has.running_only } else { 0 } }
     }
 }
 
 /// What a donor with this much share and this usage of its own gives to a member that requests `requested`.
-pub fn amount_to_give(has: Parts, usage: Usage, requested: Parts) -> Parts {
-    let spare = has.less(usage.own_need());
+pub fn amount_to_give(has: SplitAmount, usage: Usage, requested: SplitAmount) -> SplitAmount {
+    let spare = has.saturating_sub(usage.own_need());
     let is_idle = usage.is_idle();
     let give = |requested: u64, spare: u64| match requested {
         0 => 0,
         requested if is_idle => requested.max(spare / 2).min(spare),
         requested => requested.min(spare),
     };
-    Parts { open: give(requested.open, spare.open), last: give(requested.last, spare.last) }
+    SplitAmount {
+        open: give(requested.open, spare.open),
+        running_only: give(requested.running_only, spare.running_only),
+    }
 }
 
 /// Chooses the member to request a transfer from, at random, weighted by what each is believed to have.
 pub fn choose_donor<'a>(random: &mut Pcg, others: &[(&'a Name, u64)]) -> Option<&'a Name> {
     let total = others.iter().fold(0u64, |sum, (_, has)| sum.saturating_add(*has));
-    let mut position = (total as f64 * random.part()) as u64;
+    let mut position = (total as f64 * random.fraction()) as u64;
     for (name, has) in others {
         if *has > 0 && position < *has {
             return Some(name);
--- a/crates/quota/src/share_policy/tests.rs
+++ b/crates/quota/src/share_policy/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
-fn parts(open: u64, last: u64) -> Parts {
-    Parts { open, last }
+fn parts(open: u64, last: u64) -> SplitAmount {
+    SplitAmount { open, running_only: last }
 }
 
 #[test]
--- a/crates/quota/src/work_routing.rs
+++ b/crates/quota/src/work_routing.rs
@@ -4,14 +4,14 @@
 //! scheduler's work log. Work that takes the place of other work, and work that may be replacements, concerns
 //! every scheduler: it is recorded in the fleet log, in the format used before there were two logs.
 
-use mulleinhub_replicated_log::{Entry, Name, Work};
+use mulleinhub_replicated_log::{Entry, Name, RunningWork};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// The most workers in one entry.
 pub const MAX_WORKERS_PER_ENTRY: usize = 1_000;
 
 /// Running work by task key.
-pub type Running = BTreeMap<u64, Work>;
+pub type Running = BTreeMap<u64, RunningWork>;
 
 /// A worker that started: task key, team, and rate in micro-units per second.
 type StartedWorker = (u64, Name, u64);
@@ -32,10 +32,10 @@
     /// a worker may do both between two ticks.
     pub fn entries(&self, at: u64) -> Vec<Entry> {
         let chunk = MAX_WORKERS_PER_ENTRY;
-        let started = self.started.chunks(chunk).map(|work| Entry::Began { at, work: work.to_vec() });
+        let started = self.started.chunks(chunk).map(|work| Entry::Started { at, work: work.to_vec() });
         let replacements =
-            self.replacements.chunks(chunk).map(|keys| Entry::Again { at, keys: keys.to_vec() });
-        let ended = self.ended.chunks(chunk).map(|work| Entry::Over { at, work: work.to_vec() });
+            self.replacements.chunks(chunk).map(|keys| Entry::Replacements { at, keys: keys.to_vec() });
+        let ended = self.ended.chunks(chunk).map(|work| Entry::Ended { at, work: work.to_vec() });
         started.chain(replacements).chain(ended).collect()
     }
 }
@@ -101,7 +101,7 @@
 }
 
 /// Entries that add running work to a log that doesn't have it, with the instants when it started.
-pub fn started_entries<'a>(work: impl Iterator<Item = (&'a u64, &'a Work)>) -> Vec<Entry> {
+pub fn started_entries<'a>(work: impl Iterator<Item = (&'a u64, &'a RunningWork)>) -> Vec<Entry> {
     let mut by_instant: BTreeMap<u64, Vec<StartedWorker>> = BTreeMap::new();
     for (key, work) in work {
         by_instant.entry(work.since).or_default().push((*key, work.team.clone(), work.rate));
@@ -109,7 +109,7 @@
     let mut entries = Vec::new();
     for (at, work) in by_instant {
         let chunks = work.chunks(MAX_WORKERS_PER_ENTRY);
-        entries.extend(chunks.map(|work| Entry::Began { at, work: work.to_vec() }));
+        entries.extend(chunks.map(|work| Entry::Started { at, work: work.to_vec() }));
     }
     entries
 }
--- a/crates/replicated-log/src/membership.rs
+++ b/crates/replicated-log/src/membership.rs
@@ -74,8 +74,8 @@
             let gap = now - last_heartbeat_at;
             let mean = member.mean_interval;
             let deviation = if gap > mean { gap - mean } else { mean - gap };
-            member.mean_interval = mean.toward(gap, NEWEST_WEIGHT).max(least);
-            member.deviation = member.deviation.toward(deviation, NEWEST_WEIGHT).max(least);
+            member.mean_interval = mean.moved_towards(gap, NEWEST_WEIGHT).max(least);
+            member.deviation = member.deviation.moved_towards(deviation, NEWEST_WEIGHT).max(least);
         }
         (member.heartbeat, member.is_suspected) = (heartbeat, false);
         true
--- a/crates/scale/src/ledgers/fleet.rs
+++ b/crates/scale/src/ledgers/fleet.rs
@@ -154,7 +154,7 @@
             now: BEGIN,
         };
         for member in 0..schedulers {
-            let at = BEGIN + START_SPREAD * fleet.chance.part();
+            let at = BEGIN + START_SPREAD * fleet.chance.fraction();
             fleet.events.schedule(at, Event::Start { member });
         }
         fleet
@@ -501,7 +501,7 @@
         }
         seat.writing = Some(std::mem::take(&mut seat.waiting));
         let life = seat.life;
-        let takes = DISK_LEAST + (DISK_MOST - DISK_LEAST) * self.chance.part();
+        let takes = DISK_LEAST + (DISK_MOST - DISK_LEAST) * self.chance.fraction();
         self.events.schedule(self.now + takes, Event::Written { member, life });
     }
 
--- a/crates/scale/src/ledgers/member.rs
+++ b/crates/scale/src/ledgers/member.rs
@@ -357,7 +357,7 @@
     /// Whether a change, or a later one of the same team, is known.
     #[must_use]
     pub fn knows(&self, change: ConfigChange) -> bool {
-        let orders = self.exchange.keeper().library().directives();
+        let orders = self.exchange.keeper().fleet_logs().directives();
         let known = orders.get(&Subject::Team(team_name(change.team)));
         known.is_some_and(|known| known.number >= change.number)
     }
@@ -371,13 +371,13 @@
     /// One figure for all that it knows, equal where two know the same.
     #[must_use]
     pub fn knowledge(&self) -> [u8; 16] {
-        self.exchange.keeper().library().heads_digest().0
+        self.exchange.keeper().fleet_logs().heads_digest().0
     }
 
     /// The life and the number of the last of its own rows that others may know.
     #[must_use]
     pub fn own_end(&self) -> (u64, u64) {
-        let library = self.exchange.keeper().library();
+        let library = self.exchange.keeper().fleet_logs();
         let number = library.announced_head(library.own_id()).map_or(0, |(number, _)| number);
         (library.own_id().incarnation, number)
     }
@@ -385,7 +385,7 @@
     /// Whether it knows another's rows as far as that, or rows of a later life.
     #[must_use]
     pub fn knows_end(&self, member: usize, (life, number): (u64, u64)) -> bool {
-        let library = self.exchange.keeper().library();
+        let library = self.exchange.keeper().fleet_logs();
         let id = LogId { writer: member_name(member), incarnation: life };
         let known = library.log(&id).map_or(0, |column| column.head().0);
         known >= number || library.newest_incarnation(&id.writer).is_some_and(|newest| newest > life)
--- a/crates/simulation/src/lib.rs
+++ b/crates/simulation/src/lib.rs
@@ -12,7 +12,7 @@
 use books::{Books, Disk};
 use mulleinhub_baselines::Baseline;
 use mulleinhub_engine::{Counts, Engine};
-use mulleinhub_interface::{Duration, Pcg, Timestamp};
+use mulleinhub_interface::{Duration, Pcg, PolicySettings, Timestamp};
 use mulleinhub_planner::{
     LedgerText, PlannerSettings, SettingsText, parse_operator_directives, parse_settings_text,
 };
@@ -272,11 +272,15 @@
                 let engine = match self.baseline {
                     None => Engine::new(settings, life, kept),
                     Some(rule) => {
-                        let (cases, kinds) = (settings.use_cases.clone(), settings.machine_kinds.clone());
-                        let (taking, cold, listing) =
-                            (settings.acceptance, settings.slow_start, settings.discovery);
-                        let mind =
-                            Baseline::new(rule, settings.seed ^ life, cases, kinds, taking, cold, listing);
+                        let policy_settings = PolicySettings {
+                            use_cases: settings.use_cases.clone(),
+                            machine_kinds: settings.machine_kinds.clone(),
+                            acceptance: settings.acceptance,
+                            slow_start: settings.slow_start,
+                            discovery: settings.discovery,
+                            locality: settings.locality,
+                        };
+                        let mind = Baseline::new(rule, settings.seed ^ life, policy_settings);
                         Engine::with_policy(Box::new(mind), settings, life, kept)
                     }
                 };
