--- a/crates/engine/examples/idle.rs
+++ b/crates/engine/examples/idle.rs
@@ -152,7 +152,7 @@
             self.engine.connections().mark_written(connection, len);
         }
         while let Some(command) = self.engine.connections().next_command() {
-            if let Command::Close { connection: connection, .. } = command {
+            if let Command::Close { connection, .. } = command {
                 self.engine.connections().discard(connection);
                 self.closed += 1;
             }
--- a/crates/engine/src/properties/simulation.rs
+++ b/crates/engine/src/properties/simulation.rs
@@ -164,7 +164,7 @@
                         self.deliver(connection, &welcome);
                     }
                 },
-                Some(Command::Close { connection: connection, .. }) => {
+                Some(Command::Close { connection, .. }) => {
                     self.engine.connections().discard(connection);
                     self.connecting.retain(|(other, _)| *other != connection);
                     if let Some(index) =
--- a/crates/engine/tests/scenarios/harness.rs
+++ b/crates/engine/tests/scenarios/harness.rs
@@ -149,7 +149,7 @@
                     self.names.insert(connection, address.clone());
                     self.opened.push((connection, address));
                 }
-                Some(Command::Close { connection: connection, .. }) => {
+                Some(Command::Close { connection, .. }) => {
                     self.read(connection, usize::MAX, &mut output);
                     self.engine.connections().discard(connection);
                     self.closed.push(connection);
--- a/crates/quota/src/ledger.rs
+++ b/crates/quota/src/ledger.rs
@@ -109,7 +109,7 @@
         for name in &settings.members {
             settings.locations.entry(name.clone()).or_default();
         }
-        let own = LogId { writer: settings.me.clone(), incarnation: incarnation };
+        let own = LogId { writer: settings.me.clone(), incarnation };
         let mut fleet_logs = LogStore::new(own.clone());
         let mut work_logs = LogStore::new(own);
         let mut damaged = fleet_logs.restore(restored.fleet);
@@ -169,7 +169,7 @@
 ) -> Option<(u64, u64)> {
     let last_in_fleet = fleet_logs.newest_incarnation(me);
     let extent = last_in_fleet.and_then(|incarnation| {
-        let id = LogId { writer: me.clone(), incarnation: incarnation };
+        let id = LogId { writer: me.clone(), incarnation };
         fleet_logs.log(&id).map(|log| (incarnation, log.head().0))
     });
     let last = last_in_fleet.max(work_logs.newest_incarnation(me)).unwrap_or(0);
--- a/crates/quota/src/ledger/months.rs
+++ b/crates/quota/src/ledger/months.rs
@@ -69,7 +69,7 @@
             let mut balance = self.fleet_logs.balance(&self.settings.me, &name, number);
             balance.spent += last_month;
             balance.overspent += last_month;
-            self.fleet_logs.write(&Entry::Balance { team: name, month: number, balance: balance });
+            self.fleet_logs.write(&Entry::Balance { team: name, month: number, balance });
         }
     }
 
@@ -94,6 +94,6 @@
     /// Writes a team's balance, and returns the number of the entry.
     pub(super) fn write_balance(&mut self, team: usize, month: u32) -> u64 {
         let (name, balance) = (self.settings.teams[team].name.clone(), self.teams[team].balance);
-        self.fleet_logs.write(&Entry::Balance { team: name, month, balance: balance })
+        self.fleet_logs.write(&Entry::Balance { team: name, month, balance })
     }
 }
--- a/crates/quota/src/ledger/totals/tests.rs
+++ b/crates/quota/src/ledger/totals/tests.rs
@@ -185,16 +185,15 @@
                 let state = self.log(log).1.state();
                 let (team, month) = (team_name(team), state.month);
                 let balance = grown(state.balance(&team, month), amount);
-                self.write(log, &Entry::Balance { team, month, balance: balance });
+                self.write(log, &Entry::Balance { team, month, balance });
             }
             Event::ShareTransfer { log, team, to, incarnation, amount } => {
                 let state = self.log(log).1.state();
                 let to = member(to);
-                let transfer =
-                    ShareTransfer { team: team_name(team), month: state.month, to, incarnation: incarnation };
+                let transfer = ShareTransfer { team: team_name(team), month: state.month, to, incarnation };
                 let known = state.transferred_out.get(&transfer).copied().unwrap_or_default();
                 let parts = known.saturating_add(SplitAmount { open: amount, running_only: amount / 5 });
-                self.write(log, &Entry::Transferred { transfer: transfer, total: parts });
+                self.write(log, &Entry::Transferred { transfer, total: parts });
             }
             Event::Month { log } => {
                 let month = self.log(log).1.state().month + 1;
@@ -217,7 +216,7 @@
                     (state.transfers_valid_from, state.initial_share_void_through) =
                         (incarnation, state.month);
                 }
-                self.open(LogId { writer: id.writer, incarnation: incarnation }, state);
+                self.open(LogId { writer: id.writer, incarnation }, state);
             }
             Event::Fork { log } => {
                 let (id, log) = self.log(log).clone();
@@ -234,7 +233,7 @@
             Event::OwnBalance { team, amount } => {
                 let team = team_name(team);
                 let balance = grown(self.ledger.fleet_logs.balance(&member(0), &team, now), amount);
-                self.ledger.fleet_logs.write(&Entry::Balance { team, month: now, balance: balance });
+                self.ledger.fleet_logs.write(&Entry::Balance { team, month: now, balance });
             }
             Event::OwnTransfer { team, to, amount } => {
                 let transfer =
@@ -242,7 +241,7 @@
                 let state = self.ledger.fleet_logs.latest_state(&member(0)).expect("it is open");
                 let known = state.transferred_out.get(&transfer).copied().unwrap_or_default();
                 let parts = known.saturating_add(SplitAmount { open: amount, running_only: 0 });
-                self.ledger.fleet_logs.write(&Entry::Transferred { transfer: transfer, total: parts });
+                self.ledger.fleet_logs.write(&Entry::Transferred { transfer, total: parts });
             }
             Event::OwnMonth => {
                 self.ledger.month = Some(month(now + 1));
--- a/crates/quota/src/ledger/transfers.rs
+++ b/crates/quota/src/ledger/transfers.rs
@@ -95,12 +95,8 @@
         if amount == SplitAmount::default() {
             return NOTHING;
         }
-        let transfer = ShareTransfer {
-            team: request.team.clone(),
-            month: request.month,
-            to: from.clone(),
-            incarnation: incarnation,
-        };
+        let transfer =
+            ShareTransfer { team: request.team.clone(), month: request.month, to: from.clone(), incarnation };
         (amount, self.write_transfer(transfer, amount))
     }
 
@@ -126,8 +122,7 @@
     fn write_transfer(&mut self, transfer: ShareTransfer, amount: SplitAmount) -> u64 {
         let own = self.fleet_logs.latest_state(&self.settings.me);
         let before = own.and_then(|state| state.transferred_out.get(&transfer)).copied().unwrap_or_default();
-        self.fleet_logs
-            .write(&Entry::Transferred { transfer: transfer, total: before.saturating_add(amount) })
+        self.fleet_logs.write(&Entry::Transferred { transfer, total: before.saturating_add(amount) })
     }
 
     /// Takes the replies whose entries are on disk.
--- a/crates/quota/src/ledger/work_log_copies.rs
+++ b/crates/quota/src/ledger/work_log_copies.rs
@@ -67,7 +67,7 @@
     /// Our copy of a writer's work log: incarnation, number of the last entry, and state.
     pub(super) fn copy_of(&self, writer: &Name) -> Option<(u64, u64, &LogState)> {
         let incarnation = self.work_logs.newest_incarnation(writer)?;
-        let log = self.work_logs.log(&LogId { writer: writer.clone(), incarnation: incarnation })?;
+        let log = self.work_logs.log(&LogId { writer: writer.clone(), incarnation })?;
         Some((incarnation, log.head().0, log.state()))
     }
 
@@ -91,7 +91,7 @@
         if nothing_to_announce || !self.announcer.is_due(now, &member) {
             return;
         }
-        let id = LogId { writer: writer.clone(), incarnation: incarnation };
+        let id = LogId { writer: writer.clone(), incarnation };
         let mut entries = announcement_entries(&id, number, &running);
         if self.has_legacy_members() {
             entries.extend(work_routing::readmissible_entries(utc, &running));
