--- a/crates/quota/src/ledger/balances.rs
+++ b/crates/quota/src/ledger/balances.rs
@@ -30,8 +30,8 @@
         Parts { open: amount(open), last: amount(last) }
     }
 
-    /// The same with a sign, open and last part: it is negative where a cap was lowered after more had been
-    /// reserved.
+    /// The same with a sign, open and running-only part: it is negative where a cap was lowered after more
+    /// had been reserved.
     pub(super) fn signed_balance(
         &self,
         member: &Name,
--- a/crates/quota/src/ledger/reservation_plan.rs
+++ b/crates/quota/src/ledger/reservation_plan.rs
@@ -47,7 +47,7 @@
     }
 
     /// What is to be reserved: for new and running workers out of the open part, and, once that is used up,
-    /// for running workers out of the last one.
+    /// for running workers out of the running-only part.
     pub(super) fn to_reserve(&self) -> Parts {
         let target = self.target();
         let (free, reserved, debt) = (self.free, self.reserved, self.snapshot.debt);
--- a/crates/quota/src/ledger/totals.rs
+++ b/crates/quota/src/ledger/totals.rs
@@ -7,10 +7,10 @@
 use mulleinhub_replicated_log::{Name, Parts, Standing, Subject};
 use std::collections::BTreeMap;
 
-/// The part of a cap, as an index: open or last.
+/// The part of a cap, as an index: open or running-only.
 type PartIndex = usize;
 
-/// What members have of a share, and what they reserved too much of it. Open part, then last part.
+/// What members have of a share, and what they reserved too much of it. Open part, then running-only part.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 struct SignedTotals {
     has: [i128; 2],
--- a/crates/quota/src/ledger/totals/tests.rs
+++ b/crates/quota/src/ledger/totals/tests.rs
@@ -81,7 +81,9 @@
         6 => (l.clone(), t.clone(), a.clone())
             .prop_map(|(log, team, amount)| Event::Balance { log, team, amount }),
         4 => (l.clone(), t.clone(), to.clone(), 1..4u64, a.clone())
-            .prop_map(|(log, team, to, incarnation, amount)| Event::ShareTransfer { log, team, to, incarnation, amount }),
+            .prop_map(|(log, team, to, incarnation, amount)| {
+                Event::ShareTransfer { log, team, to, incarnation, amount }
+            }),
         1 => l.clone().prop_map(|log| Event::Month { log }),
         1 => l.clone().prop_map(|log| Event::Snapshot { log }),
         2 => (l.clone(), 0..40usize, any::<bool>())
--- a/crates/quota/src/readmission/tests.rs
+++ b/crates/quota/src/readmission/tests.rs
@@ -13,8 +13,8 @@
 /// An instant, in Unix time.
 const UTC: u64 = COMES_AGAIN * 10;
 
-/// What a scheduler's logs say: keys that run according to its fleet log and its work log, that may be readmitted, and
-/// that were admitted before a suspension, each with its team; and whether it is silent.
+/// What a scheduler's logs say: keys that run according to its fleet log and its work log, that may be
+/// readmitted, and that were admitted before a suspension, each with its team; and whether it is silent.
 type Sample = ([Vec<(u64, u64)>; 4], bool);
 
 fn team_name(team: u64) -> Name {
@@ -87,7 +87,8 @@
         for (n, (fleet, work)) in states.iter().enumerate() {
             let (is_me, is_silent) = (n == 0, n > 0 && samples[n].1);
             let work_log = Some((1, 1, work));
-            views.push(WriterView { writer: &writers[n], incarnation: 1, state: fleet, work_log, is_silent, is_me });
+            let writer = &writers[n];
+            views.push(WriterView { writer, incarnation: 1, state: fleet, work_log, is_silent, is_me });
         }
         let teams: Vec<Team> = (0..TEAMS).map(team).collect();
         let readmissions = readmissions(UTC, &teams, &views, &BTreeMap::new());
--- a/crates/quota/src/reservation_pool.rs
+++ b/crates/quota/src/reservation_pool.rs
@@ -2,9 +2,9 @@
 //!
 //! The ledger credits reservations to the pool; workers spend them. A new worker commits its cost for a
 //! fixed duration out of the open part. While it runs, its cost is paid from what is available beside that
-//! commitment: first from the open part, then from the last one, which new workers can't use. So at any
-//! instant the reservations cover what was spent plus the commitments of all running workers. When nothing
-//! is left, workers run on and their cost becomes a debt.
+//! commitment: first from the open part, then from the running-only part, which new workers can't use. So
+//! at any instant the reservations cover what was spent plus the commitments of all running workers. When
+//! nothing is left, workers run on and their cost becomes a debt.
 //!
 //! The pool is called by the scheduler's event loop and, under the same lock, by the ledger. Admission
 //! doesn't allocate: the ledger provides the capacity for events and pending keys.
@@ -167,8 +167,8 @@
         }
     }
 
-    /// Commits the cost of a worker that can't be rejected: out of the last part, then out of the open one,
-    /// as far as they go.
+    /// Commits the cost of a worker that can't be rejected: out of the running-only part, then out of the
+    /// open one, as far as they go.
     fn commit(&mut self, ticket: Ticket, commitment: u64) -> Ticket {
         let last = commitment.min(self.available.last);
         let open = (commitment - last).min(self.available.open);
--- a/crates/quota/src/reservation_pool/tests.rs
+++ b/crates/quota/src/reservation_pool/tests.rs
@@ -61,7 +61,10 @@
     let mut pool = pool(100, 30);
     let ticket = pool.admit(at(0), 0, TaskKey(1), 10, 0.0).expect("enough is available");
     pool.start(at(0), ticket);
-    assert!(pool.admit(at(0), 0, TaskKey(2), 1, 0.0).is_err(), "the last part is not for new workers");
+    assert!(
+        pool.admit(at(0), 0, TaskKey(2), 1, 0.0).is_err(),
+        "the running-only part is not for new workers"
+    );
     let snapshot = pool.take_snapshot(at(5_000));
     assert_eq!((snapshot.available, snapshot.debt, snapshot.spent), (Parts::default(), 20, 50));
     pool.credit(Parts { open: 0, last: 25 });
--- a/crates/quota/src/share_policy.rs
+++ b/crates/quota/src/share_policy.rs
@@ -92,8 +92,8 @@
         Parts { open: usage.open.max(two_workers), ..usage }
     }
 
-    /// What a scheduler that has this much requests from others. The last part is requested only once the
-    /// open one runs out.
+    /// What a scheduler that has this much requests from others. The running-only part is requested only
+    /// once the open one runs out.
     pub fn shortfall(self, has: Parts) -> Parts {
         let (low, high) = (self.over(HORIZON_SECONDS * LOW_WATERMARK), self.over(HORIZON_SECONDS * 2.0));
         let lacks_one_worker = self.new > 0.0 && has.open < self.largest_request;
