--- a/crates/ledger/src/exchange/heartbeat.rs
+++ b/crates/ledger/src/exchange/heartbeat.rs
@@ -20,7 +20,7 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct Heartbeat {
     /// The incarnation.
-    pub(super) life: u64,
+    pub(super) incarnation: u64,
     /// Heartbeats in it.
     pub(super) count: u64,
 }
@@ -37,7 +37,7 @@
 impl MemberHeartbeat {
     /// As it goes over the wire.
     pub(super) fn message(&self) -> protocol::Beat<'_> {
-        protocol::Beat { name: &self.name, life: self.heartbeat.life, count: self.heartbeat.count }
+        protocol::Beat { name: &self.name, life: self.heartbeat.incarnation, count: self.heartbeat.count }
     }
 }
 
@@ -85,23 +85,23 @@
 }
 
 /// The newest heartbeats that are known here: of the other members, then our own.
-pub(super) fn newest(keeper: &Ledger, own_count: u64) -> impl Iterator<Item = MemberHeartbeat> {
-    let others = keeper.membership.members().map(|name| {
-        let (life, count) = keeper.membership.heartbeat_of(name);
-        MemberHeartbeat { name: name.clone(), heartbeat: Heartbeat { life, count } }
+pub(super) fn newest(ledger: &Ledger, own_count: u64) -> impl Iterator<Item = MemberHeartbeat> {
+    let others = ledger.membership.members().map(|name| {
+        let (incarnation, count) = ledger.membership.heartbeat_of(name);
+        MemberHeartbeat { name: name.clone(), heartbeat: Heartbeat { incarnation, count } }
     });
-    let own = Heartbeat { life: keeper.incarnation(), count: own_count };
-    others.chain([MemberHeartbeat { name: keeper.settings().me.clone(), heartbeat: own }])
+    let own = Heartbeat { incarnation: ledger.incarnation(), count: own_count };
+    others.chain([MemberHeartbeat { name: ledger.settings().me.clone(), heartbeat: own }])
 }
 
 impl Exchange {
     /// Takes in the heartbeats that a peer told.
-    pub(super) fn receive_heartbeats(&mut self, link: ConnectionId, heartbeats: &[protocol::Beat<'_>]) {
-        for told in heartbeats {
-            let name = Name::from(told.name);
-            let heartbeat = Heartbeat { life: told.life, count: told.count };
-            self.keeper.membership.on_heartbeat(self.now, &name, (heartbeat.life, heartbeat.count));
-            if let Some(peer) = self.peers.get_mut(&link) {
+    pub(super) fn receive_heartbeats(&mut self, connection: ConnectionId, heartbeats: &[protocol::Beat<'_>]) {
+        for message in heartbeats {
+            let name = Name::from(message.name);
+            let heartbeat = Heartbeat { incarnation: message.life, count: message.count };
+            self.ledger.membership.on_heartbeat(self.now, &name, (heartbeat.incarnation, heartbeat.count));
+            if let Some(peer) = self.peers.get_mut(&connection) {
                 peer.heartbeats.learn(name, heartbeat);
             }
         }
--- a/crates/ledger/src/exchange/mod.rs
+++ b/crates/ledger/src/exchange/mod.rs
@@ -10,19 +10,19 @@
 //! - `receive`: decoding, greeting, dispatch
 //! - `replication`: heads and rows
 //! - `work_logs`: which logs of few copies go to whom
-//! - `orders`, `heartbeat`, `share_transfer`: what else goes over a connection
+//! - `directives`, `heartbeat`, `share_transfers`: what else goes over a connection
 //! - `connections`, `neighbors`: which connections there are
 //! - `status`: lines for the operators
 
 mod connections;
 mod cursor;
+mod directives;
 mod heartbeat;
 mod neighbors;
-mod orders;
 mod peer;
 mod receive;
 mod replication;
-mod share_transfer;
+mod share_transfers;
 mod status;
 mod work_logs;
 
@@ -41,7 +41,7 @@
 /// Heads, heartbeats or orders in one message.
 const MAX_ITEMS: usize = 512;
 /// A peer with more unwritten bytes than this is told nothing more until they are written.
-const MAX_UNREAD: usize = 256 * 1024;
+const MAX_UNSENT_BYTES: usize = 256 * 1024;
 
 /// A scheduler that books are exchanged with.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -54,21 +54,21 @@
 
 /// Counts since the start.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Figures {
+pub struct ExchangeCounters {
     /// Bytes received.
     pub bytes_in: u64,
     /// Bytes written.
     pub bytes_out: u64,
     /// Rows received that were new.
-    pub rows_in: u64,
+    pub entries_in: u64,
     /// Peers that broke the protocol and were cut off.
-    pub bad: u64,
+    pub protocol_errors: u64,
     /// Forked logs that were found.
     pub forks: u64,
     /// Asks for parts of others' shares.
-    pub asks: u64,
+    pub share_requests: u64,
     /// Parts of shares that were received.
-    pub gifts: u64,
+    pub share_grants: u64,
 }
 
 /// When a member is called again after failures.
@@ -82,9 +82,9 @@
 
 /// The exchange of one scheduler with all others: a party without I/O of its own.
 pub struct Exchange {
-    keeper: Ledger,
-    shelf: Arc<SharedPools>,
-    links: Connections,
+    ledger: Ledger,
+    pools: Arc<SharedPools>,
+    connections: Connections,
     /// The other members and where they listen.
     addresses: BTreeMap<Name, String>,
     peers: BTreeMap<ConnectionId, Peer>,
@@ -94,72 +94,72 @@
     /// Who holds our work log: neighbors, for as long as they do.
     replicas: Vec<Name>,
     /// The members that could, and whether we write one, when they were chosen; and when to look again.
-    usable: (Vec<Name>, bool),
-    choose_at: Timestamp,
-    redraw_at: Timestamp,
-    call_dead_at: Timestamp,
+    usable_replicas: (Vec<Name>, bool),
+    choose_replicas_at: Timestamp,
+    redraw_neighbors_at: Timestamp,
+    connect_dead_at: Timestamp,
     /// For what is drawn beside the ledger's draws.
-    chance: Pcg,
+    random: Pcg,
     retries: BTreeMap<Name, Retry>,
     banned_until: BTreeMap<Name, Timestamp>,
     heartbeat_interval: Duration,
-    /// Our own heartbeats in this life.
+    /// Our own heartbeats in this incarnation.
     heartbeats: u64,
     next_heartbeat_at: Timestamp,
     status_at: Timestamp,
     /// The time of day, in milliseconds of Unix time.
-    utc: u64,
+    utc_ms: u64,
     now: Timestamp,
     /// When the next turn was asked for.
-    promised: Option<Timestamp>,
+    expected_poll_at: Option<Timestamp>,
     /// Another turn is wanted at once.
-    turn_again: bool,
+    poll_again: bool,
     /// The first turn has been.
-    begun: bool,
-    figures: Figures,
+    has_polled: bool,
+    counters: ExchangeCounters,
     /// Space for encoding a message.
     scratch: Vec<u8>,
 }
 
 impl Exchange {
-    /// `life` is greater at each start.
+    /// `incarnation` is greater at each start.
     pub fn new(
         settings: Settings,
         members: Vec<Member>,
-        life: u64,
+        incarnation: u64,
         seed: u64,
-        kept: impl Into<PersistedLogs>,
-        shelf: Arc<SharedPools>,
+        persisted: impl Into<PersistedLogs>,
+        pools: Arc<SharedPools>,
     ) -> Self {
         let heartbeat_interval = heartbeat::interval(members.len());
         let me = settings.me.clone();
         let others = members.into_iter().filter(|member| member.name != me);
         Self {
-            keeper: Ledger::new(settings, life, seed, kept.into(), heartbeat_interval),
-            shelf,
-            links: Connections::default(),
+            ledger: Ledger::new(settings, incarnation, seed, persisted.into(), heartbeat_interval),
+            pools,
+            connections: Connections::default(),
             addresses: others.map(|member| (member.name, member.address)).collect(),
             peers: BTreeMap::new(),
             arrived: BTreeSet::new(),
             neighbors: BTreeSet::new(),
             replicas: Vec::new(),
-            usable: (Vec::new(), false),
-            choose_at: Timestamp::default(),
-            redraw_at: Timestamp::default(),
-            call_dead_at: Timestamp::default(),
-            chance: Pcg::new(seed),
+            usable_replicas: (Vec::new(), false),
+            choose_replicas_at: Timestamp::default(),
+            redraw_neighbors_at: Timestamp::default(),
+            connect_dead_at: Timestamp::default(),
+            random: Pcg::new(seed),
             retries: BTreeMap::new(),
             banned_until: BTreeMap::new(),
             heartbeat_interval,
             heartbeats: 0,
             next_heartbeat_at: Timestamp::default(),
             status_at: Timestamp::default(),
-            utc: 0,
+            utc_ms: 0,
             now: Timestamp::default(),
-            promised: None,
-            turn_again: false,
-            begun: false,
-            figures: Figures::default(),
+            expected_poll_at: None,
+            poll_again: false,
+            has_polled: false,
+            counters: ExchangeCounters::default(),
             scratch: Vec::new(),
         }
     }
@@ -167,7 +167,7 @@
     /// It neither reads nor writes work logs, as versions before them: for trials of fleets of both.
     #[must_use]
     pub fn without_work_logs(mut self) -> Self {
-        self.keeper = self.keeper.without_work_logs();
+        self.ledger = self.ledger.without_work_logs();
         self
     }
 
@@ -177,88 +177,89 @@
     }
 
     /// The ledger.
-    pub fn keeper(&self) -> &Ledger {
-        &self.keeper
+    pub fn ledger(&self) -> &Ledger {
+        &self.ledger
     }
 
     /// Counts since the start.
-    pub fn figures(&self) -> Figures {
-        self.figures
+    pub fn counters(&self) -> ExchangeCounters {
+        self.counters
     }
 
     /// The time of day for the next turn, in milliseconds of Unix time.
-    pub fn set_clock(&mut self, utc: u64) {
-        self.utc = utc;
+    pub fn set_clock(&mut self, utc_ms: u64) {
+        self.utc_ms = utc_ms;
     }
 
-    /// What is to be kept; `is_durable` tells when it is.
+    /// What is to be persisted; `on_durable` tells when it is.
     pub fn take_changes(&mut self) -> LogChanges {
-        self.keeper.take_changes()
+        self.ledger.take_changes()
     }
 
     /// The last of our own rows among changes, of each of our logs.
-    pub fn last_own(&self, changes: &LogChanges) -> LogPositions {
-        let own = self.keeper.fleet_logs().own_id();
+    pub fn last_own_entries(&self, changes: &LogChanges) -> LogPositions {
+        let own = self.ledger.fleet_logs().own_id();
         let last = |changes: &[LogChange]| {
-            let mine = changes.iter().filter_map(|change| match change {
+            let numbers = changes.iter().filter_map(|change| match change {
                 LogChange::Append { id, number, .. } if id == own => Some(*number),
                 _ => None,
             });
-            mine.max().unwrap_or(0)
+            numbers.max().unwrap_or(0)
         };
         LogPositions { fleet: last(&changes.fleet), work: last(&changes.work) }
     }
 
     /// Our own rows up to these are on disk.
-    pub fn is_durable(&mut self, reached: LogPositions) {
-        self.keeper.on_durable(reached);
-        self.turn_again = true;
+    pub fn on_durable(&mut self, reached: LogPositions) {
+        self.ledger.on_durable(reached);
+        self.poll_again = true;
     }
 
     /// Orders of the operators, from their file.
-    pub fn order(&mut self, orders: &[Directive]) {
-        orders.iter().for_each(|order| self.keeper.apply_directive(order));
-        self.turn_again = true;
+    pub fn apply_directives(&mut self, directives: &[Directive]) {
+        directives.iter().for_each(|directive| self.ledger.apply_directive(directive));
+        self.poll_again = true;
     }
 
     /// Whether nobody is connected.
     pub fn is_alone(&self) -> bool {
-        !self.peers.values().any(|peer| peer.greeted)
+        !self.peers.values().any(|peer| peer.established)
     }
 
     /// Where this turn comes much later than it was asked for, the process was paused: that is no silence of
     /// the others.
-    fn excuse_pause(&mut self) {
-        let late = self.promised.map_or(Duration::ZERO, |promised| self.now - promised);
+    fn on_process_pause(&mut self) {
+        let late =
+            self.expected_poll_at.map_or(Duration::ZERO, |expected_poll_at| self.now - expected_poll_at);
         if late > PAUSE_THRESHOLD {
-            self.keeper.on_process_pause(self.now, late);
-            self.peers.values_mut().for_each(|peer| peer.excuse_pause(late));
+            self.ledger.on_process_pause(self.now, late);
+            self.peers.values_mut().for_each(|peer| peer.on_process_pause(late));
         }
     }
 
     /// Lets the ledger act where it is time to, or where the planner asks for it.
     fn tick_ledger(&mut self) {
-        let shelf = self.shelf.clone();
-        if shelf.take_told() {
-            self.keeper.on_all_machines_reported();
+        let pools = self.pools.clone();
+        if pools.take_machines_reported() {
+            self.ledger.on_all_machines_reported();
         }
-        if shelf.take_wanted() || self.keeper.next_tick().is_none_or(|due| due <= self.now) {
-            self.keeper.tick(self.now, self.utc, &mut &*shelf);
+        if pools.take_tick_request() || self.ledger.next_tick().is_none_or(|due| due <= self.now) {
+            self.ledger.tick(self.now, self.utc_ms, &mut &*pools);
         }
-        for words in self.keeper.take_alerts() {
-            tracing::error!("{words}");
+        for alert in self.ledger.take_alerts() {
+            tracing::error!("{alert}");
         }
     }
 
     /// Pushes what is new to each peer, and requests what we lack.
     fn replicate(&mut self) {
-        let greeted = self.peers.iter().filter(|(_, peer)| peer.greeted);
-        let links: Vec<ConnectionId> = greeted.map(|(link, _)| *link).collect();
+        let established = self.peers.iter().filter(|(_, peer)| peer.established);
+        let connections: Vec<ConnectionId> = established.map(|(connection, _)| *connection).collect();
         let mut pending = LOG_KINDS.map(|kind| (kind, self.pending_logs(kind)));
-        for link in links {
-            self.push(link);
-            self.push_work_heads(link);
-            pending.iter_mut().for_each(|(kind, pending)| self.request_rows(link, *kind, pending));
+        for connection in connections {
+            self.push(connection);
+            self.push_work_heads(connection);
+            pending.iter_mut().for_each(|(kind, pending)| self.request_entries(connection, *kind, pending));
         }
     }
 
@@ -266,11 +267,11 @@
     /// has read.
     fn next_push_at(&self) -> Option<Timestamp> {
         let next = |kind: LogKind| {
-            let stamp = self.keeper.logs(kind).revision();
-            let waits = |(link, peer): &(&ConnectionId, &Peer)| {
+            let revision = self.ledger.logs(kind).revision();
+            let waits = |(connection, peer): &(&ConnectionId, &Peer)| {
                 let is_read = kind == LogKind::Fleet || peer.reads_work_logs;
-                let is_behind = peer.greeted && is_read && peer.cursor(kind).is_behind(stamp);
-                is_behind && self.links.pending_bytes(**link) <= MAX_UNREAD
+                let is_behind = peer.established && is_read && peer.cursor(kind).is_behind(revision);
+                is_behind && self.connections.pending_bytes(**connection) <= MAX_UNSENT_BYTES
             };
             self.peers.iter().filter(waits).map(|(_, peer)| peer.cursor(kind).next_push_at()).min()
         };
@@ -279,36 +280,36 @@
 }
 
 impl StateMachine for Exchange {
-    fn on_connection_accepted(&mut self, now: Timestamp, link: ConnectionId, _: ListenerId) {
+    fn on_connection_accepted(&mut self, now: Timestamp, connection: ConnectionId, _: ListenerId) {
         self.now = self.now.max(now);
-        self.peers.insert(link, Peer::accepted(self.now));
+        self.peers.insert(connection, Peer::accepted(self.now));
     }
 
-    fn on_connected(&mut self, now: Timestamp, link: ConnectionId) {
+    fn on_connected(&mut self, now: Timestamp, connection: ConnectionId) {
         self.now = self.now.max(now);
-        self.write_hello(link, now);
+        self.write_hello(connection, now);
     }
 
-    fn on_data(&mut self, now: Timestamp, link: ConnectionId, bytes: &[u8]) {
+    fn on_data(&mut self, now: Timestamp, connection: ConnectionId, bytes: &[u8]) {
         self.now = self.now.max(now);
-        self.figures.bytes_in += bytes.len() as u64;
-        if let Some(peer) = self.peers.get_mut(&link) {
+        self.counters.bytes_in += bytes.len() as u64;
+        if let Some(peer) = self.peers.get_mut(&connection) {
             peer.frames.take(bytes);
-            self.arrived.insert(link);
+            self.arrived.insert(connection);
         }
     }
 
-    fn on_closed(&mut self, now: Timestamp, link: ConnectionId, _: CloseReason) {
+    fn on_closed(&mut self, now: Timestamp, connection: ConnectionId, _: CloseReason) {
         self.now = self.now.max(now);
-        self.links.remove(link);
-        self.failed(link);
+        self.connections.remove(connection);
+        self.on_connection_failed(connection);
     }
 
     fn poll(&mut self, now: Timestamp) {
         self.now = self.now.max(now);
-        self.turn_again = false;
-        self.excuse_pause();
-        self.begun = true;
+        self.poll_again = false;
+        self.on_process_pause();
+        self.has_polled = true;
         self.receive_all();
         self.count_heartbeat();
         self.note_caught_up();
@@ -317,18 +318,18 @@
         self.update_connections();
         self.replicate();
         self.update_status();
-        self.promised = self.next_wakeup();
+        self.expected_poll_at = self.next_wakeup();
     }
 
     fn next_wakeup(&self) -> Option<Timestamp> {
-        if self.turn_again || !self.begun {
+        if self.poll_again || !self.has_polled {
             return Some(self.now);
         }
-        let due = [self.next_push_at(), self.keeper.next_tick(), Some(self.next_heartbeat_at)];
+        let due = [self.next_push_at(), self.ledger.next_tick(), Some(self.next_heartbeat_at)];
         due.into_iter().flatten().min()
     }
 
     fn connections(&mut self) -> &mut Connections {
-        &mut self.links
+        &mut self.connections
     }
 }
--- a/crates/ledger/src/exchange/neighbors.rs
+++ b/crates/ledger/src/exchange/neighbors.rs
@@ -13,25 +13,25 @@
 /// meet.
 const REDRAW_INTERVAL: Duration = Duration::from_secs(20);
 /// One of the members that are taken for dead is called this often.
-const CALL_DEAD_INTERVAL: Duration = Duration::from_secs(5);
+const CONNECT_DEAD_INTERVAL: Duration = Duration::from_secs(5);
 /// Where this part of the members is silent, it is a cut.
-const SILENT_IN_A_CUT: f64 = 0.25;
+const PARTITION_SILENT_FRACTION: f64 = 0.25;
 /// Part of these intervals that is drawn at random.
 const REDRAW_JITTER: f64 = 0.25;
 
 impl Exchange {
     /// Drops a neighbor where it is time to, and draws those that are missing.
     pub(super) fn update_neighbors(&mut self) {
-        if self.now >= self.redraw_at {
-            self.redraw_at =
-                self.now + REDRAW_INTERVAL * (1.0 - REDRAW_JITTER * self.keeper.random_fraction());
+        if self.now >= self.redraw_neighbors_at {
+            self.redraw_neighbors_at =
+                self.now + REDRAW_INTERVAL * (1.0 - REDRAW_JITTER * self.ledger.random_fraction());
             self.drop_neighbor();
             while self.neighbors.len() > self.wanted_neighbors() {
                 self.drop_neighbor();
             }
         }
         self.draw_neighbors();
-        self.call_dead();
+        self.connect_to_dead_member();
     }
 
     /// Neighbors to draw beside the replicas.
@@ -42,34 +42,35 @@
     /// Calls one of the members that are silent, where there are any. The failure defended against: two
     /// parts of the fleet that lost each other for long took all of each other for dead, and with enough
     /// members alive in either part nobody was ever called across.
-    fn call_dead(&mut self) {
-        if self.now < self.call_dead_at || self.keeper.phase() == Phase::CatchingUp {
+    fn connect_to_dead_member(&mut self) {
+        if self.now < self.connect_dead_at || self.ledger.phase() == Phase::CatchingUp {
             return;
         }
-        self.call_dead_at = self.now + CALL_DEAD_INTERVAL * (1.0 - REDRAW_JITTER * self.chance.fraction());
-        let presence = |name: &&Name| self.keeper.membership.member_state(self.now, name);
-        let silent = self.addresses.keys().filter(|name| presence(name) != MemberState::Alive).count();
+        self.connect_dead_at =
+            self.now + CONNECT_DEAD_INTERVAL * (1.0 - REDRAW_JITTER * self.random.fraction());
+        let member_state = |name: &&Name| self.ledger.membership.member_state(self.now, name);
+        let silent = self.addresses.keys().filter(|name| member_state(name) != MemberState::Alive).count();
         // One that is late is not called for that, unless many are at once: a cut.
-        let is_cut = silent as f64 >= self.addresses.len() as f64 * SILENT_IN_A_CUT;
-        let is_dead = |name: &&Name| match presence(name) {
+        let is_partition = silent as f64 >= self.addresses.len() as f64 * PARTITION_SILENT_FRACTION;
+        let is_dead = |name: &&Name| match member_state(name) {
             MemberState::Alive => false,
-            MemberState::Suspect => is_cut,
+            MemberState::Suspect => is_partition,
             MemberState::Dead => true,
         };
-        let dead = self.addresses.keys().filter(is_dead).filter(|name| !self.waits_to_retry(name));
+        let dead = self.addresses.keys().filter(is_dead).filter(|name| !self.is_backing_off(name));
         let dead: Vec<&Name> = dead.collect();
         if dead.is_empty() {
             return;
         }
-        let name = dead[self.chance.below(dead.len())].clone();
-        self.call(&name);
+        let name = dead[self.random.below(dead.len())].clone();
+        self.connect(&name);
     }
 
     /// Nothing came on the connection to a neighbor for longer than usual, or it doesn't come up.
-    fn is_doubtful(&self, name: &Name) -> bool {
+    fn is_unresponsive(&self, name: &Name) -> bool {
         let mut connections = self.peers.values().filter(|peer| peer.is(name)).peekable();
         let is_connected = connections.peek().is_some();
-        is_connected && !connections.any(|peer| peer.is_lively(self.now, self.heartbeat_interval))
+        is_connected && !connections.any(|peer| peer.is_responsive(self.now, self.heartbeat_interval))
     }
 
     /// Draws the neighbors that are missing, among the members that are alive where there are enough.
@@ -77,12 +78,12 @@
     /// member whose neighbors were all in the half that it was cut off from could tell nobody anything,
     /// though there were others in its own half.
     fn draw_neighbors(&mut self) {
-        let lively = self.neighbors.iter().filter(|name| !self.is_doubtful(name)).count();
+        let responsive = self.neighbors.iter().filter(|name| !self.is_unresponsive(name)).count();
         // Where others are drawn beside doubtful ones, there are up to twice as many.
         let wanted = self.wanted_neighbors();
-        let room = (2 * wanted).saturating_sub(self.neighbors.len());
-        let missing = wanted.saturating_sub(lively).min(room);
-        let draws: Vec<f64> = (0..missing).map(|_| self.keeper.random_fraction()).collect();
+        let capacity = (2 * wanted).saturating_sub(self.neighbors.len());
+        let missing = wanted.saturating_sub(responsive).min(capacity);
+        let draws: Vec<f64> = (0..missing).map(|_| self.ledger.random_fraction()).collect();
         let mut candidates = self.candidates(missing);
         let mut drawn = Vec::new();
         for part in draws.into_iter().take(candidates.len()) {
@@ -96,16 +97,16 @@
     /// alive; all others, where there are none of these.
     fn candidates(&self, wanted: usize) -> Vec<&Name> {
         let is_new = |name: &&Name| {
-            !self.neighbors.contains(*name) && !self.replicas.contains(name) && !self.waits_to_retry(name)
+            !self.neighbors.contains(*name) && !self.replicas.contains(name) && !self.is_backing_off(name)
         };
         let others: Vec<&Name> = self.addresses.keys().filter(is_new).collect();
-        let present = |is_wanted: fn(MemberState) -> bool| -> Vec<&Name> {
-            let is_wanted = |name: &&Name| is_wanted(self.keeper.membership.member_state(self.now, name));
-            others.iter().copied().filter(is_wanted).collect()
+        let in_state = |matches: fn(MemberState) -> bool| -> Vec<&Name> {
+            let matches = |name: &&Name| matches(self.ledger.membership.member_state(self.now, name));
+            others.iter().copied().filter(matches).collect()
         };
-        let mut candidates = present(|presence| presence == MemberState::Alive);
+        let mut candidates = in_state(|member_state| member_state == MemberState::Alive);
         if candidates.len() < wanted {
-            candidates = present(|presence| presence != MemberState::Dead);
+            candidates = in_state(|member_state| member_state != MemberState::Dead);
         }
         if candidates.is_empty() {
             return others;
@@ -115,10 +116,11 @@
 
     /// Drops a neighbor at random, a doubtful one where there are any.
     fn drop_neighbor(&mut self) {
-        let doubtful: Vec<&Name> = self.neighbors.iter().filter(|name| self.is_doubtful(name)).collect();
-        let droppable = if doubtful.is_empty() { self.neighbors.iter().collect() } else { doubtful };
+        let unresponsive: Vec<&Name> =
+            self.neighbors.iter().filter(|name| self.is_unresponsive(name)).collect();
+        let droppable = if unresponsive.is_empty() { self.neighbors.iter().collect() } else { unresponsive };
         let droppable: Vec<Name> = droppable.into_iter().cloned().collect();
-        let at = self.keeper.random_below(droppable.len());
+        let at = self.ledger.random_below(droppable.len());
         if let Some(name) = droppable.get(at) {
             self.neighbors.remove(name);
         }
--- a/crates/ledger/src/exchange/replication.rs
+++ b/crates/ledger/src/exchange/replication.rs
@@ -3,10 +3,10 @@
 //! What is known of a peer stands in its [`LogCursor`](super::cursor::LogCursor), what is known of the logs
 //! in the library; here both meet, and become messages.
 
-use super::cursor::{Assembled, NewHeads, ReceivedRows, RowRequest};
+use super::cursor::{Assembled, EntryRequest, NewHeads, ReceivedEntries};
 use super::heartbeat::{self, MemberHeartbeat};
 use super::work_logs::side_log;
-use super::{Exchange, MAX_ITEMS, MAX_UNREAD};
+use super::{Exchange, MAX_ITEMS, MAX_UNSENT_BYTES};
 use mulleinhub_protocol::{self as protocol, Bad, Message};
 use mulleinhub_quota::Phase;
 use mulleinhub_replicated_log::{Digest, LogHead, LogId, LogKind};
@@ -14,29 +14,29 @@
 use std::collections::BTreeSet;
 
 /// Bytes of rows in one message. A single row may be longer: it goes in several pieces.
-const PIECE: usize = 64 * 1024;
+const MAX_ENTRY_BYTES_PER_MESSAGE: usize = 64 * 1024;
 /// A message with so many bytes of rows is part of catching up, for which a connection is kept. Those that
 /// tell what was written lately are much shorter, and come from whichever peer tells of it first.
-const CATCH_UP_BYTES: usize = PIECE / 2;
+const CATCH_UP_BYTES: usize = MAX_ENTRY_BYTES_PER_MESSAGE / 2;
 
 /// The part of a long row that goes in one message.
-struct RowPart {
+struct EntryPart {
     /// Offset of its first byte.
     skip: usize,
     /// Bytes that follow it.
-    rest: usize,
+    remaining: usize,
 }
 
 /// The digest that came over the wire.
-pub(super) fn digest_of(bytes: &[u8]) -> Digest {
+pub(super) fn digest_from_bytes(bytes: &[u8]) -> Digest {
     // Its length was checked when it was decoded.
     Digest(bytes.try_into().unwrap_or_default())
 }
 
 /// The head that came over the wire.
-fn head_of(told: &protocol::Tip<'_>) -> LogHead {
-    let id = LogId { writer: told.writer.into(), incarnation: told.life };
-    LogHead { id, number: told.number, digest: digest_of(told.digest) }
+fn head_from_message(message: &protocol::Tip<'_>) -> LogHead {
+    let id = LogId { writer: message.writer.into(), incarnation: message.life };
+    LogHead { id, number: message.number, digest: digest_from_bytes(message.digest) }
 }
 
 /// A head as it goes over the wire.
@@ -51,27 +51,27 @@
 
 /// Cuts rows to what fits into one message, where the first of them is longer than that: its next piece,
 /// from byte `skip` on, and no other row. The asker has the bytes before `skip` of the row that it asks for:
-/// `is_asked_for` tells whether that is the first of these.
-fn cut_long_row(rows: &mut Vec<&[u8]>, skip: usize, is_asked_for: bool) -> RowPart {
-    let Some(first) = rows.first_mut() else { return RowPart { skip, rest: 0 } };
-    let skip = if is_asked_for && skip < first.len() { skip } else { 0 };
-    let end = first.len().min(skip + PIECE);
-    let rest = first.len() - end;
+/// `is_requested_entry` tells whether that is the first of these.
+fn cut_long_entry(entries: &mut Vec<&[u8]>, skip: usize, is_requested_entry: bool) -> EntryPart {
+    let Some(first) = entries.first_mut() else { return EntryPart { skip, remaining: 0 } };
+    let skip = if is_requested_entry && skip < first.len() { skip } else { 0 };
+    let end = first.len().min(skip + MAX_ENTRY_BYTES_PER_MESSAGE);
+    let remaining = first.len() - end;
     *first = &first[skip..end];
-    if rest > 0 {
-        rows.truncate(1);
+    if remaining > 0 {
+        entries.truncate(1);
     }
-    RowPart { skip, rest }
+    EntryPart { skip, remaining }
 }
 
 impl Exchange {
     // Heads.
 
     /// Writes our digest of all heads, which begins the replication on a connection.
-    pub(super) fn write_digest(&mut self, link: ConnectionId) {
-        let all = self.keeper.fleet_logs().heads_digest();
+    pub(super) fn write_digest(&mut self, connection: ConnectionId) {
+        let all = self.ledger.fleet_logs().heads_digest();
         let (tips, beats) = (Vec::new(), Vec::new());
-        self.write(link, &Message::Tips { all: &all.0, tips, beats, whole: false, log: None });
+        self.write(connection, &Message::Tips { all: &all.0, tips, beats, whole: false, log: None });
     }
 
     /// Takes in the heads that a peer told; `all` is its digest of all.
@@ -80,78 +80,78 @@
     /// Where it tells of a work log that is none of its business.
     pub(super) fn receive_heads(
         &mut self,
-        link: ConnectionId,
+        connection: ConnectionId,
         kind: LogKind,
         all: Digest,
-        told: &[protocol::Tip<'_>],
+        messages: &[protocol::Tip<'_>],
         whole: bool,
     ) -> Result<(), Bad> {
-        let me = &self.keeper.settings().me;
+        let me = &self.ledger.settings().me;
         let is_known = |head: &LogHead| self.addresses.contains_key(&head.id.writer) || head.id.writer == *me;
-        let heads = told.iter().map(head_of).filter(is_known).collect();
+        let heads = messages.iter().map(head_from_message).filter(is_known).collect();
         if kind == LogKind::Work {
-            return self.receive_work_heads(link, all, heads, whole);
+            return self.receive_work_heads(connection, all, heads, whole);
         }
-        let Some(peer) = self.peers.get_mut(&link) else { return Ok(()) };
-        peer.fleet.receive_heads(self.keeper.fleet_logs(), all, heads, whole);
+        let Some(peer) = self.peers.get_mut(&connection) else { return Ok(()) };
+        peer.fleet.receive_heads(self.ledger.fleet_logs(), all, heads, whole);
         Ok(())
     }
 
     /// Pushes what is new to a peer: orders, heads, heartbeats. A peer that doesn't read gets nothing.
-    pub(super) fn push(&mut self, link: ConnectionId) {
-        if self.links.pending_bytes(link) > MAX_UNREAD {
+    pub(super) fn push(&mut self, connection: ConnectionId) {
+        if self.connections.pending_bytes(connection) > MAX_UNSENT_BYTES {
             return;
         }
-        self.push_orders(link);
+        self.push_directives(connection);
         let now = self.now;
-        let Some(peer) = self.peers.get_mut(&link) else { return };
-        if !peer.greeted || !peer.fleet.may_push(now) {
+        let Some(peer) = self.peers.get_mut(&connection) else { return };
+        if !peer.established || !peer.fleet.may_push(now) {
             return;
         }
-        let new = peer.fleet.take_new_heads(self.keeper.fleet_logs());
-        let is_first = peer.fleet.is_untold();
+        let new = peer.fleet.take_new_heads(self.ledger.fleet_logs());
+        let is_first = peer.fleet.has_never_pushed();
         let mut heartbeats = Vec::new();
         if is_first || peer.heartbeats.is_due(now, self.heartbeat_interval) {
-            let newest = heartbeat::newest(&self.keeper, self.heartbeats);
+            let newest = heartbeat::newest(&self.ledger, self.heartbeats);
             heartbeats = peer.heartbeats.take_newer(now, newest);
         }
         if new.heads.is_empty() && heartbeats.is_empty() && !is_first {
             return;
         }
         peer.fleet.pushed(now);
-        self.turn_again |= !new.whole;
-        self.write_heads(link, &new, &heartbeats);
+        self.poll_again |= !new.complete;
+        self.write_heads(connection, &new, &heartbeats);
     }
 
     /// Pushes to a peer without waiting for the gap between two pushes.
-    pub(super) fn push_now(&mut self, link: ConnectionId) {
-        if let Some(peer) = self.peers.get_mut(&link) {
+    pub(super) fn push_now(&mut self, connection: ConnectionId) {
+        if let Some(peer) = self.peers.get_mut(&connection) {
             peer.fleet.push_without_gap();
         }
-        self.push(link);
+        self.push(connection);
     }
 
     /// Writes heads and heartbeats; heartbeats that don't fit into the message with the heads go before it.
-    fn write_heads(&mut self, link: ConnectionId, new: &NewHeads, heartbeats: &[MemberHeartbeat]) {
-        let all = self.keeper.fleet_logs().heads_digest();
+    fn write_heads(&mut self, connection: ConnectionId, new: &NewHeads, heartbeats: &[MemberHeartbeat]) {
+        let all = self.ledger.fleet_logs().heads_digest();
         for heartbeats in heartbeats.chunks(MAX_ITEMS).skip(1) {
             let beats = heartbeats.iter().map(MemberHeartbeat::message).collect();
             let (tips, whole) = (Vec::new(), false);
-            self.write(link, &Message::Tips { all: &all.0, tips, beats, whole, log: None });
+            self.write(connection, &Message::Tips { all: &all.0, tips, beats, whole, log: None });
         }
         let tips = new.heads.iter().map(head_message).collect();
         let beats = heartbeats.iter().take(MAX_ITEMS).map(MemberHeartbeat::message).collect();
-        self.write(link, &Message::Tips { all: &all.0, tips, beats, whole: new.whole, log: None });
+        self.write(connection, &Message::Tips { all: &all.0, tips, beats, whole: new.complete, log: None });
     }
 
     /// Tells the ledger, while it is catching up, which members have told all and have nothing that we lack.
     pub(super) fn note_caught_up(&mut self) {
-        if self.keeper.phase() != Phase::CatchingUp {
+        if self.ledger.phase() != Phase::CatchingUp {
             return;
         }
         for peer in self.peers.values().filter(|peer| peer.is_exhausted()) {
             if let Some(name) = &peer.name {
-                self.keeper.on_member_synced(name);
+                self.ledger.on_member_synced(name);
             }
         }
     }
@@ -166,56 +166,63 @@
 
     /// Asks a peer for rows that it has and we lack. One log at a time is asked of each peer, and no log of
     /// two: `pending` are those that some peer was asked for.
-    pub(super) fn request_rows(&mut self, link: ConnectionId, kind: LogKind, pending: &mut BTreeSet<LogId>) {
-        let Some(peer) = self.peers.get_mut(&link) else { return };
-        let library = self.keeper.logs(kind);
-        if let Some(request) = peer.cursor_mut(kind).next_request(self.now, library, pending) {
+    pub(super) fn request_entries(
+        &mut self,
+        connection: ConnectionId,
+        kind: LogKind,
+        pending: &mut BTreeSet<LogId>,
+    ) {
+        let Some(peer) = self.peers.get_mut(&connection) else { return };
+        let log_store = self.ledger.logs(kind);
+        if let Some(request) = peer.cursor_mut(kind).next_request(self.now, log_store, pending) {
             pending.insert(request.id.clone());
-            self.write_request(link, kind, &request);
+            self.write_request(connection, kind, &request);
         }
     }
 
-    fn write_request(&mut self, link: ConnectionId, kind: LogKind, request: &RowRequest) {
-        let RowRequest { id: LogId { writer, incarnation: life }, after, digest, skip } = request;
+    fn write_request(&mut self, connection: ConnectionId, kind: LogKind, request: &EntryRequest) {
+        let EntryRequest { id: LogId { writer, incarnation: life }, after, digest, skip } = request;
         let (life, after, skip) = (*life, *after, *skip);
         let log = side_log(kind);
-        self.write(link, &Message::Want { writer, life, after, digest: &digest.0, skip, log });
+        self.write(connection, &Message::Want { writer, life, after, digest: &digest.0, skip, log });
     }
 
     /// Answers a peer that asks for rows: with none where we have none for it.
-    pub(super) fn serve_rows(&mut self, link: ConnectionId, kind: LogKind, request: &RowRequest) {
-        let RowRequest { id, after, digest, skip } = request;
+    pub(super) fn serve_entries(&mut self, connection: ConnectionId, kind: LogKind, request: &EntryRequest) {
+        let EntryRequest { id, after, digest, skip } = request;
         let LogId { writer, incarnation: life } = id;
         let log = side_log(kind);
-        let Some(piece) = self.keeper.logs(kind).entries_after(id, *after, *digest, PIECE) else {
+        let Some(piece) =
+            self.ledger.logs(kind).entries_after(id, *after, *digest, MAX_ENTRY_BYTES_PER_MESSAGE)
+        else {
             let (life, after, digest, rows) = (*life, *after, &digest.0, Vec::new());
             let (skip, rest) = (0, 0);
             let message = Message::Rows { writer, life, after, digest, rows, skip, rest, log };
-            return self.write(link, &message);
+            return self.write(connection, &message);
         };
         // Small rows may be more than a message holds, though their bytes are few. The asker asks again.
-        let rows = piece.entries.iter().take(protocol::MOST_TIPS);
-        let mut rows: Vec<&[u8]> = rows.map(|row| &**row).collect();
-        let part = cut_long_row(&mut rows, *skip as usize, piece.after == *after);
-        let own = self.keeper.logs(kind).own_id().clone();
-        let last = piece.after + rows.len() as u64 - u64::from(part.rest > 0);
-        let bytes = rows.iter().map(|row| row.len()).sum();
-        let rows = rows.into_iter().map(protocol::RowBytes).collect();
+        let entries = piece.entries.iter().take(protocol::MOST_TIPS);
+        let mut entries: Vec<&[u8]> = entries.map(|entry| &**entry).collect();
+        let part = cut_long_entry(&mut entries, *skip as usize, piece.after == *after);
+        let own = self.ledger.logs(kind).own_id().clone();
+        let last = piece.after + entries.len() as u64 - u64::from(part.remaining > 0);
+        let bytes = entries.iter().map(|entry| entry.len()).sum();
+        let rows = entries.into_iter().map(protocol::RowBytes).collect();
         let (life, after, digest) = (*life, piece.after, &piece.digest.0);
-        let (skip, rest) = (part.skip as u64, part.rest as u64);
+        let (skip, rest) = (part.skip as u64, part.remaining as u64);
         let message = Message::Rows { writer, life, after, digest, rows, skip, rest, log };
-        self.write(link, &message);
+        self.write(connection, &message);
         if kind == LogKind::Work && *id == own {
-            self.note_replica_has(link, last);
+            self.on_replica_has(connection, last);
         }
-        self.note_rows(link, bytes);
+        self.note_entries_transferred(connection, bytes);
     }
 
     /// Rows went over a connection. The failure defended against: where any rows count as use, no connection
     /// that was ever opened goes unused while there is work, and each member stays connected to all.
-    fn note_rows(&mut self, link: ConnectionId, bytes: usize) {
+    fn note_entries_transferred(&mut self, connection: ConnectionId, bytes: usize) {
         if bytes >= CATCH_UP_BYTES {
-            self.mark_used(link);
+            self.mark_used(connection);
         }
     }
 
@@ -223,49 +230,49 @@
     ///
     /// # Errors
     /// Where they don't follow what was sent before, or the library refuses them.
-    pub(super) fn receive_rows(
+    pub(super) fn receive_entries(
         &mut self,
-        link: ConnectionId,
+        connection: ConnectionId,
         kind: LogKind,
-        received: &ReceivedRows<'_>,
+        received: &ReceivedEntries<'_>,
     ) -> Result<(), Bad> {
-        self.note_rows(link, received.rows.iter().map(|row| row.len()).sum());
-        let Some(peer) = self.peers.get_mut(&link) else { return Ok(()) };
+        self.note_entries_transferred(connection, received.entries.iter().map(|entry| entry.len()).sum());
+        let Some(peer) = self.peers.get_mut(&connection) else { return Ok(()) };
         match peer.cursor_mut(kind).assemble(self.now, received)? {
-            Assembled::Unasked | Assembled::Nothing => Ok(()),
+            Assembled::Unrequested | Assembled::Nothing => Ok(()),
             Assembled::Incomplete => {
-                let request = peer.cursor(kind).request_for(self.keeper.logs(kind), received.id.clone());
-                self.write_request(link, kind, &request);
+                let request = peer.cursor(kind).request_for(self.ledger.logs(kind), received.id.clone());
+                self.write_request(connection, kind, &request);
                 Ok(())
             }
-            Assembled::Complete(rows) => {
-                let rows: Vec<&[u8]> = rows.iter().map(|row| &**row).collect();
-                self.take_rows(link, kind, received, &rows)
+            Assembled::Complete(entries) => {
+                let entries: Vec<&[u8]> = entries.iter().map(|entry| &**entry).collect();
+                self.append_entries(connection, kind, received, &entries)
             }
         }
     }
 
     /// Takes whole rows into the library.
-    fn take_rows(
+    fn append_entries(
         &mut self,
-        link: ConnectionId,
+        connection: ConnectionId,
         kind: LogKind,
-        received: &ReceivedRows<'_>,
-        rows: &[&[u8]],
+        received: &ReceivedEntries<'_>,
+        entries: &[&[u8]],
     ) -> Result<(), Bad> {
-        let ReceivedRows { id, after, digest, .. } = received;
-        let taken = self
-            .keeper
+        let ReceivedEntries { id, after, digest, .. } = received;
+        let appended = self
+            .ledger
             .logs_mut(kind)
-            .append_entries(id, *after, *digest, rows)
+            .append_entries(id, *after, *digest, entries)
             .map_err(|error| Bad(error.to_string()))?;
-        self.figures.rows_in += taken.new as u64;
-        if taken.forked && taken.new > 0 {
-            self.figures.forks += 1;
-            tracing::error!(writer = %id.writer, life = id.incarnation, "a column has forked: both branches count");
+        self.counters.entries_in += appended.new as u64;
+        if appended.forked && appended.new > 0 {
+            self.counters.forks += 1;
+            tracing::error!(writer = %id.writer, incarnation = id.incarnation, "a log has forked: both branches count");
         }
-        if let Some(peer) = self.peers.get_mut(&link) {
-            peer.cursor_mut(kind).rows_taken(self.keeper.logs(kind), id, taken.new);
+        if let Some(peer) = self.peers.get_mut(&connection) {
+            peer.cursor_mut(kind).on_entries_appended(self.ledger.logs(kind), id, appended.new);
         }
         Ok(())
     }
--- a/crates/ledger/src/exchange/share_transfer.rs
+++ b/crates/ledger/src/exchange/share_transfers.rs
@@ -8,58 +8,58 @@
 
 impl Exchange {
     /// A member asks for a part of our share.
-    pub(super) fn receive_share_ask(&mut self, link: ConnectionId, wanted: &ShareRequest) {
-        let shelf = self.shelf.clone();
-        self.keeper.on_share_request(self.now, &wanted.to, wanted.incarnation, wanted, &mut &*shelf);
-        self.mark_used(link);
+    pub(super) fn receive_share_request(&mut self, connection: ConnectionId, request: &ShareRequest) {
+        let pools = self.pools.clone();
+        self.ledger.on_share_request(self.now, &request.to, request.incarnation, request, &mut &*pools);
+        self.mark_used(connection);
     }
 
     /// A member answers what we asked it for: with a part of its share, or nothing.
-    pub(super) fn receive_share_given(
+    pub(super) fn receive_share_reply(
         &mut self,
-        link: ConnectionId,
+        connection: ConnectionId,
         from: &Name,
         team: &Name,
-        parts: SplitAmount,
+        amount: SplitAmount,
     ) {
-        self.figures.gifts += u64::from(parts.total() > 0);
-        self.keeper.on_share_reply(self.now, from, team, parts);
-        self.mark_used(link);
+        self.counters.share_grants += u64::from(amount.total() > 0);
+        self.ledger.on_share_reply(self.now, from, team, amount);
+        self.mark_used(connection);
     }
 
     /// Sends the asks and answers that are due.
     pub(super) fn transfer_shares(&mut self) {
-        for wanted in self.keeper.take_share_requests() {
-            self.ask_for_share(&wanted);
+        for request in self.ledger.take_share_requests() {
+            self.send_share_request(&request);
         }
-        for reply in self.keeper.take_share_replies() {
-            self.answer_share_ask(&reply);
+        for reply in self.ledger.take_share_replies() {
+            self.send_share_reply(&reply);
         }
     }
 
-    fn ask_for_share(&mut self, wanted: &ShareRequest) {
-        let Some(link) = self.link_to(&wanted.to) else {
+    fn send_share_request(&mut self, request: &ShareRequest) {
+        let Some(connection) = self.connection_to(&request.to) else {
             // It is called, and asked once it is there: the ledger asks again.
-            self.call(&wanted.to);
+            self.connect(&request.to);
             return;
         };
-        self.figures.asks += 1;
+        self.counters.share_requests += 1;
         let ShareRequest {
             team,
             month,
             incarnation: life,
             amount: SplitAmount { open, running_only: last },
             ..
-        } = wanted;
+        } = request;
         let message = Message::ShareAsk { team, month: *month, life: *life, open: *open, last: *last };
-        self.write(link, &message);
-        self.mark_used(link);
+        self.write(connection, &message);
+        self.mark_used(connection);
     }
 
-    fn answer_share_ask(&mut self, reply: &ShareReply) {
-        let Some(link) = self.link_to(&reply.to) else { return };
+    fn send_share_reply(&mut self, reply: &ShareReply) {
+        let Some(connection) = self.connection_to(&reply.to) else { return };
         // The head of our log goes first, so that what was given can be used at once.
-        self.push_now(link);
+        self.push_now(connection);
         let ShareReply {
             team,
             month,
@@ -68,6 +68,6 @@
             ..
         } = reply;
         let message = Message::ShareGiven { team, month: *month, open: *open, last: *last, number: *number };
-        self.write(link, &message);
+        self.write(connection, &message);
     }
 }
--- a/crates/ledger/src/exchange/work_logs.rs
+++ b/crates/ledger/src/exchange/work_logs.rs
@@ -7,7 +7,7 @@
 
 use super::cursor::NewHeads;
 use super::replication::head_message;
-use super::{Exchange, MAX_UNREAD};
+use super::{Exchange, MAX_UNSENT_BYTES};
 use mulleinhub_interface::Duration;
 use mulleinhub_protocol::{self as protocol, Bad, Message, SideLog};
 use mulleinhub_replicated_log::{Digest, LogHead, LogKind, MemberState, Name};
@@ -20,10 +20,10 @@
 const UNREACHABLE_FOR: Duration = Duration::from_secs(20);
 const UNREACHABLE_AFTER: u32 = 2;
 /// A replica that lacks no more rows than this, which may be under way, holds our work log.
-const UNDER_WAY: u64 = 64;
+const MAX_ENTRIES_IN_FLIGHT: u64 = 64;
 
 /// The kind of logs that a message is about.
-pub(super) fn kind_of(log: Option<SideLog>) -> LogKind {
+pub(super) fn log_kind(log: Option<SideLog>) -> LogKind {
     log.map_or(LogKind::Fleet, |SideLog::Work| LogKind::Work)
 }
 
@@ -40,24 +40,24 @@
 
     /// Chooses the replicas anew where other members can be reached than before.
     pub(super) fn update_replicas(&mut self) {
-        if self.now < self.choose_at {
+        if self.now < self.choose_replicas_at {
             return;
         }
-        self.choose_at = self.now + CHOICE_INTERVAL;
+        self.choose_replicas_at = self.now + CHOICE_INTERVAL;
         let usable: Vec<Name> = self.addresses.keys().filter(|name| self.is_usable(name)).cloned().collect();
-        let is_split = self.keeper.writes_work_log();
-        if (&usable, is_split) == (&self.usable.0, self.usable.1) {
+        let writes_work_log = self.ledger.writes_work_log();
+        if (&usable, writes_work_log) == (&self.usable_replicas.0, self.usable_replicas.1) {
             return;
         }
-        let replicas = self.keeper.replicas(|name| usable.binary_search(name).is_ok());
-        self.usable = (usable, is_split);
+        let replicas = self.ledger.replicas(|name| usable.binary_search(name).is_ok());
+        self.usable_replicas = (usable, writes_work_log);
         if replicas == self.replicas {
             return;
         }
-        tracing::debug!(?replicas, "others hold the work log now");
+        tracing::debug!(?replicas, "replicas of our work log changed");
         self.replicas = replicas;
         // Those that are new get all that the others were told long ago.
-        self.peers.values_mut().for_each(|peer| peer.work.tell_again());
+        self.peers.values_mut().for_each(|peer| peer.work.resend_all());
     }
 
     fn is_usable(&self, name: &Name) -> bool {
@@ -65,16 +65,18 @@
         let unreachable = retry.is_some_and(|retry| {
             retry.failures >= UNREACHABLE_AFTER && self.now < retry.not_before + UNREACHABLE_FOR
         });
-        !unreachable && self.keeper.membership.member_state(self.now, name) != MemberState::Dead
+        !unreachable && self.ledger.membership.member_state(self.now, name) != MemberState::Dead
     }
 
     /// Of the replicas of our work log, how many hold it.
     pub(super) fn holding_replicas(&self) -> usize {
-        let work = self.keeper.logs(LogKind::Work);
-        let tip = work.announced_head(work.own_id()).map_or(0, |(number, _)| number);
+        let work = self.ledger.logs(LogKind::Work);
+        let head_number = work.announced_head(work.own_id()).map_or(0, |(number, _)| number);
         let holds = |name: &&Name| {
-            let mut peers = self.peers.values().filter(|peer| peer.greeted && peer.is(name));
-            peers.any(|peer| peer.has_of_our_work > 0 && peer.has_of_our_work + UNDER_WAY >= tip)
+            let mut peers = self.peers.values().filter(|peer| peer.established && peer.is(name));
+            peers.any(|peer| {
+                peer.own_work_entries > 0 && peer.own_work_entries + MAX_ENTRIES_IN_FLIGHT >= head_number
+            })
         };
         self.replicas.iter().filter(holds).count()
     }
@@ -82,33 +84,36 @@
     // Heads.
 
     /// Whether work logs are replicated with a peer at all.
-    fn shares_work_logs(&self, link: ConnectionId) -> bool {
-        self.keeper.reads_work_logs()
-            && self.peers.get(&link).is_some_and(|peer| peer.greeted && peer.reads_work_logs)
+    fn shares_work_logs(&self, connection: ConnectionId) -> bool {
+        self.ledger.reads_work_logs()
+            && self.peers.get(&connection).is_some_and(|peer| peer.established && peer.reads_work_logs)
     }
 
     /// Tells a peer the heads of work logs that concern it and are new to it.
-    pub(super) fn push_work_heads(&mut self, link: ConnectionId) {
-        if !self.shares_work_logs(link) || self.links.pending_bytes(link) > MAX_UNREAD {
+    pub(super) fn push_work_heads(&mut self, connection: ConnectionId) {
+        if !self.shares_work_logs(connection) || self.connections.pending_bytes(connection) > MAX_UNSENT_BYTES
+        {
             return;
         }
         let now = self.now;
-        let Some(peer) = self.peers.get_mut(&link).filter(|peer| peer.work.may_push(now)) else { return };
+        let Some(peer) = self.peers.get_mut(&connection).filter(|peer| peer.work.may_push(now)) else {
+            return;
+        };
         let Some(name) = peer.name.clone() else { return };
-        let library = self.keeper.logs(LogKind::Work);
+        let log_store = self.ledger.logs(LogKind::Work);
         let is_replica = self.replicas.contains(&name);
         let concerns =
-            |head: &LogHead| head.id.writer == name || (is_replica && head.id == *library.own_id());
-        let NewHeads { heads, whole } = peer.work.take_new_heads_of(library, concerns);
+            |head: &LogHead| head.id.writer == name || (is_replica && head.id == *log_store.own_id());
+        let NewHeads { heads, complete } = peer.work.take_new_heads_of(log_store, concerns);
         if heads.is_empty() {
             return;
         }
         peer.work.pushed(now);
-        self.turn_again |= !whole;
-        let all = library.heads_digest();
+        self.poll_again |= !complete;
+        let all = log_store.heads_digest();
         let tips = heads.iter().map(head_message).collect();
         let log = Some(SideLog::Work);
-        self.write(link, &Message::Tips { all: &all.0, tips, beats: Vec::new(), whole, log });
+        self.write(connection, &Message::Tips { all: &all.0, tips, beats: Vec::new(), whole: complete, log });
     }
 
     /// Takes in heads of work logs that a peer told.
@@ -117,41 +122,41 @@
     /// Where it tells of a work log that is neither its own nor ours: nobody has to ask it for that.
     pub(super) fn receive_work_heads(
         &mut self,
-        link: ConnectionId,
+        connection: ConnectionId,
         all: Digest,
         heads: Vec<LogHead>,
-        whole: bool,
+        complete: bool,
     ) -> Result<(), Bad> {
-        if !self.shares_work_logs(link) {
+        if !self.shares_work_logs(connection) {
             return Err(Bad("work logs of one that doesn't read them".into()));
         }
-        let me = self.keeper.settings().me.clone();
-        let Some(peer) = self.peers.get_mut(&link) else { return Ok(()) };
+        let me = self.ledger.settings().me.clone();
+        let Some(peer) = self.peers.get_mut(&connection) else { return Ok(()) };
         let is_theirs = |head: &LogHead| peer.name.as_ref() == Some(&head.id.writer);
         if let Some(head) = heads.iter().find(|head| head.id.writer != me && !is_theirs(head)) {
             return Err(Bad(format!("the work log of {} is not for us", head.id.writer)));
         }
-        let library = self.keeper.logs(LogKind::Work);
-        let own = library.own_id().clone();
+        let log_store = self.ledger.logs(LogKind::Work);
+        let own = log_store.own_id().clone();
         if let Some(head) = heads.iter().find(|head| head.id == own) {
-            peer.has_of_our_work = peer.has_of_our_work.max(head.number);
+            peer.own_work_entries = peer.own_work_entries.max(head.number);
         }
         // What earlier lives of ours wrote is wanted until this one begins to write.
-        let is_wanted = |head: &LogHead| head.id.writer != me || !library.is_open() || head.id == own;
-        let heads = heads.into_iter().filter(is_wanted).collect();
-        peer.work.receive_heads(library, all, heads, whole);
+        let is_relevant = |head: &LogHead| head.id.writer != me || !log_store.is_open() || head.id == own;
+        let heads = heads.into_iter().filter(is_relevant).collect();
+        peer.work.receive_heads(log_store, all, heads, complete);
         Ok(())
     }
 
     /// Answers a request for rows of our own work log: the asker has it up to there.
-    pub(super) fn note_replica_has(&mut self, link: ConnectionId, number: u64) {
-        if let Some(peer) = self.peers.get_mut(&link) {
-            peer.has_of_our_work = peer.has_of_our_work.max(number);
+    pub(super) fn on_replica_has(&mut self, connection: ConnectionId, number: u64) {
+        if let Some(peer) = self.peers.get_mut(&connection) {
+            peer.own_work_entries = peer.own_work_entries.max(number);
         }
     }
 
     /// The features that we greet with.
     pub(super) fn features(&self) -> u64 {
-        if self.keeper.reads_work_logs() { protocol::BOOKS } else { protocol::WORK_LOGS - 1 }
+        if self.ledger.reads_work_logs() { protocol::BOOKS } else { protocol::WORK_LOGS - 1 }
     }
 }
--- a/crates/ledger/src/lib.rs
+++ b/crates/ledger/src/lib.rs
@@ -17,9 +17,9 @@
 mod threads;
 
 #[cfg(not(feature = "explored"))]
-pub use exchange::{Exchange, Figures, Member};
+pub use exchange::{Exchange, ExchangeCounters, Member};
 pub use shared_pools::{AdmissionHandle, SharedPools};
 #[cfg(not(feature = "explored"))]
 pub use store::Store;
 #[cfg(not(feature = "explored"))]
-pub use threads::{Running, Start, start};
+pub use threads::{LedgerHandle, StartOptions, start};
--- a/crates/ledger/src/store.rs
+++ b/crates/ledger/src/store.rs
@@ -1,4 +1,4 @@
-//! The books on disk: rows by writer, life and number, in an embedded store, committed in groups. Fleet logs
+//! The books on disk: rows by writer, incarnation and number, in an embedded store, committed in groups. Fleet logs
 //! and work logs have a table each; versions that know no work logs leave theirs alone.
 
 use mulleinhub_replicated_log::{Digest, LogChange, LogChanges, LogId, Name, PersistedEntry, PersistedLogs};
@@ -9,15 +9,15 @@
 use std::io::ErrorKind;
 use std::path::{Path, PathBuf};
 
-/// Writer, life and number of a row; the digest before it, and its bytes.
-type Place = (&'static str, u64, u64);
-type Bytes = (&'static [u8; 16], &'static [u8]);
-type Rows = TableDefinition<'static, Place, Bytes>;
-const ROWS: Rows = TableDefinition::new("rows");
-const WORK_ROWS: Rows = TableDefinition::new("work-rows");
-const ABOUT: TableDefinition<'_, &str, u64> = TableDefinition::new("about");
+/// Writer, incarnation and number of a row; the digest before it, and its bytes.
+type EntryKey = (&'static str, u64, u64);
+type EntryValue = (&'static [u8; 16], &'static [u8]);
+type EntryTable = TableDefinition<'static, EntryKey, EntryValue>;
+const FLEET_ENTRIES: EntryTable = TableDefinition::new("rows");
+const WORK_ENTRIES: EntryTable = TableDefinition::new("work-rows");
+const METADATA: TableDefinition<'_, &str, u64> = TableDefinition::new("about");
 /// Of the layout above. A later one is not touched.
-const FORMAT: u64 = 1;
+const FORMAT_VERSION: u64 = 1;
 
 pub struct Store {
     database: Database,
@@ -30,7 +30,7 @@
 }
 
 impl Store {
-    /// Opens the store of a directory, or begins one, and reads all that is kept.
+    /// Opens the store of a directory, or begins one, and reads all that is persisted.
     ///
     /// # Errors
     /// In words that say what to do: it is locked by another process, of a later version, or damaged.
@@ -57,9 +57,9 @@
         database.check_integrity().map_err(|error| damaged(path, &error))?;
         let store = Self { database, path: path.to_owned() };
         match store.read().map_err(|error| damaged(path, &error))? {
-            Ok(kept) => Ok((store, kept)),
+            Ok(persisted) => Ok((store, persisted)),
             Err(format) => Err(format!(
-                "{}: the books are of format {format}, this version reads {FORMAT}: start the version that \
+                "{}: the books are of format {format}, this version reads {FORMAT_VERSION}: start the version that \
                  wrote them",
                 path.display()
             )),
@@ -67,58 +67,68 @@
     }
 
     fn read(&self) -> Result<Result<PersistedLogs, u64>, redb::Error> {
-        let writing = self.database.begin_write()?;
+        let transaction = self.database.begin_write()?;
         {
-            let mut about = writing.open_table(ABOUT)?;
-            let format = about.get("format")?.map(|format| format.value());
+            let mut metadata = transaction.open_table(METADATA)?;
+            let format = metadata.get("format")?.map(|format| format.value());
             match format {
-                Some(format) if format > FORMAT => return Ok(Err(format)),
+                Some(format) if format > FORMAT_VERSION => return Ok(Err(format)),
                 Some(_) => {}
-                None => drop(about.insert("format", FORMAT)?),
+                None => drop(metadata.insert("format", FORMAT_VERSION)?),
             }
-            writing.open_table(ROWS)?;
-            writing.open_table(WORK_ROWS)?;
+            transaction.open_table(FLEET_ENTRIES)?;
+            transaction.open_table(WORK_ENTRIES)?;
         }
-        writing.commit()?;
-        let reading = self.database.begin_read()?;
-        Ok(Ok(PersistedLogs { fleet: read_rows(&reading, ROWS)?, work: read_rows(&reading, WORK_ROWS)? }))
+        transaction.commit()?;
+        let transaction = self.database.begin_read()?;
+        Ok(Ok(PersistedLogs {
+            fleet: read_entries(&transaction, FLEET_ENTRIES)?,
+            work: read_entries(&transaction, WORK_ENTRIES)?,
+        }))
     }
 
     /// Writes these changes and syncs them: they are there for good when this returns.
     ///
     /// # Errors
-    /// What the disk refuses, in words; nothing of the changes is kept then.
-    pub fn keep(&self, changes: &LogChanges) -> Result<(), String> {
+    /// What the disk refuses, in words; nothing of the changes is persisted then.
+    pub fn persist(&self, changes: &LogChanges) -> Result<(), String> {
         self.write(changes).map_err(|error| format!("{}: {error}", self.path.display()))
     }
 
     fn write(&self, changes: &LogChanges) -> Result<(), redb::Error> {
-        let writing = self.database.begin_write()?;
-        write_rows(&writing, ROWS, &changes.fleet)?;
-        write_rows(&writing, WORK_ROWS, &changes.work)?;
-        writing.commit()?;
+        let transaction = self.database.begin_write()?;
+        write_changes(&transaction, FLEET_ENTRIES, &changes.fleet)?;
+        write_changes(&transaction, WORK_ENTRIES, &changes.work)?;
+        transaction.commit()?;
         Ok(())
     }
 }
 
-fn read_rows(reading: &ReadTransaction, rows: Rows) -> Result<Vec<PersistedEntry>, redb::Error> {
-    let table = reading.open_table(rows)?;
-    let mut kept = Vec::new();
-    for row in table.iter()? {
-        let (key, value) = row?;
-        let (writer, life, number) = key.value();
+fn read_entries(
+    transaction: &ReadTransaction,
+    definition: EntryTable,
+) -> Result<Vec<PersistedEntry>, redb::Error> {
+    let table = transaction.open_table(definition)?;
+    let mut persisted = Vec::new();
+    for entry in table.iter()? {
+        let (key, value) = entry?;
+        let (writer, incarnation, number) = key.value();
         let (before, bytes) = value.value();
-        let id = LogId { writer: Name::from(writer), incarnation: life };
-        kept.push(PersistedEntry { id, number, before: Digest(*before), bytes: bytes.to_vec() });
+        let id = LogId { writer: Name::from(writer), incarnation: incarnation };
+        persisted.push(PersistedEntry { id, number, before: Digest(*before), bytes: bytes.to_vec() });
     }
-    Ok(kept)
+    Ok(persisted)
 }
 
-fn write_rows(writing: &WriteTransaction, rows: Rows, changes: &[LogChange]) -> Result<(), redb::Error> {
+fn write_changes(
+    transaction: &WriteTransaction,
+    definition: EntryTable,
+    changes: &[LogChange],
+) -> Result<(), redb::Error> {
     if changes.is_empty() {
         return Ok(());
     }
-    let mut table = writing.open_table(rows)?;
+    let mut table = transaction.open_table(definition)?;
     for change in changes {
         match change {
             LogChange::Append { id, number, before, bytes } => {
--- a/crates/ledger/src/threads.rs
+++ b/crates/ledger/src/threads.rs
@@ -19,46 +19,46 @@
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
 /// A step of the exchange waits no longer than this.
-const STEP: Duration = Duration::from_millis(500);
+const MAX_POLL_WAIT: Duration = Duration::from_millis(500);
 /// A disk that refuses is tried again after this.
-const DISK_RESTS: Duration = Duration::from_millis(500);
+const DISK_RETRY_DELAY: Duration = Duration::from_millis(500);
 
 /// What the books are started with.
-pub struct Start<'a> {
+pub struct StartOptions<'a> {
     pub settings: Settings,
     pub members: Vec<Member>,
     pub listen: SocketAddr,
     pub state_dir: &'a Path,
-    pub life: u64,
+    pub incarnation: u64,
     pub seed: u64,
     /// By how much the time of day is ahead of the system's clock, in milliseconds.
-    pub ahead: i64,
+    pub clock_ahead_ms: i64,
 }
 
 /// The running threads, as the planner's loop sees them.
-pub struct Running {
-    pub shelf: Arc<SharedPools>,
-    orders: Arc<Mutex<Vec<Directive>>>,
-    ahead: Arc<AtomicI64>,
+pub struct LedgerHandle {
+    pub pools: Arc<SharedPools>,
+    directives: Arc<Mutex<Vec<Directive>>>,
+    clock_ahead_ms: Arc<AtomicI64>,
     waker: Waker,
 }
 
-impl Running {
+impl LedgerHandle {
     /// Orders from the operators' file, read anew.
-    pub fn order(&self, orders: Vec<Directive>) {
-        self.orders.lock().unwrap_or_else(PoisonError::into_inner).extend(orders);
+    pub fn apply_directives(&self, directives: Vec<Directive>) {
+        self.directives.lock().unwrap_or_else(PoisonError::into_inner).extend(directives);
         self.waker.wake();
     }
 
-    pub fn set_ahead(&self, ahead: i64) {
-        self.ahead.store(ahead, Ordering::Release);
+    pub fn set_clock_ahead_ms(&self, clock_ahead_ms: i64) {
+        self.clock_ahead_ms.store(clock_ahead_ms, Ordering::Release);
     }
 }
 
 /// Ends the process in words when its thread ends, which none of them does by itself.
-struct Ends(&'static str);
+struct ExitOnDrop(&'static str);
 
-impl Drop for Ends {
+impl Drop for ExitOnDrop {
     fn drop(&mut self) {
         tracing::error!(thread = self.0, "a thread of the books has ended; so does the process");
         std::process::exit(70);
@@ -67,7 +67,7 @@
 
 fn spawn(name: &'static str, run: impl FnOnce() + Send + 'static) -> Result<(), String> {
     let guarded = move || {
-        let _ends = Ends(name);
+        let _ends = ExitOnDrop(name);
         run();
     };
     let spawned = std::thread::Builder::new().name(name.to_owned()).spawn(guarded);
@@ -78,30 +78,31 @@
 ///
 /// # Errors
 /// What of the store or the address can't be used, in words.
-pub fn start(start: Start<'_>, clock: Clock) -> Result<Running, String> {
-    let (store, kept) = Store::open(start.state_dir)?;
-    let shelf = SharedPools::new(&start.settings);
-    let exchange = Exchange::new(start.settings, start.members, start.life, start.seed, kept, shelf.clone());
-    let mut shell =
+pub fn start(start: StartOptions<'_>, clock: Clock) -> Result<LedgerHandle, String> {
+    let (store, persisted) = Store::open(start.state_dir)?;
+    let pools = SharedPools::new(&start.settings);
+    let exchange =
+        Exchange::new(start.settings, start.members, start.incarnation, start.seed, persisted, pools.clone());
+    let mut event_loop =
         EventLoop::new(exchange).map_err(|error| format!("books: no poll: {error}"))?.with_clock(clock);
     let words = |error: std::io::Error| format!("books: listen {}: {error}", start.listen);
-    shell.listen(start.listen, ListenerId(0)).map_err(words)?;
-    let waker = shell.waker().map_err(|error| format!("books: no waker: {error}"))?;
-    let wakes = waker.clone();
-    shelf.wakes_by(Box::new(move || wakes.wake()));
-    let orders = Arc::new(Mutex::new(Vec::new()));
-    let ahead = Arc::new(AtomicI64::new(start.ahead));
+    event_loop.listen(start.listen, ListenerId(0)).map_err(words)?;
+    let waker = event_loop.waker().map_err(|error| format!("books: no waker: {error}"))?;
+    let store_waker = waker.clone();
+    pools.set_wake_ledger(Box::new(move || store_waker.wake()));
+    let directives = Arc::new(Mutex::new(Vec::new()));
+    let clock_ahead_ms = Arc::new(AtomicI64::new(start.clock_ahead_ms));
     let durable = Arc::new(Mutex::new(LogPositions::default()));
     let (to_disk, changes) = channel();
-    let (is_kept, wakes) = (durable.clone(), waker.clone());
-    spawn("books-store", move || keep(&store, &changes, &is_kept, &wakes))?;
-    let (given, clock_ahead) = (orders.clone(), ahead.clone());
-    spawn("books-exchange", move || run(&mut shell, &given, &clock_ahead, &durable, &to_disk))?;
-    Ok(Running { shelf, orders, ahead, waker })
+    let (store_durable, store_waker) = (durable.clone(), waker.clone());
+    spawn("books-store", move || persist_changes(&store, &changes, &store_durable, &store_waker))?;
+    let (given, clock_ahead) = (directives.clone(), clock_ahead_ms.clone());
+    spawn("books-exchange", move || run_exchange(&mut event_loop, &given, &clock_ahead, &durable, &to_disk))?;
+    Ok(LedgerHandle { pools, directives, clock_ahead_ms, waker })
 }
 
 /// The store's thread: all that came in while the last group was written is the next one.
-fn keep(
+fn persist_changes(
     store: &Store,
     changes: &Receiver<(LogChanges, LogPositions)>,
     durable: &Mutex<LogPositions>,
@@ -112,13 +113,13 @@
             group.extend(more);
             last = last.max(reached);
         }
-        // Nothing is told before it is kept: with a full disk this planner goes on with what it has drawn.
-        while let Err(words) = store.keep(&group) {
+        // Nothing is told before it is persisted: with a full disk this planner goes on with what it has drawn.
+        while let Err(words) = store.persist(&group) {
             tracing::error!(
                 words,
                 "the books can't be written; nothing new is drawn or given until they can"
             );
-            std::thread::sleep(DISK_RESTS);
+            std::thread::sleep(DISK_RETRY_DELAY);
         }
         {
             let mut durable = durable.lock().unwrap_or_else(PoisonError::into_inner);
@@ -128,33 +129,33 @@
     }
 }
 
-fn run(
-    shell: &mut EventLoop<Exchange>,
-    orders: &Mutex<Vec<Directive>>,
-    ahead: &AtomicI64,
+fn run_exchange(
+    event_loop: &mut EventLoop<Exchange>,
+    directives: &Mutex<Vec<Directive>>,
+    clock_ahead_ms: &AtomicI64,
     durable: &Mutex<LogPositions>,
     to_disk: &Sender<(LogChanges, LogPositions)>,
 ) {
     let mut known = LogPositions::default();
     loop {
-        let new = std::mem::take(&mut *orders.lock().unwrap_or_else(PoisonError::into_inner));
+        let new = std::mem::take(&mut *directives.lock().unwrap_or_else(PoisonError::into_inner));
         if !new.is_empty() {
-            shell.state_machine.order(&new);
+            event_loop.state_machine.apply_directives(&new);
         }
-        let kept = *durable.lock().unwrap_or_else(PoisonError::into_inner);
-        if kept != known {
-            known = kept;
-            shell.state_machine.is_durable(kept);
+        let persisted = *durable.lock().unwrap_or_else(PoisonError::into_inner);
+        if persisted != known {
+            known = persisted;
+            event_loop.state_machine.on_durable(persisted);
         }
         let utc = SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |since| since.as_millis() as u64);
-        shell.state_machine.set_clock(utc.saturating_add_signed(ahead.load(Ordering::Acquire)));
-        if let Err(error) = shell.run_once(STEP) {
+        event_loop.state_machine.set_clock(utc.saturating_add_signed(clock_ahead_ms.load(Ordering::Acquire)));
+        if let Err(error) = event_loop.run_once(MAX_POLL_WAIT) {
             tracing::error!(%error, "the books' poll failed");
             return;
         }
-        let changes = shell.state_machine.take_changes();
+        let changes = event_loop.state_machine.take_changes();
         if !changes.is_empty() {
-            let last = shell.state_machine.last_own(&changes);
+            let last = event_loop.state_machine.last_own_entries(&changes);
             if to_disk.send((changes, last)).is_err() {
                 return;
             }
--- a/crates/ledger/tests/interleavings.rs
+++ b/crates/ledger/tests/interleavings.rs
@@ -11,10 +11,10 @@
 use mulleinhub_quota::{
     Calendar, PoolSnapshot, Prices, ReservationPools, RetryAfter, Settings, Team, TeamLimits,
 };
-use mulleinhub_replicated_log::Parts;
+use mulleinhub_replicated_log::SplitAmount;
 use std::collections::BTreeMap;
 
-const NEED: u64 = 100;
+const RESERVATION: u64 = 100;
 const AWAY: RetryAfter = RetryAfter { min: Duration::ZERO, max: Duration::ZERO };
 const CAPPED: TeamLimits = TeamLimits {
     has_cap: true,
@@ -45,91 +45,100 @@
     }
 }
 
-fn shelf() -> (Arc<SharedPools>, AdmissionHandle) {
-    let shelf = SharedPools::new(&settings());
-    let teller = AdmissionHandle::new(shelf.clone(), &settings());
+fn pools() -> (Arc<SharedPools>, AdmissionHandle) {
+    let pools = SharedPools::new(&settings());
+    let admission = AdmissionHandle::new(pools.clone(), &settings());
     for team in 0..2 {
-        (&mut &*shelf)
-            .with_pool(team, &mut |till| till.refresh(Timestamp::from_nanos(u64::MAX), AWAY, CAPPED));
+        (&mut &*pools)
+            .with_pool(team, &mut |pool| pool.refresh(Timestamp::from_nanos(u64::MAX), AWAY, CAPPED));
     }
-    (shelf, teller)
+    (pools, admission)
 }
 
-fn ask(teller: &mut AdmissionHandle, key: u64) -> Option<Ticket> {
-    teller.ask(Timestamp::default(), "pay", TaskKey(key), Resources::new(1.0, 1.0), 0.0).ok().flatten()
+fn ask(admission: &mut AdmissionHandle, key: u64) -> Option<Ticket> {
+    admission.admit(Timestamp::default(), "pay", TaskKey(key), Resources::new(1.0, 1.0), 0.0).ok().flatten()
 }
 
-fn look(shelf: &SharedPools) -> PoolSnapshot {
+fn status(pools: &SharedPools) -> PoolSnapshot {
     let mut seen = PoolSnapshot::default();
-    (&mut &*shelf).with_pool(0, &mut |till| seen = till.take_snapshot(Timestamp::default()));
+    (&mut &*pools).with_pool(0, &mut |pool| seen = pool.take_snapshot(Timestamp::default()));
     seen
 }
 
 /// Whatever was drawn is at hand, reserved or spent, however looks and blocks fall between asks and ends.
 #[test]
-fn no_money_is_made_or_lost() {
+fn concurrent_use_conserves_quota() {
     loom::model(|| {
-        let (shelf, mut teller) = shelf();
-        let keeper = {
-            let shelf = shelf.clone();
+        let (pools, mut admission) = pools();
+        let ledger = {
+            let pools = pools.clone();
             thread::spawn(move || {
-                (&mut &*shelf).with_pool(0, &mut |till| till.credit(Parts { open: 2 * NEED, last: 0 }));
-                let mut back = Parts::default();
-                (&mut &*shelf).with_pool(0, &mut |till| back = till.withdraw(Parts { open: NEED, last: 0 }));
+                (&mut &*pools).with_pool(0, &mut |pool| {
+                    pool.credit(SplitAmount { open: 2 * RESERVATION, running_only: 0 })
+                });
+                let mut back = SplitAmount::default();
+                (&mut &*pools).with_pool(0, &mut |pool| {
+                    back = pool.withdraw(SplitAmount { open: RESERVATION, running_only: 0 })
+                });
                 back.open
             })
         };
-        let one = ask(&mut teller, 1);
-        let two = ask(&mut teller, 2);
-        one.into_iter().for_each(|ticket| teller.never_ran(Timestamp::default(), ticket));
-        let back = keeper.join().expect("it ends");
-        let seen = look(&shelf);
-        assert_eq!(seen.available.open + seen.committed + back, 2 * NEED);
-        assert_eq!(seen.committed, if two.is_some() { NEED } else { 0 });
+        let one = ask(&mut admission, 1);
+        let two = ask(&mut admission, 2);
+        one.into_iter().for_each(|ticket| admission.on_never_ran(Timestamp::default(), ticket));
+        let back = ledger.join().expect("it ends");
+        let seen = status(&pools);
+        assert_eq!(seen.available.open + seen.committed + back, 2 * RESERVATION);
+        assert_eq!(seen.committed, if two.is_some() { RESERVATION } else { 0 });
     });
 }
 
-/// A refusal is seen by the keeper's next look, or its block came before: nobody waits for a wake that is
+/// A refusal is seen by the keeper's next status, or its block came before: nobody waits for a wake that is
 /// lost.
 #[test]
-fn no_refusal_is_overlooked() {
+fn rejection_is_never_missed() {
     loom::model(|| {
-        let (shelf, mut teller) = shelf();
-        let keeper = {
-            let shelf = shelf.clone();
+        let (pools, mut admission) = pools();
+        let ledger = {
+            let pools = pools.clone();
             thread::spawn(move || {
-                let wanted = shelf.take_wanted();
-                let asked = look(&shelf).requested;
+                let wanted = pools.take_tick_request();
+                let asked = status(&pools).requested;
                 (wanted, asked)
             })
         };
-        let refused = ask(&mut teller, 1).is_none();
-        let (wanted, asked) = keeper.join().expect("it ends");
+        let refused = ask(&mut admission, 1).is_none();
+        let (wanted, asked) = ledger.join().expect("it ends");
         assert!(refused);
-        assert!(wanted || asked == NEED || shelf.is_wanted(), "a refusal that nobody will look at");
+        assert!(
+            wanted || asked == RESERVATION || pools.is_tick_requested(),
+            "a refusal that nobody will status at"
+        );
         if wanted {
-            assert_eq!(asked + look(&shelf).requested, NEED, "it was woken for what it sees");
+            assert_eq!(asked + status(&pools).requested, RESERVATION, "it was woken for what it sees");
         }
     });
 }
 
 /// Two teams are under two locks, and the loop never holds both: it can't wait for itself.
 #[test]
-fn looks_at_two_teams_and_two_keepers_end() {
+fn access_to_two_teams_does_not_deadlock() {
     loom::model(|| {
-        let (shelf, mut teller) = shelf();
-        let keeper = {
-            let shelf = shelf.clone();
+        let (pools, mut admission) = pools();
+        let ledger = {
+            let pools = pools.clone();
             thread::spawn(move || {
                 for team in 0..2 {
-                    (&mut &*shelf).with_pool(team, &mut |till| till.credit(Parts { open: NEED, last: 0 }));
+                    (&mut &*pools).with_pool(team, &mut |pool| {
+                        pool.credit(SplitAmount { open: RESERVATION, running_only: 0 })
+                    });
                 }
             })
         };
-        let room = Resources::new(1.0, 1.0);
-        let ship = teller.ask(Timestamp::default(), "ship", TaskKey(1), room, 0.0);
-        let pay = ask(&mut teller, 2);
-        keeper.join().expect("it ends");
+        let resources = Resources::new(1.0, 1.0);
+        let ship = admission.admit(Timestamp::default(), "ship", TaskKey(1), resources, 0.0);
+        let pay = ask(&mut admission, 2);
+        ledger.join().expect("it ends");
         if ship.is_ok() {
             assert!(pay.is_some(), "the first team's block came before the second's");
         }
--- a/crates/planner/src/daemon.rs
+++ b/crates/planner/src/daemon.rs
@@ -11,7 +11,7 @@
 use mulleinhub_engine::Engine;
 use mulleinhub_event_loop::{Clock, EventLoop, IterationOutcome, descriptor_limit};
 use mulleinhub_interface::{Timestamp, mix};
-use mulleinhub_ledger::{AdmissionHandle, Running, Start};
+use mulleinhub_ledger::{AdmissionHandle, LedgerHandle, StartOptions};
 use mulleinhub_replicated_log::Directive as OperatorDirective;
 use mulleinhub_sans_io::StateMachine;
 use signal_hook::consts::{SIGHUP, SIGINT, SIGTERM};
@@ -39,7 +39,7 @@
     settings_path: PathBuf,
     settings: PlannerSettings,
     cached_list: Option<CachedList>,
-    ledger: Option<Running>,
+    ledger: Option<LedgerHandle>,
     /// When draining began, once it has.
     draining_since: Option<Instant>,
 }
@@ -131,9 +131,9 @@
     /// Passes the clock offset and the operators' directives to the running ledger.
     fn reload_ledger(&self) {
         let (Some(ledger), Some(settings)) = (&self.ledger, &self.settings.ledger) else { return };
-        ledger.set_ahead(settings.clock_ahead_ms);
+        ledger.set_clock_ahead_ms(settings.clock_ahead_ms);
         match read_directives(settings) {
-            Ok(directives) => ledger.order(directives),
+            Ok(directives) => ledger.apply_directives(directives),
             Err(error) => {
                 tracing::error!(%error, "operators' directives are invalid; keeping the current ones");
             }
@@ -177,13 +177,13 @@
     settings: &PlannerSettings,
     incarnation: u64,
     clock: Clock,
-) -> Result<(Engine, Option<Running>), PlannerError> {
+) -> Result<(Engine, Option<LedgerHandle>), PlannerError> {
     let (Some(ledger), Some(state_dir)) = (&settings.ledger, &settings.state_dir) else {
         return Ok((engine, None));
     };
     let seed = ledger_seed(settings.engine.seed, incarnation, &ledger.settings.me);
     let running = start_ledger(ledger, state_dir, incarnation, seed, clock)?;
-    let admission = AdmissionHandle::new(running.shelf.clone(), &ledger.settings);
+    let admission = AdmissionHandle::new(running.pools.clone(), &ledger.settings);
     Ok((engine.with_quota(Box::new(admission)), Some(running)))
 }
 
@@ -194,21 +194,21 @@
     incarnation: u64,
     seed: u64,
     clock: Clock,
-) -> Result<Running, PlannerError> {
+) -> Result<LedgerHandle, PlannerError> {
     let listen = settings.listen.ok_or(PlannerError::NotALedgerMember)?;
     let directives = read_directives(settings)?;
-    let start = Start {
+    let start = StartOptions {
         settings: settings.settings.clone(),
         members: settings.members.clone(),
         listen,
         state_dir,
-        life: incarnation,
+        incarnation,
         seed,
-        ahead: settings.clock_ahead_ms,
+        clock_ahead_ms: settings.clock_ahead_ms,
     };
     let running = mulleinhub_ledger::start(start, clock)
         .map_err(|error| PlannerError::Ledger { reason: error.to_string() })?;
-    running.order(directives);
+    running.apply_directives(directives);
     Ok(running)
 }
 
--- a/crates/scale/src/ledgers/member.rs
+++ b/crates/scale/src/ledgers/member.rs
@@ -4,7 +4,7 @@
 //! All that knows the types of the ledger stands here.
 
 use mulleinhub_interface::{Duration, Quota, Resources, TaskKey, Ticket, Timestamp};
-use mulleinhub_ledger::{AdmissionHandle, Exchange, Figures, Member, SharedPools};
+use mulleinhub_ledger::{AdmissionHandle, Exchange, ExchangeCounters, Member, SharedPools};
 use mulleinhub_quota::{Calendar, Phase, Prices, Settings, Team};
 use mulleinhub_replicated_log::{
     Digest, Directive, DirectiveAction, Location, LogChange, LogChanges, LogId, LogKind, LogPositions, Name,
@@ -252,12 +252,12 @@
         for told in told {
             self.tell(now, told, &mut done);
         }
-        let due = self.exchange.keeper().next_tick();
+        let due = self.exchange.ledger().next_tick();
         self.exchange.set_clock(MIDDLE_OF_MONTH + now.nanos() / 1_000_000);
         self.exchange.poll(now);
-        done.looked = self.exchange.keeper().next_tick() != due;
+        done.looked = self.exchange.ledger().next_tick() != due;
         done.writes.changes = self.exchange.take_changes();
-        done.writes.last_own = self.exchange.last_own(&done.writes.changes);
+        done.writes.last_own = self.exchange.last_own_entries(&done.writes.changes);
         self.take_sent(&mut done);
         done
     }
@@ -276,7 +276,7 @@
                 let reached = self.durable.max(own);
                 if reached != self.durable {
                     self.durable = reached;
-                    self.exchange.is_durable(reached);
+                    self.exchange.on_durable(reached);
                 }
             }
             Told::Woken => {}
@@ -309,7 +309,7 @@
     /// Somebody was refused since the last turn: a turn is wanted now.
     #[must_use]
     pub fn is_wanted(&self) -> bool {
-        self.shelf.is_wanted()
+        self.shelf.is_tick_requested()
     }
 
     // The planner's side.
@@ -349,7 +349,7 @@
     pub fn change(&mut self, change: ConfigChange) {
         let ConfigChange { team, number, cap } = change;
         let subject = Subject::Team(team_name(team));
-        self.exchange.order(&[Directive { subject, number, action: DirectiveAction::Cap { amount: cap } }]);
+        self.exchange.apply_directives(&[Directive { subject, number, action: DirectiveAction::Cap { amount: cap } }]);
     }
 
     // What is looked at.
@@ -357,7 +357,7 @@
     /// Whether a change, or a later one of the same team, is known.
     #[must_use]
     pub fn knows(&self, change: ConfigChange) -> bool {
-        let orders = self.exchange.keeper().fleet_logs().directives();
+        let orders = self.exchange.ledger().fleet_logs().directives();
         let known = orders.get(&Subject::Team(team_name(change.team)));
         known.is_some_and(|known| known.number >= change.number)
     }
@@ -365,19 +365,19 @@
     /// It has caught up and serves.
     #[must_use]
     pub fn is_ready(&self) -> bool {
-        self.exchange.keeper().phase() == Phase::Writing
+        self.exchange.ledger().phase() == Phase::Writing
     }
 
     /// One figure for all that it knows, equal where two know the same.
     #[must_use]
     pub fn knowledge(&self) -> [u8; 16] {
-        self.exchange.keeper().fleet_logs().heads_digest().0
+        self.exchange.ledger().fleet_logs().heads_digest().0
     }
 
     /// The life and the number of the last of its own rows that others may know.
     #[must_use]
     pub fn own_end(&self) -> (u64, u64) {
-        let library = self.exchange.keeper().fleet_logs();
+        let library = self.exchange.ledger().fleet_logs();
         let number = library.announced_head(library.own_id()).map_or(0, |(number, _)| number);
         (library.own_id().incarnation, number)
     }
@@ -385,7 +385,7 @@
     /// Whether it knows another's rows as far as that, or rows of a later life.
     #[must_use]
     pub fn knows_end(&self, member: usize, (life, number): (u64, u64)) -> bool {
-        let library = self.exchange.keeper().fleet_logs();
+        let library = self.exchange.ledger().fleet_logs();
         let id = LogId { writer: member_name(member), incarnation: life };
         let known = library.log(&id).map_or(0, |column| column.head().0);
         known >= number || library.newest_incarnation(&id.writer).is_some_and(|newest| newest > life)
@@ -393,8 +393,8 @@
 
     /// What it counted itself.
     #[must_use]
-    pub fn figures(&self) -> Figures {
-        self.exchange.figures()
+    pub fn figures(&self) -> ExchangeCounters {
+        self.exchange.counters()
     }
 }
 
--- a/crates/scale/tests/ledgers.rs
+++ b/crates/scale/tests/ledgers.rs
@@ -57,8 +57,8 @@
         let figures = fleet.ledger(member).expect("is up").figures();
         let Counts { bytes_in, bytes_out, .. } = fleet.counts(member);
         assert_eq!((bytes_in, bytes_out), (figures.bytes_in, figures.bytes_out));
-        assert!(figures.rows_in > 10, "{figures:?}");
-        assert_eq!((figures.bad, figures.forks), (0, 0));
+        assert!(figures.entries_in > 10, "{figures:?}");
+        assert_eq!((figures.protocol_errors, figures.forks), (0, 0));
     }
     assert!(fleet.kinds().values().map(|kind| kind.bytes).sum::<u64>() > 0);
     // What one wrote the other got, but for what is on its way.
--- a/crates/simulation/src/books.rs
+++ b/crates/simulation/src/books.rs
@@ -105,11 +105,11 @@
     ) -> bool {
         while let Some((_, changes, last)) = self.syncs.pop_front_if(|(at, ..)| *at <= now) {
             disk.apply(changes);
-            self.exchange.is_durable(last);
+            self.exchange.on_durable(last);
             self.told = true;
         }
         let due = self.wake().is_some_and(|at| at <= now);
-        if !(std::mem::take(&mut self.told) || due || self.shelf.is_wanted()) {
+        if !(std::mem::take(&mut self.told) || due || self.shelf.is_tick_requested()) {
             return false;
         }
         let utc = (self.begins + now.nanos() / 1_000_000).saturating_add_signed(ahead);
@@ -117,7 +117,7 @@
         self.exchange.poll(now);
         let changes = if full { LogChanges::default() } else { self.exchange.take_changes() };
         if !changes.is_empty() {
-            let last = self.exchange.last_own(&changes);
+            let last = self.exchange.last_own_entries(&changes);
             // One sync follows the other.
             let begins = self.syncs.back().map_or(now, |(at, ..)| now.max(*at));
             self.syncs.push_back((begins + takes(), changes, last));
--- a/crates/simulation/src/lib.rs
+++ b/crates/simulation/src/lib.rs
@@ -360,7 +360,7 @@
         if let Some(books) = &mut slot.books {
             let orders =
                 parse_operator_directives("orders", &slot.orders).unwrap_or_else(|faults| panic!("{faults}"));
-            books.exchange.order(&orders);
+            books.exchange.apply_directives(&orders);
             books.told = true;
         }
     }
