--- a/crates/ledger/src/exchange/connections.rs
+++ b/crates/ledger/src/exchange/connections.rs
@@ -1,4 +1,4 @@
-//! Connections: opening them, writing to them, ending them, and trying again after failures.
+//! Connections: opening them, writing to them, closing them, and retrying after failures.
 
 use super::Exchange;
 use super::peer::Peer;
@@ -11,9 +11,9 @@
 
 /// Connections that are being opened at a time.
 const MAX_OPENING: usize = 32;
-/// First wait before a connection is tried again.
+/// First delay before a failed connection is retried.
 const INITIAL_RETRY_DELAY: Duration = Duration::from_nanos(200_000_000);
-/// A member that broke the protocol is let in again after this.
+/// A member that broke the protocol is accepted again after this.
 const BAN_DURATION: Duration = Duration::from_secs(5);
 
 impl Exchange {
@@ -25,14 +25,14 @@
         self.connections.send(connection, &self.scratch, None);
     }
 
-    /// Ends a connection, saying why.
+    /// Closes a connection and sends the reason.
     pub(super) fn close(&mut self, connection: ConnectionId, reason: &str) {
         self.write(connection, &Message::Bye { words: reason });
         self.peers.remove(&connection);
         self.connections.close(connection);
     }
 
-    /// Ends the connection of a peer that broke the protocol, and no other.
+    /// Closes the connection of a peer that broke the protocol, and bans the peer for a while.
     pub(super) fn close_faulty(&mut self, connection: ConnectionId, error: &Bad) {
         self.counters.protocol_errors += 1;
         let name = self.peers.get(&connection).and_then(|peer| peer.name.clone());
@@ -51,7 +51,7 @@
         newest_first.find(|(_, peer)| peer.established && peer.is(name)).map(|(connection, _)| *connection)
     }
 
-    /// A connection served for more than signs of life.
+    /// Records that a connection served for more than keep-alives.
     pub(super) fn mark_used(&mut self, connection: ConnectionId) {
         if let Some(peer) = self.peers.get_mut(&connection) {
             peer.used_at = self.now;
@@ -68,7 +68,8 @@
         self.retries.get(name).is_some_and(|retry| retry.not_before > self.now)
     }
 
-    /// Opens a connection to a member, unless there is one, or it is too early to try again.
+    /// Opens a connection to a member, unless there is one, the member is banned, or it is too early to
+    /// retry.
     pub(super) fn connect(&mut self, name: &Name) {
         if self.peers.values().any(|peer| peer.is(name)) || self.is_backing_off(name) || self.is_banned(name)
         {
@@ -83,7 +84,7 @@
         self.peers.insert(connection, Peer::opening(self.now, name.clone()));
     }
 
-    /// Ends connections that are dead or idle, and opens those that are wanted.
+    /// Closes connections that are dead or idle, and opens those that are wanted.
     pub(super) fn update_connections(&mut self) {
         let catching_up = self.ledger.phase() == Phase::CatchingUp;
         self.close_dead_and_idle(catching_up);
@@ -96,7 +97,7 @@
         wanted.iter().for_each(|name| self.connect(name));
     }
 
-    /// Ends dead connections, and, unless we are catching up, idle ones to members that are no neighbors.
+    /// Closes dead connections, and, unless catching up, idle ones to members that are not neighbors.
     fn close_dead_and_idle(&mut self, catching_up: bool) {
         let (now, interval) = (self.now, self.heartbeat_interval);
         let is_retained = |name: &Name| self.neighbors.contains(name) || self.replicas.contains(name);
@@ -119,7 +120,7 @@
         }
     }
 
-    /// A connection is over that was not ended by us: its member is suspected, and tried again later.
+    /// A connection ended that we didn't close: its member is suspected, and the connection retried later.
     pub(super) fn on_connection_failed(&mut self, connection: ConnectionId) {
         let Some(peer) = self.peers.remove(&connection) else { return };
         if let Some(name) = peer.name.as_ref().filter(|_| peer.established && !peer.announced_close) {
@@ -132,7 +133,7 @@
         }
     }
 
-    /// Sets when a member is tried again, after a connection that was up has ended or one didn't come up.
+    /// Schedules the next connection attempt, after an established connection ended or an attempt failed.
     fn schedule_retry(&mut self, name: &Name, was_up: bool) {
         let drawn = self.ledger.random_fraction();
         let retry = self.retries.entry(name.clone()).or_default();
@@ -144,8 +145,8 @@
         }
     }
 
-    /// Where two members have opened connections to each other, ends one of them: the one that stays is the
-    /// one opened by the member whose name comes first. The other member leaves that to us.
+    /// Where two members have opened connections to each other, closes one of them; the connection of the
+    /// member whose name sorts first remains. Only the other member closes, so that not both are lost.
     pub(super) fn close_duplicate(&mut self, connection: ConnectionId, name: &Name) {
         let is_duplicate = |(other, peer): &(&ConnectionId, &Peer)| {
             **other != connection && peer.established && peer.is(name)
--- a/crates/ledger/src/exchange/cursor.rs
+++ b/crates/ledger/src/exchange/cursor.rs
@@ -1,8 +1,8 @@
 //! The replication cursor: the state of replicating one set of logs with one peer.
 //!
-//! It records which of our heads (ends of logs) the peer was told, which it is known to have, which of its
-//! logs are ahead of ours, and which entries it was asked for. It does no I/O and knows neither the peer
-//! nor the connection, so that a peer can have one cursor for each set of logs.
+//! It records which of our heads (ends of logs) were pushed to the peer, which it is known to have, which of
+//! its logs are ahead of ours, and which entries were requested from it. It does no I/O and knows neither the
+//! peer nor the connection, so that a peer can have one cursor for each set of logs.
 
 use super::MAX_ITEMS;
 use mulleinhub_interface::{Duration, Timestamp};
@@ -13,58 +13,58 @@
 
 /// Least time between two pushes to one peer, so that many changes go together.
 const PUSH_GAP: Duration = Duration::from_nanos(20_000_000);
-/// A request for rows that is not answered for so long is given up, and the rows are asked for elsewhere.
+/// A request for entries that is not answered within this is abandoned, and sent to another peer.
 const REQUEST_TIMEOUT: Duration = Duration::from_secs(2);
-/// Longest row that is assembled from pieces, in bytes.
+/// Longest entry that is assembled from parts, in bytes.
 const MAX_ASSEMBLED_ENTRY: usize = 16 << 20;
-/// The instant of the last push, where the next one must not wait for the gap. It differs from
+/// Recorded as the time of the last push where the next one need not wait for the gap. It differs from
 /// `Timestamp::default()`, which stands for no push at all.
 const GAP_ELAPSED: Duration = Duration::from_nanos(1);
 
-/// Asks for the rows of a log that follow `after`.
+/// A request for the entries of a log that follow `after`.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(super) struct EntryRequest {
     /// The log.
     pub(super) id: LogId,
-    /// Number of the last row that the asker has, or nought.
+    /// Number of the last entry that the requester has, or zero.
     pub(super) after: u64,
-    /// The asker's digest at `after`.
+    /// The requester's digest at `after`.
     pub(super) digest: Digest,
-    /// Bytes of the next row that the asker has already.
+    /// Bytes of the next entry that the requester already has.
     pub(super) skip: u64,
 }
 
-/// Rows as a peer sent them: whole ones, or a piece of a single long one.
+/// Entries as a peer sent them: complete ones, or a part of a single long one.
 #[derive(Debug)]
 pub(super) struct ReceivedEntries<'b> {
     /// The log.
     pub(super) id: LogId,
-    /// Number of the row before the first.
+    /// Number of the entry before the first.
     pub(super) after: u64,
     /// The sender's digest at `after`.
     pub(super) digest: Digest,
-    /// The rows' bytes.
+    /// The entries' bytes.
     pub(super) entries: Vec<&'b [u8]>,
-    /// Offset at which the first row's bytes begin.
+    /// Offset at which the first entry's bytes begin.
     pub(super) skip: u64,
-    /// Bytes of the last row that are still to come.
+    /// Bytes of the last entry that are still to come.
     pub(super) remaining: u64,
 }
 
-/// What received rows amount to, together with the pieces that came before.
+/// The result of joining received entries with the parts received before.
 #[derive(Debug)]
 pub(super) enum Assembled<'b> {
-    /// They were not asked for, or so long ago that something else was asked for since.
+    /// They were not requested, or the request has been replaced by another one.
     Unrequested,
-    /// A piece of a row; the next piece is to be asked for.
+    /// A part of an entry; the next part is to be requested.
     Incomplete,
-    /// The peer has no rows for us after all.
+    /// The peer has no such entries.
     Nothing,
-    /// Whole rows.
+    /// Complete entries.
     Complete(Vec<Cow<'b, [u8]>>),
 }
 
-/// Heads that a peer has not been told.
+/// Heads that have not been pushed to a peer.
 #[derive(Debug)]
 pub(super) struct NewHeads {
     /// The heads, oldest change first.
@@ -73,27 +73,27 @@
     pub(super) complete: bool,
 }
 
-/// A request for rows that is under way.
+/// A request for entries that is in flight.
 #[derive(Debug)]
 struct PendingRequest {
     id: LogId,
     since: Timestamp,
-    /// The bytes so far of a row that is longer than a piece.
+    /// The bytes received so far of an entry that comes in parts.
     partial: Vec<u8>,
 }
 
-/// What one peer was told, has, and was asked for, of one set of logs.
+/// What was pushed to one peer, what it has, and what was requested from it, of one set of logs.
 #[derive(Debug, Default)]
 pub(super) struct LogCursor {
-    /// The peer was told our changes up to this stamp of the library.
+    /// Changes up to this revision of the log store were pushed.
     pushed_revision: u64,
-    /// When it was last told heads; `Timestamp::default()` for never.
+    /// When heads were last pushed; `Timestamp::default()` for never.
     pushed_at: Timestamp,
     /// The peer has these logs up to these numbers.
     known_numbers: BTreeMap<LogId, u64>,
     /// Heads of the peer that are ahead of ours.
     ahead: BTreeMap<LogId, LogHead>,
-    /// What the peer was asked for last.
+    /// The last request to the peer.
     pending: Option<PendingRequest>,
     /// The peer has sent its digest of all heads.
     has_digest: bool,
@@ -119,7 +119,7 @@
         self.has_digest && self.pushed_revision < revision
     }
 
-    /// The earliest instant of the next push.
+    /// The earliest time of the next push.
     pub(super) fn next_push_at(&self) -> Timestamp {
         self.pushed_at + PUSH_GAP
     }
@@ -135,7 +135,7 @@
     }
 
     /// The heads that changed since the last call and that the peer is not known to have, as many as fit
-    /// into one message. They count as told.
+    /// into one message. They count as pushed.
     pub(super) fn take_new_heads(&mut self, log_store: &LogStore) -> NewHeads {
         self.take_new_heads_of(log_store, |_| true)
     }
@@ -158,22 +158,22 @@
                 heads.push(head);
             }
         }
-        // Logs that were dropped have changed the library, too.
+        // Logs that were dropped have changed the log store, too.
         self.pushed_revision = self.pushed_revision.max(log_store.revision());
         NewHeads { heads, complete: true }
     }
 
-    /// Heads may be pushed though the peer sends no digest: it was told by the greeting that it reads them.
+    /// Allows pushes though the peer sends no digest: its handshake said that it reads these logs.
     pub(super) fn allow_push(&mut self) {
         self.has_digest = true;
     }
 
-    /// Logs that didn't concern the peer may concern it now: all are looked at again.
+    /// Considers all heads again: logs that didn't concern the peer may concern it now.
     pub(super) fn resend_all(&mut self) {
         self.pushed_revision = 0;
     }
 
-    /// Something of the peer is ahead of ours.
+    /// Some log of the peer is ahead of ours.
     pub(super) fn is_ahead(&self) -> bool {
         !self.ahead.is_empty()
     }
@@ -189,7 +189,7 @@
         complete: bool,
     ) {
         if log_store.heads_digest() == all {
-            // The peer has what we have: nothing of that need be pushed.
+            // The peer has what we have: none of it need be pushed.
             self.pushed_revision = log_store.revision();
             self.has_all_heads = true;
         }
@@ -208,16 +208,16 @@
         self.has_all_heads && self.ahead.is_empty()
     }
 
-    // Requesting rows.
+    // Requesting entries.
 
-    /// The log that the peer was asked for, while the answer can still be expected.
+    /// The log that was requested from the peer, until the request times out.
     pub(super) fn pending_log(&self, now: Timestamp) -> Option<&LogId> {
         let pending = self.pending.as_ref().filter(|pending| now - pending.since < REQUEST_TIMEOUT);
         pending.map(|pending| &pending.id)
     }
 
-    /// The next request to this peer, where none is under way: for a log of which it has more than we, and
-    /// which is not asked for elsewhere.
+    /// The next request to this peer, where none is in flight: for a log that is ahead of ours at the peer,
+    /// and that is not requested from another peer.
     pub(super) fn next_request(
         &mut self,
         now: Timestamp,
@@ -234,7 +234,7 @@
         Some(self.request_for(log_store, id))
     }
 
-    /// The request for the rows of a log that follow what is here.
+    /// The request for the entries of a log that follow ours.
     pub(super) fn request_for(&self, log_store: &LogStore, id: LogId) -> EntryRequest {
         let (after, digest) = match self.ahead.get(&id) {
             Some(head) => log_store.fetch_position(head),
@@ -244,13 +244,13 @@
         EntryRequest { id, after, digest, skip }
     }
 
-    // Receiving rows.
+    // Receiving entries.
 
-    /// Joins received rows with the pieces that came before them. The request is over with that, unless
-    /// more pieces are to come.
+    /// Joins received entries with the parts received before. That completes the request, unless more parts
+    /// are to come.
     ///
     /// # Errors
-    /// Where a piece doesn't follow those that came before, or the row gets too long.
+    /// Where a part doesn't follow those received before, or the entry gets too long.
     pub(super) fn assemble<'b>(
         &mut self,
         now: Timestamp,
@@ -289,8 +289,8 @@
         Ok(Assembled::Complete(entries))
     }
 
-    /// Rows of a log were taken into the library, `new` of them unknown before. Where nothing more can be
-    /// had from this peer, its head counts as ahead of ours no longer.
+    /// Entries of a log were appended to the log store, `new` of them unknown before. Where the peer has no
+    /// more of the log, its head no longer counts as ahead of ours.
     pub(super) fn on_entries_appended(&mut self, log_store: &LogStore, id: &LogId, new: usize) {
         let is_done = |head: &LogHead| new == 0 || !log_store.wants(head);
         if self.ahead.get(id).is_some_and(is_done) {
--- a/crates/ledger/src/exchange/directives.rs
+++ b/crates/ledger/src/exchange/directives.rs
@@ -1,4 +1,4 @@
-//! Orders of the operators (caps, holds): they are pushed to all peers at once, ahead of the logs.
+//! Directives of the operators (caps, suspensions): they are pushed to all peers at once, ahead of the logs.
 
 use super::{Exchange, MAX_ITEMS};
 use mulleinhub_protocol::{self as protocol, Bad, Message, OrderWord};
@@ -6,21 +6,21 @@
 use mulleinhub_sans_io::ConnectionId;
 use std::collections::BTreeMap;
 
-/// What one peer knows of the orders.
+/// The directives that one peer is known to have.
 #[derive(Debug, Default)]
 pub(super) struct DirectiveCursor {
-    /// The peer was told the orders up to this stamp of the library.
+    /// Directives up to this revision of the log store were pushed.
     pushed_revision: u64,
     known: BTreeMap<Subject, EffectiveDirective>,
 }
 
 impl DirectiveCursor {
-    /// The peer told an order, and so knows it.
+    /// The peer sent a directive, and so knows it.
     fn learn(&mut self, subject: Subject, effective: EffectiveDirective) {
         self.known.insert(subject, effective);
     }
 
-    /// Those orders that the peer doesn't know. They count as message.
+    /// The directives that the peer doesn't know. They count as pushed.
     fn take_new(&mut self, revision: u64, directives: &Directives) -> Vec<(Subject, EffectiveDirective)> {
         self.pushed_revision = revision;
         let new = directives.iter().filter(|(subject, effective)| self.known.get(subject) != Some(effective));
@@ -31,7 +31,7 @@
     }
 }
 
-/// An order as it goes over the wire.
+/// A directive as a message of the protocol.
 fn directive_message<'a>(subject: &'a Subject, effective: &EffectiveDirective) -> protocol::OrderTold<'a> {
     let (account, name) = match subject {
         Subject::Account(name) => (true, name),
@@ -52,7 +52,7 @@
     }
 }
 
-/// The order that came over the wire.
+/// The directive in a message of the protocol.
 fn directive_from_message(message: &protocol::OrderTold<'_>) -> Result<Directive, Bad> {
     let name = message.name.into();
     let subject = if message.account { Subject::Account(name) } else { Subject::Team(name) };
@@ -68,7 +68,7 @@
 }
 
 impl Exchange {
-    /// Takes in orders that a peer message.
+    /// Applies directives that a peer sent.
     pub(super) fn receive_directives(
         &mut self,
         connection: ConnectionId,
@@ -94,7 +94,7 @@
         Ok(())
     }
 
-    /// Pushes the orders that a peer doesn't know.
+    /// Pushes the directives that a peer doesn't know.
     pub(super) fn push_directives(&mut self, connection: ConnectionId) {
         let log_store = self.ledger.fleet_logs();
         let revision = log_store.directives_revision();
--- a/crates/ledger/src/exchange/heartbeat.rs
+++ b/crates/ledger/src/exchange/heartbeat.rs
@@ -35,13 +35,13 @@
 }
 
 impl MemberHeartbeat {
-    /// As it goes over the wire.
+    /// The heartbeat as a message of the protocol.
     pub(super) fn message(&self) -> protocol::Beat<'_> {
         protocol::Beat { name: &self.name, life: self.heartbeat.incarnation, count: self.heartbeat.count }
     }
 }
 
-/// What one peer knows of the members' heartbeats.
+/// The heartbeats that one peer is known to have.
 #[derive(Debug, Default)]
 pub(super) struct HeartbeatCursor {
     pushed_at: Timestamp,
@@ -54,7 +54,7 @@
         now - self.pushed_at >= interval
     }
 
-    /// The peer told a heartbeat, and so knows it.
+    /// The peer sent a heartbeat, and so knows it.
     fn learn(&mut self, name: Name, heartbeat: Heartbeat) {
         let known = self.known.entry(name).or_default();
         *known = (*known).max(heartbeat);
@@ -95,7 +95,7 @@
 }
 
 impl Exchange {
-    /// Takes in the heartbeats that a peer told.
+    /// Records the heartbeats that a peer sent.
     pub(super) fn receive_heartbeats(&mut self, connection: ConnectionId, heartbeats: &[protocol::Beat<'_>]) {
         for message in heartbeats {
             let name = Name::from(message.name);
--- a/crates/ledger/src/exchange/mod.rs
+++ b/crates/ledger/src/exchange/mod.rs
@@ -1,14 +1,17 @@
-//! The exchange between schedulers: anti-entropy of their logs, membership, orders and share transfers.
+//! The exchange between schedulers: anti-entropy of their logs, membership, directives and share transfers.
 //!
-//! Each scheduler keeps connections to a few neighbors, drawn anew now and then. On each connection both
-//! sides first tell a digest of the heads of all logs; where the digests differ, the heads, and from then on
-//! those that change. Rows go to whoever asks for them, in pieces. Orders and share transfers go ahead of
-//! rows. A peer that doesn't read is told nothing more until it does, and costs the others nothing.
+//! Each scheduler keeps connections to a few neighbors, redrawn from time to time. On each connection both
+//! sides first send a digest of the heads of all logs; where the digests differ, the heads, and from then on
+//! those that change. Entries are sent on request, in batches. Directives and share transfers go ahead of
+//! entries. Nothing is pushed to a peer that doesn't read until it does, and other peers are not delayed.
+//!
+//! The exchange owns the [`Ledger`] and all connection state. It runs on one thread: in production that of
+//! `threads`, in simulations that of the caller.
 //!
 //! - `peer`: a connection and what its peer knows
 //! - `cursor`: the state of replicating one set of logs with one peer
-//! - `receive`: decoding, greeting, dispatch
-//! - `replication`: heads and rows
+//! - `receive`: decoding, handshake, dispatch
+//! - `replication`: heads and entries
 //! - `work_logs`: which logs of few copies go to whom
 //! - `directives`, `heartbeat`, `share_transfers`: what else goes over a connection
 //! - `connections`, `neighbors`: which connections there are
@@ -38,12 +41,12 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 
-/// Heads, heartbeats or orders in one message.
+/// Heads, heartbeats or directives in one message.
 const MAX_ITEMS: usize = 512;
-/// A peer with more unwritten bytes than this is told nothing more until they are written.
+/// Nothing more is pushed to a peer with more unsent bytes than this.
 const MAX_UNSENT_BYTES: usize = 256 * 1024;
 
-/// A scheduler that books are exchanged with.
+/// A scheduler with which logs are exchanged.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Member {
     /// Its name, by which all members know it.
@@ -59,28 +62,28 @@
     pub bytes_in: u64,
     /// Bytes written.
     pub bytes_out: u64,
-    /// Rows received that were new.
+    /// Entries received that were new.
     pub entries_in: u64,
-    /// Peers that broke the protocol and were cut off.
+    /// Peers that broke the protocol and were disconnected.
     pub protocol_errors: u64,
     /// Forked logs that were found.
     pub forks: u64,
-    /// Asks for parts of others' shares.
+    /// Requests for parts of other members' shares.
     pub share_requests: u64,
-    /// Parts of shares that were received.
+    /// Share replies received that granted something.
     pub share_grants: u64,
 }
 
-/// When a member is called again after failures.
+/// When a connection to a member is retried after failures.
 #[derive(Debug, Default)]
 struct Retry {
-    /// Connections that didn't come up since the last one that did.
+    /// Failed attempts since the last connection that was established.
     failures: u32,
-    /// It is not called before this instant.
+    /// No attempt is made before this time.
     not_before: Timestamp,
 }
 
-/// The exchange of one scheduler with all others: a party without I/O of its own.
+/// The exchange of one scheduler with all others: a state machine without I/O.
 pub struct Exchange {
     ledger: Ledger,
     pools: Arc<SharedPools>,
@@ -88,17 +91,17 @@
     /// The other members and where they listen.
     addresses: BTreeMap<Name, String>,
     peers: BTreeMap<ConnectionId, Peer>,
-    /// Connections on which something came that is not yet decoded.
+    /// Connections with received bytes that are not yet decoded.
     arrived: BTreeSet<ConnectionId>,
     neighbors: BTreeSet<Name>,
-    /// Who holds our work log: neighbors, for as long as they do.
+    /// The replicas of our work log; they are neighbors for as long as they are replicas.
     replicas: Vec<Name>,
-    /// The members that could, and whether we write one, when they were chosen; and when to look again.
+    /// The members that could be replicas, and whether we write a work log, at the last choice.
     usable_replicas: (Vec<Name>, bool),
     choose_replicas_at: Timestamp,
     redraw_neighbors_at: Timestamp,
     connect_dead_at: Timestamp,
-    /// For what is drawn beside the ledger's draws.
+    /// Random source beside the ledger's own.
     random: Pcg,
     retries: BTreeMap<Name, Retry>,
     banned_until: BTreeMap<Name, Timestamp>,
@@ -110,11 +113,11 @@
     /// The time of day, in milliseconds of Unix time.
     utc_ms: u64,
     now: Timestamp,
-    /// When the next turn was asked for.
+    /// When the next poll was due, as of the last one.
     expected_poll_at: Option<Timestamp>,
-    /// Another turn is wanted at once.
+    /// Another poll is due at once.
     poll_again: bool,
-    /// The first turn has been.
+    /// The first poll has run.
     has_polled: bool,
     counters: ExchangeCounters,
     /// Space for encoding a message.
@@ -122,7 +125,8 @@
 }
 
 impl Exchange {
-    /// `incarnation` is greater at each start.
+    /// An exchange with `members` (this one included). `incarnation` must be greater at each start;
+    /// `persisted` is what the store had.
     pub fn new(
         settings: Settings,
         members: Vec<Member>,
@@ -164,14 +168,14 @@
         }
     }
 
-    /// It neither reads nor writes work logs, as versions before them: for trials of fleets of both.
+    /// Makes it neither read nor write work logs, as earlier versions do; for tests of mixed fleets.
     #[must_use]
     pub fn without_work_logs(mut self) -> Self {
         self.ledger = self.ledger.without_work_logs();
         self
     }
 
-    /// Who holds our work log, the first choice first.
+    /// The replicas of our work log, the first choice first.
     pub fn replicas(&self) -> &[Name] {
         &self.replicas
     }
@@ -186,17 +190,17 @@
         self.counters
     }
 
-    /// The time of day for the next turn, in milliseconds of Unix time.
+    /// The time of day for the next poll, in milliseconds of Unix time.
     pub fn set_clock(&mut self, utc_ms: u64) {
         self.utc_ms = utc_ms;
     }
 
-    /// What is to be persisted; `on_durable` tells when it is.
+    /// The changes to persist; [`on_durable`](Self::on_durable) is to be called once they are.
     pub fn take_changes(&mut self) -> LogChanges {
         self.ledger.take_changes()
     }
 
-    /// The last of our own rows among changes, of each of our logs.
+    /// The numbers of the last own entries among changes, for each kind of log; zero for none.
     pub fn last_own_entries(&self, changes: &LogChanges) -> LogPositions {
         let own = self.ledger.fleet_logs().own_id();
         let last = |changes: &[LogChange]| {
@@ -209,25 +213,25 @@
         LogPositions { fleet: last(&changes.fleet), work: last(&changes.work) }
     }
 
-    /// Our own rows up to these are on disk.
+    /// Own entries up to these numbers are on disk, and may be announced.
     pub fn on_durable(&mut self, reached: LogPositions) {
         self.ledger.on_durable(reached);
         self.poll_again = true;
     }
 
-    /// Orders of the operators, from their file.
+    /// Applies directives of the operators' file.
     pub fn apply_directives(&mut self, directives: &[Directive]) {
         directives.iter().for_each(|directive| self.ledger.apply_directive(directive));
         self.poll_again = true;
     }
 
-    /// Whether nobody is connected.
+    /// Whether no peer is connected.
     pub fn is_alone(&self) -> bool {
         !self.peers.values().any(|peer| peer.established)
     }
 
-    /// Where this turn comes much later than it was asked for, the process was paused: that is no silence of
-    /// the others.
+    /// Where this poll comes much later than it was due, the process was paused: the peers' silence of that
+    /// time doesn't count.
     fn on_process_pause(&mut self) {
         let late =
             self.expected_poll_at.map_or(Duration::ZERO, |expected_poll_at| self.now - expected_poll_at);
@@ -237,7 +241,7 @@
         }
     }
 
-    /// Lets the ledger act where it is time to, or where the planner asks for it.
+    /// Ticks the ledger where a tick is due or requested.
     fn tick_ledger(&mut self) {
         let pools = self.pools.clone();
         if pools.take_machines_reported() {
@@ -263,8 +267,7 @@
         }
     }
 
-    /// The earliest instant at which something can be pushed. A peer that doesn't read is told more once it
-    /// has read.
+    /// The earliest time at which something can be pushed. Peers that don't read are left out.
     fn next_push_at(&self) -> Option<Timestamp> {
         let next = |kind: LogKind| {
             let revision = self.ledger.logs(kind).revision();
--- a/crates/ledger/src/exchange/neighbors.rs
+++ b/crates/ledger/src/exchange/neighbors.rs
@@ -1,4 +1,4 @@
-//! Neighbors: the few members to whom connections are kept, drawn at random and redrawn now and then.
+//! Neighbors: the few members to whom connections are kept, drawn at random and redrawn from time to time.
 
 use super::Exchange;
 use mulleinhub_interface::Duration;
@@ -9,18 +9,18 @@
 const NEIGHBORS: usize = 3;
 /// Of those, at least so many are drawn.
 const MIN_DRAWN: usize = 1;
-/// One of them is drawn anew this often, so that two halves of the fleet that have met nobody of each other
-/// meet.
+/// One of them is redrawn this often, so that two halves of the fleet without connections between them get
+/// connected.
 const REDRAW_INTERVAL: Duration = Duration::from_secs(20);
-/// One of the members that are taken for dead is called this often.
+/// A connection to one of the members that seem dead is attempted this often.
 const CONNECT_DEAD_INTERVAL: Duration = Duration::from_secs(5);
-/// Where this part of the members is silent, it is a cut.
+/// Where this fraction of the members is silent, a network partition is assumed.
 const PARTITION_SILENT_FRACTION: f64 = 0.25;
 /// Part of these intervals that is drawn at random.
 const REDRAW_JITTER: f64 = 0.25;
 
 impl Exchange {
-    /// Drops a neighbor where it is time to, and draws those that are missing.
+    /// Drops a neighbor where that is due, and draws those that are missing.
     pub(super) fn update_neighbors(&mut self) {
         if self.now >= self.redraw_neighbors_at {
             self.redraw_neighbors_at =
@@ -39,9 +39,9 @@
         NEIGHBORS.saturating_sub(self.replicas.len()).max(MIN_DRAWN)
     }
 
-    /// Calls one of the members that are silent, where there are any. The failure defended against: two
-    /// parts of the fleet that lost each other for long took all of each other for dead, and with enough
-    /// members alive in either part nobody was ever called across.
+    /// Connects to one of the silent members, where there are any. Guards against: after a long partition
+    /// each side took all members of the other for dead, and with enough members alive on either side no
+    /// connection across was ever attempted.
     fn connect_to_dead_member(&mut self) {
         if self.now < self.connect_dead_at || self.ledger.phase() == Phase::CatchingUp {
             return;
@@ -50,7 +50,7 @@
             self.now + CONNECT_DEAD_INTERVAL * (1.0 - REDRAW_JITTER * self.random.fraction());
         let member_state = |name: &&Name| self.ledger.membership.member_state(self.now, name);
         let silent = self.addresses.keys().filter(|name| member_state(name) != MemberState::Alive).count();
-        // One that is late is not called for that, unless many are at once: a cut.
+        // Suspect members are tried only in a partition, that is, where many are silent at once.
         let is_partition = silent as f64 >= self.addresses.len() as f64 * PARTITION_SILENT_FRACTION;
         let is_dead = |name: &&Name| match member_state(name) {
             MemberState::Alive => false,
@@ -66,7 +66,8 @@
         self.connect(&name);
     }
 
-    /// Nothing came on the connection to a neighbor for longer than usual, or it doesn't come up.
+    /// Whether nothing was received from a neighbor for longer than usual, or the connection isn't
+    /// established.
     fn is_unresponsive(&self, name: &Name) -> bool {
         let mut connections = self.peers.values().filter(|peer| peer.is(name)).peekable();
         let is_connected = connections.peek().is_some();
@@ -74,12 +75,12 @@
     }
 
     /// Draws the neighbors that are missing, among the members that are alive where there are enough.
-    /// Doubtful neighbors don't count, so that others are drawn beside them. The failure defended against: a
-    /// member whose neighbors were all in the half that it was cut off from could tell nobody anything,
+    /// Unresponsive neighbors don't count, so that others are drawn beside them. Guards against: a
+    /// member whose neighbors were all in the half that it was partitioned from could push nothing,
     /// though there were others in its own half.
     fn draw_neighbors(&mut self) {
         let responsive = self.neighbors.iter().filter(|name| !self.is_unresponsive(name)).count();
-        // Where others are drawn beside doubtful ones, there are up to twice as many.
+        // With others drawn beside unresponsive ones, there are up to twice as many neighbors.
         let wanted = self.wanted_neighbors();
         let capacity = (2 * wanted).saturating_sub(self.neighbors.len());
         let missing = wanted.saturating_sub(responsive).min(capacity);
@@ -114,7 +115,7 @@
         candidates
     }
 
-    /// Drops a neighbor at random, a doubtful one where there are any.
+    /// Drops a neighbor at random, an unresponsive one where there are any.
     fn drop_neighbor(&mut self) {
         let unresponsive: Vec<&Name> =
             self.neighbors.iter().filter(|name| self.is_unresponsive(name)).collect();
--- a/crates/ledger/src/exchange/receive.rs
+++ b/crates/ledger/src/exchange/receive.rs
@@ -1,4 +1,4 @@
-//! Receiving: decoding what came on the connections, the greeting, and the dispatch of messages.
+//! Receiving: decoding received bytes, the handshake, and the dispatch of messages.
 
 use super::Exchange;
 use super::cursor::{EntryRequest, ReceivedEntries};
@@ -10,21 +10,21 @@
 use mulleinhub_replicated_log::{LogId, Name, SplitAmount};
 use mulleinhub_sans_io::ConnectionId;
 
-/// Frames of one peer that are decoded in a turn.
+/// Frames of one peer that are decoded in one poll.
 const MAX_FRAMES_PER_POLL: usize = 64;
 /// Bytes of one peer that may wait to be decoded; with more, reading from its connection pauses.
 const MAX_UNDECODED_BYTES: usize = 512 * 1024;
 
-/// Whether a message was one of the session itself: greeting, signs of life, the end.
+/// Whether a message was one of the session itself: handshake, keep-alive, close.
 enum MessageOutcome {
     /// It was, and has been handled.
     Handled,
-    /// It is one of the exchange of books.
+    /// It concerns the ledger.
     LedgerMessage,
 }
 
 impl Exchange {
-    /// Decodes and handles what came since the last turn, a bounded number of frames of each peer.
+    /// Decodes and handles what was received since the last poll, a bounded number of frames of each peer.
     pub(super) fn receive_all(&mut self) {
         for connection in std::mem::take(&mut self.arrived) {
             let Some(peer) = self.peers.get_mut(&connection) else { continue };
@@ -42,7 +42,7 @@
         self.poll_again |= !self.arrived.is_empty();
     }
 
-    /// Handles frames of one peer; those beyond the bound wait for the next turn.
+    /// Handles frames of one peer; those beyond the bound wait for the next poll.
     fn receive_frames(&mut self, connection: ConnectionId, frames: &mut Frames) -> Result<(), Bad> {
         for _ in 0..MAX_FRAMES_PER_POLL {
             let Some(frame) = frames.next_frame()? else { return Ok(()) };
@@ -64,7 +64,7 @@
         }
     }
 
-    /// Handles a message where it is one of the session: greeting, signs of life, the end.
+    /// Handles a message where it is one of the session: handshake, keep-alive, close.
     fn receive_session_message(
         &mut self,
         connection: ConnectionId,
@@ -109,7 +109,7 @@
         Ok(MessageOutcome::Handled)
     }
 
-    /// Handles a message for the books, of a peer that has greeted.
+    /// Handles a message for the ledger, of a peer whose handshake is complete.
     fn receive_ledger_message(&mut self, connection: ConnectionId, message: &Message<'_>) -> Result<(), Bad> {
         let Some(sender) = self.peers.get(&connection).and_then(|peer| peer.name.clone()) else {
             return Ok(());
@@ -172,7 +172,7 @@
             if let Some(peer) = self.peers.get_mut(&connection) {
                 peer.work.allow_push();
             }
-            // Before the digest: where that is all that a peer lacks, it has heard of its work logs, too.
+            // Before the digest: a peer that lacks nothing else then already knows of its work logs.
             self.push_work_heads(connection);
             self.write_digest(connection);
         }
--- a/crates/ledger/src/exchange/replication.rs
+++ b/crates/ledger/src/exchange/replication.rs
@@ -1,7 +1,7 @@
-//! Replication of the logs: pushing and receiving heads, requesting, serving and receiving rows.
+//! Replication of the logs: pushing and receiving heads, requesting, serving and receiving entries.
 //!
-//! What is known of a peer stands in its [`LogCursor`](super::cursor::LogCursor), what is known of the logs
-//! in the library; here both meet, and become messages.
+//! What a peer knows is recorded in its [`LogCursor`](super::cursor::LogCursor), the logs are in the log
+//! store; this module turns the difference into messages.
 
 use super::cursor::{Assembled, EntryRequest, NewHeads, ReceivedEntries};
 use super::heartbeat::{self, MemberHeartbeat};
@@ -13,13 +13,13 @@
 use mulleinhub_sans_io::ConnectionId;
 use std::collections::BTreeSet;
 
-/// Bytes of rows in one message. A single row may be longer: it goes in several pieces.
+/// Bytes of entries in one message. A longer single entry is sent in several parts.
 const MAX_ENTRY_BYTES_PER_MESSAGE: usize = 64 * 1024;
-/// A message with so many bytes of rows is part of catching up, for which a connection is kept. Those that
-/// tell what was written lately are much shorter, and come from whichever peer tells of it first.
+/// A message with this many bytes of entries is part of catching up, and counts as use of the connection.
+/// Messages with recent entries are much shorter, and come from whichever peer announces them first.
 const CATCH_UP_BYTES: usize = MAX_ENTRY_BYTES_PER_MESSAGE / 2;
 
-/// The part of a long row that goes in one message.
+/// The part of a long entry that one message carries.
 struct EntryPart {
     /// Offset of its first byte.
     skip: usize,
@@ -27,13 +27,13 @@
     remaining: usize,
 }
 
-/// The digest that came over the wire.
+/// The digest in a message of the protocol.
 pub(super) fn digest_from_bytes(bytes: &[u8]) -> Digest {
     // Its length was checked when it was decoded.
     Digest(bytes.try_into().unwrap_or_default())
 }
 
-/// The head that came over the wire.
+/// The head in a message of the protocol.
 fn head_from_message(message: &protocol::Tip<'_>) -> LogHead {
     let id = LogId { writer: message.writer.into(), incarnation: message.life };
     LogHead { id, number: message.number, digest: digest_from_bytes(message.digest) }
@@ -49,9 +49,9 @@
     }
 }
 
-/// Cuts rows to what fits into one message, where the first of them is longer than that: its next piece,
-/// from byte `skip` on, and no other row. The asker has the bytes before `skip` of the row that it asks for:
-/// `is_requested_entry` tells whether that is the first of these.
+/// Where the first entry is longer than one message, leaves only its next part, from byte `skip` on. The
+/// requester has the bytes before `skip` of the entry that it requests; `is_requested_entry` says whether
+/// that is the first of `entries`.
 fn cut_long_entry(entries: &mut Vec<&[u8]>, skip: usize, is_requested_entry: bool) -> EntryPart {
     let Some(first) = entries.first_mut() else { return EntryPart { skip, remaining: 0 } };
     let skip = if is_requested_entry && skip < first.len() { skip } else { 0 };
@@ -74,10 +74,10 @@
         self.write(connection, &Message::Tips { all: &all.0, tips, beats, whole: false, log: None });
     }
 
-    /// Takes in the heads that a peer told; `all` is its digest of all.
+    /// Records the heads that a peer sent; `all` is its digest of all heads.
     ///
     /// # Errors
-    /// Where it tells of a work log that is none of its business.
+    /// Where it announces a work log that is neither its own nor ours.
     pub(super) fn receive_heads(
         &mut self,
         connection: ConnectionId,
@@ -97,7 +97,8 @@
         Ok(())
     }
 
-    /// Pushes what is new to a peer: orders, heads, heartbeats. A peer that doesn't read gets nothing.
+    /// Pushes what is new to a peer: directives, heads, heartbeats. Nothing is pushed to a peer that doesn't
+    /// read.
     pub(super) fn push(&mut self, connection: ConnectionId) {
         if self.connections.pending_bytes(connection) > MAX_UNSENT_BYTES {
             return;
@@ -144,7 +145,8 @@
         self.write(connection, &Message::Tips { all: &all.0, tips, beats, whole: new.complete, log: None });
     }
 
-    /// Tells the ledger, while it is catching up, which members have told all and have nothing that we lack.
+    /// Tells the ledger, while it is catching up, which members have announced all their heads and have
+    /// nothing that we lack.
     pub(super) fn note_caught_up(&mut self) {
         if self.ledger.phase() != Phase::CatchingUp {
             return;
@@ -156,16 +158,16 @@
         }
     }
 
-    // Rows.
+    // Entries.
 
-    /// The logs that some peer was asked for, while the answers can still be expected.
+    /// The logs for which requests to any peer are in flight.
     pub(super) fn pending_logs(&self, kind: LogKind) -> BTreeSet<LogId> {
         let pending = self.peers.values().filter_map(|peer| peer.cursor(kind).pending_log(self.now));
         pending.cloned().collect()
     }
 
-    /// Asks a peer for rows that it has and we lack. One log at a time is asked of each peer, and no log of
-    /// two: `pending` are those that some peer was asked for.
+    /// Requests entries that a peer has and we lack. One log at a time is requested from each peer, and no
+    /// log from two peers: `pending` are the logs for which requests are in flight.
     pub(super) fn request_entries(
         &mut self,
         connection: ConnectionId,
@@ -187,7 +189,7 @@
         self.write(connection, &Message::Want { writer, life, after, digest: &digest.0, skip, log });
     }
 
-    /// Answers a peer that asks for rows: with none where we have none for it.
+    /// Answers a request for entries; the reply is empty where we have none.
     pub(super) fn serve_entries(&mut self, connection: ConnectionId, kind: LogKind, request: &EntryRequest) {
         let EntryRequest { id, after, digest, skip } = request;
         let LogId { writer, incarnation: life } = id;
@@ -200,7 +202,7 @@
             let message = Message::Rows { writer, life, after, digest, rows, skip, rest, log };
             return self.write(connection, &message);
         };
-        // Small rows may be more than a message holds, though their bytes are few. The asker asks again.
+        // A message holds a limited number of entries, however small. The requester requests the rest.
         let entries = piece.entries.iter().take(protocol::MOST_TIPS);
         let mut entries: Vec<&[u8]> = entries.map(|entry| &**entry).collect();
         let part = cut_long_entry(&mut entries, *skip as usize, piece.after == *after);
@@ -218,18 +220,18 @@
         self.note_entries_transferred(connection, bytes);
     }
 
-    /// Rows went over a connection. The failure defended against: where any rows count as use, no connection
-    /// that was ever opened goes unused while there is work, and each member stays connected to all.
+    /// Entries went over a connection. Guards against: where any entries counted as use, no connection
+    /// became idle while there was work, and each member stayed connected to all.
     fn note_entries_transferred(&mut self, connection: ConnectionId, bytes: usize) {
         if bytes >= CATCH_UP_BYTES {
             self.mark_used(connection);
         }
     }
 
-    /// Takes in rows that a peer sent.
+    /// Handles entries that a peer sent.
     ///
     /// # Errors
-    /// Where they don't follow what was sent before, or the library refuses them.
+    /// Where they don't follow what was sent before, or the log store rejects them.
     pub(super) fn receive_entries(
         &mut self,
         connection: ConnectionId,
@@ -252,7 +254,7 @@
         }
     }
 
-    /// Takes whole rows into the library.
+    /// Appends complete entries to the log store.
     fn append_entries(
         &mut self,
         connection: ConnectionId,
--- a/crates/ledger/src/exchange/share_transfers.rs
+++ b/crates/ledger/src/exchange/share_transfers.rs
@@ -1,4 +1,4 @@
-//! Share transfers: asking other members for parts of their shares of a team's cap, and answering.
+//! Share transfers: requests to other members for parts of their shares of a team's cap, and the replies.
 
 use super::Exchange;
 use mulleinhub_protocol::Message;
@@ -7,14 +7,14 @@
 use mulleinhub_sans_io::ConnectionId;
 
 impl Exchange {
-    /// A member asks for a part of our share.
+    /// Handles a member's request for a part of our share.
     pub(super) fn receive_share_request(&mut self, connection: ConnectionId, request: &ShareRequest) {
         let pools = self.pools.clone();
         self.ledger.on_share_request(self.now, &request.to, request.incarnation, request, &mut &*pools);
         self.mark_used(connection);
     }
 
-    /// A member answers what we asked it for: with a part of its share, or nothing.
+    /// Handles a member's reply to our request: the amount it granted, which may be zero.
     pub(super) fn receive_share_reply(
         &mut self,
         connection: ConnectionId,
@@ -27,7 +27,7 @@
         self.mark_used(connection);
     }
 
-    /// Sends the asks and answers that are due.
+    /// Sends the requests and replies that are due.
     pub(super) fn transfer_shares(&mut self) {
         for request in self.ledger.take_share_requests() {
             self.send_share_request(&request);
@@ -39,7 +39,7 @@
 
     fn send_share_request(&mut self, request: &ShareRequest) {
         let Some(connection) = self.connection_to(&request.to) else {
-            // It is called, and asked once it is there: the ledger asks again.
+            // Not connected yet: the ledger repeats the request once the connection may be there.
             self.connect(&request.to);
             return;
         };
@@ -58,7 +58,7 @@
 
     fn send_share_reply(&mut self, reply: &ShareReply) {
         let Some(connection) = self.connection_to(&reply.to) else { return };
-        // The head of our log goes first, so that what was given can be used at once.
+        // The head of our log is pushed first, so that the requester can use the grant at once.
         self.push_now(connection);
         let ShareReply {
             team,
--- a/crates/ledger/src/exchange/status.rs
+++ b/crates/ledger/src/exchange/status.rs
@@ -1,4 +1,4 @@
-//! Status lines for the operators.
+//! Status lines for the operators. Their format is documented in docs/books.md.
 
 use super::Exchange;
 use mulleinhub_interface::Duration;
@@ -9,7 +9,7 @@
 const STATUS_INTERVAL: Duration = Duration::from_secs(1);
 
 impl Exchange {
-    /// Hands out new status lines where it is time to.
+    /// Updates the status lines where that is due.
     pub(super) fn update_status(&mut self) {
         if self.now < self.status_at {
             return;
@@ -30,7 +30,7 @@
         self.pools.set_status(lines);
     }
 
-    /// Who holds our work log, where we write one, and whose we hold.
+    /// How many replicas hold our work log, where we write one, and how many members' copies we hold.
     fn work_log_line(&self) -> Option<String> {
         let wanted = self.ledger.settings().replicas?;
         if !self.ledger.writes_work_log() {
@@ -62,7 +62,7 @@
     }
 }
 
-/// What is known of a team's account.
+/// The status line of a team.
 fn team_line(team: &TeamStatus) -> String {
     format!(
         "team {} month {}-{:02} cap {} spent {} beyond {} free here {} + {} at hand {} + {}{}{}",
--- a/crates/ledger/src/exchange/work_logs.rs
+++ b/crates/ledger/src/exchange/work_logs.rs
@@ -1,9 +1,9 @@
 //! Replication of work logs: each member's goes to its replicas alone, and back to itself when it restarts.
 //!
-//! The writer tells the head of its own work log to its replicas, which are neighbors for as long as they
-//! are replicas. Whoever holds a copy of somebody's work log tells its head to that member, and to nobody
-//! else: one that restarts learns from it what its earlier lives wrote. Requests and rows are those of the
-//! fleet logs.
+//! The writer announces the head of its own work log to its replicas, which are neighbors for as long as they
+//! are replicas. A member that holds a copy of another's work log announces its head to that member only:
+//! from it a restarted member learns what its earlier incarnations wrote. Requests and entries are those of
+//! the fleet logs.
 
 use super::cursor::NewHeads;
 use super::replication::head_message;
@@ -13,13 +13,14 @@
 use mulleinhub_replicated_log::{Digest, LogHead, LogKind, MemberState, Name};
 use mulleinhub_sans_io::ConnectionId;
 
-/// Least time between two looks at who can be a replica.
+/// Least time between two choices of replicas.
 const CHOICE_INTERVAL: Duration = Duration::from_nanos(200_000_000);
-/// A member to which no connection comes up is no replica, though others hear of it; it is tried again
-/// after this.
+/// A member to which no connection can be established is no replica, even where others hear from it; it is
+/// considered again after this.
 const UNREACHABLE_FOR: Duration = Duration::from_secs(20);
+/// Failed connection attempts in a row after which a member counts as unreachable.
 const UNREACHABLE_AFTER: u32 = 2;
-/// A replica that lacks no more rows than this, which may be under way, holds our work log.
+/// A replica that lacks at most this many entries, which may be in flight, holds our work log.
 const MAX_ENTRIES_IN_FLIGHT: u64 = 64;
 
 /// The kind of logs that a message is about.
@@ -27,7 +28,7 @@
     log.map_or(LogKind::Fleet, |SideLog::Work| LogKind::Work)
 }
 
-/// How a message says so.
+/// The field of a message that names a kind of logs.
 pub(super) fn side_log(kind: LogKind) -> Option<SideLog> {
     match kind {
         LogKind::Fleet => None,
@@ -38,7 +39,7 @@
 impl Exchange {
     // Which members are replicas.
 
-    /// Chooses the replicas anew where other members can be reached than before.
+    /// Chooses the replicas again where the set of reachable members has changed.
     pub(super) fn update_replicas(&mut self) {
         if self.now < self.choose_replicas_at {
             return;
@@ -56,7 +57,7 @@
         }
         tracing::debug!(?replicas, "replicas of our work log changed");
         self.replicas = replicas;
-        // Those that are new get all that the others were told long ago.
+        // New replicas need all heads, also those that were pushed to the others long ago.
         self.peers.values_mut().for_each(|peer| peer.work.resend_all());
     }
 
@@ -89,7 +90,7 @@
             && self.peers.get(&connection).is_some_and(|peer| peer.established && peer.reads_work_logs)
     }
 
-    /// Tells a peer the heads of work logs that concern it and are new to it.
+    /// Pushes to a peer the heads of work logs that concern it and are new to it.
     pub(super) fn push_work_heads(&mut self, connection: ConnectionId) {
         if !self.shares_work_logs(connection) || self.connections.pending_bytes(connection) > MAX_UNSENT_BYTES
         {
@@ -116,10 +117,10 @@
         self.write(connection, &Message::Tips { all: &all.0, tips, beats: Vec::new(), whole: complete, log });
     }
 
-    /// Takes in heads of work logs that a peer told.
+    /// Records heads of work logs that a peer sent.
     ///
     /// # Errors
-    /// Where it tells of a work log that is neither its own nor ours: nobody has to ask it for that.
+    /// Where it announces a work log that is neither its own nor ours.
     pub(super) fn receive_work_heads(
         &mut self,
         connection: ConnectionId,
@@ -141,21 +142,21 @@
         if let Some(head) = heads.iter().find(|head| head.id == own) {
             peer.own_work_entries = peer.own_work_entries.max(head.number);
         }
-        // What earlier lives of ours wrote is wanted until this one begins to write.
+        // Entries of our earlier incarnations are requested only until this one begins to write.
         let is_relevant = |head: &LogHead| head.id.writer != me || !log_store.is_open() || head.id == own;
         let heads = heads.into_iter().filter(is_relevant).collect();
         peer.work.receive_heads(log_store, all, heads, complete);
         Ok(())
     }
 
-    /// Answers a request for rows of our own work log: the asker has it up to there.
+    /// Entries of our own work log up to `number` were served to a replica.
     pub(super) fn on_replica_has(&mut self, connection: ConnectionId, number: u64) {
         if let Some(peer) = self.peers.get_mut(&connection) {
             peer.own_work_entries = peer.own_work_entries.max(number);
         }
     }
 
-    /// The features that we greet with.
+    /// The protocol features that our handshake announces.
     pub(super) fn features(&self) -> u64 {
         if self.ledger.reads_work_logs() { protocol::BOOKS } else { protocol::WORK_LOGS - 1 }
     }
--- a/crates/ledger/src/lib.rs
+++ b/crates/ledger/src/lib.rs
@@ -1,7 +1,8 @@
-//! The quota ledger of one scheduler: its exchange with other schedulers, its store, and the planner's access.
+//! The quota ledger of one scheduler: its exchange with other schedulers, its store, and the planner's
+//! access.
 //!
 //! - `exchange`: the state machine that exchanges logs, directives and quota transfers with other members. It
-//!   does no I/O, so that simulations in virtual time run the same code. It owns the [`mulleinhub_quota::Ledger`].
+//!   does no I/O, so that simulations in virtual time run the same code, and owns the ledger.
 //! - `shared_pools`: the reservation pools, which the planner's event loop and the exchange share.
 //! - `store`: persistence of the logs on disk.
 //! - `threads`: the threads that run the exchange and the store beside the planner's event loop.
--- a/crates/ledger/src/store.rs
+++ b/crates/ledger/src/store.rs
@@ -1,7 +1,7 @@
 //! Persistence of the logs: entries by writer, incarnation and number, in an embedded database.
 //!
-//! Fleet logs and work logs have a table each; versions that know no work logs leave that table alone. Used by
-//! the store thread alone, which commits changes in groups.
+//! Fleet logs and work logs have a table each; versions that know no work logs leave that table alone. Used
+//! by the store thread alone, which commits changes in groups.
 
 use mulleinhub_replicated_log::{Digest, LogChange, LogChanges, LogId, Name, PersistedEntry, PersistedLogs};
 use redb::{
--- a/crates/ledger/src/threads.rs
+++ b/crates/ledger/src/threads.rs
@@ -180,8 +180,8 @@
             group.extend(more);
             last = last.max(reached);
         }
-        // Nothing is announced before it is durable: with a full disk this planner goes on with the quota that
-        // it has reserved.
+        // Nothing is announced before it is durable: with a full disk this planner goes on with the quota
+        // that it has reserved.
         while let Err(error) = store.persist(&group) {
             tracing::error!(
                 %error,
