--- a/crates/ledger/tests/connections.rs
+++ b/crates/ledger/tests/connections.rs
@@ -1,4 +1,4 @@
-//! Connections: each scheduler keeps a few, whatever their number, also where each second brings rows.
+//! Connections: each scheduler keeps a few, whatever their number, also where each second brings new entries.
 
 #![cfg(not(feature = "explored"))]
 
@@ -14,7 +14,7 @@
 const MOST_ON_AVERAGE: usize = 3 * NEIGHBORS;
 /// And of each one: some are drawn by more of the others.
 const MOST: usize = 5 * NEIGHBORS;
-/// Each worker reserves this, as `Network::add` has it.
+/// Each worker reserves this much, as `Network::add` has it.
 const RESERVATION: u64 = 200;
 
 fn cap_for(workers: u64) -> u64 {
--- a/crates/ledger/tests/exchange.rs
+++ b/crates/ledger/tests/exchange.rs
@@ -1,4 +1,4 @@
-//! Several schedulers' books, with faults between them, as short stories.
+//! The exchange between several schedulers, with faults between them.
 
 #![cfg(not(feature = "explored"))]
 
@@ -11,7 +11,7 @@
 use network::*;
 use std::collections::BTreeMap;
 
-/// New workers may use nine tenths of the cap; each reserves this.
+/// New workers may use nine tenths of the cap; each reserves this much.
 const RESERVATION: u64 = 200;
 
 fn cap_for(workers: u64) -> u64 {
@@ -31,13 +31,13 @@
         added += network.add_many(0, round * 100, 20).len();
         network.run(ms(200));
     }
-    // What runs is paid out of the same part: two seconds' worth is spent on the way.
+    // Running tasks are paid from the same part: two seconds' worth is spent meanwhile.
     assert!((200..=300).contains(&added), "{added} of 300 were added");
     let spent = network.node(0).exchange.ledger().team_statuses()[1].spent;
     let left: u64 = (0..3).map(|n| network.node(n).exchange.ledger().team_statuses()[1].free.open).sum();
     assert!(left * 100 < cap_for(300), "{left} is left in shares, {spent} spent");
-    let asks = network.counted["share-ask"];
-    assert!(asks < 40, "{asks} asks for parts of shares");
+    let share_requests = network.message_counts["share-ask"];
+    assert!(share_requests < 40, "{share_requests} share requests");
 }
 
 #[test]
@@ -52,8 +52,8 @@
     }
     network.run(ms(2_000));
     assert!((60..=100).contains(&added), "{added} of 100 were added");
-    let asks = network.counted["share-ask"];
-    assert!(asks <= 5 * 12, "2,000 asks of owners made {asks} questions");
+    let share_requests = network.message_counts["share-ask"];
+    assert!(share_requests <= 5 * 12, "2,000 requests of clients made {share_requests} share requests");
 }
 
 #[test]
@@ -62,23 +62,23 @@
     network.node(1).disk_blocked = true;
     assert_eq!(network.fill(0, 0, 46).len(), 46, "its own half");
     network.run(ms(600));
-    assert!(network.counted.contains_key("share-ask"), "it runs out");
-    assert!(!network.counted.contains_key("share-given"), "the other's disk is held up");
+    assert!(network.message_counts.contains_key("share-ask"), "it runs out");
+    assert!(!network.message_counts.contains_key("share-given"), "the other's disk is held up");
     let got = |network: &mut Network| {
         network.node(0).exchange.ledger().fleet_logs().transferred_in(&name(0), 0, &"pay".into(), 24_321)
     };
     assert_eq!(got(&mut network).open, 0);
-    // On disk, and killed before it is told.
-    network.cut.insert((0, 1));
+    // On disk, and killed before it is announced.
+    network.partitioned.insert((0, 1));
     network.node(1).disk_blocked = false;
     network.run(ms(50));
     let disk = network.kill(1);
-    network.cut.clear();
+    network.partitioned.clear();
     network.run(ms(300));
     assert_eq!(got(&mut network).open, 0);
     network.start(1, disk);
     network.run(ms(2_000));
-    assert!(got(&mut network).open > 0, "its column tells of the gift");
+    assert!(got(&mut network).open > 0, "its log contains the transfer");
     let all = network.heads_digests();
     assert_eq!(all[0], all[1]);
 }
@@ -97,7 +97,7 @@
         let status = network.node(2).exchange.ledger().team_statuses()[1].clone();
         let free = status.free.open + status.available.open;
         assert_eq!(free > 10_000, keeps, "{status:?}");
-        // Either way it can add: by gifts where it has nothing itself.
+        // Either way it can admit: by quota transfers where it has nothing itself.
         assert_eq!(network.fill(2, 200, 5).len(), 5, "keeps its store: {keeps}");
     }
 }
@@ -110,26 +110,30 @@
     assert_eq!(network.fill(0, 0, 60).len(), 60);
     network.run(ms(1_500));
     network.kill(0);
-    network.cut.extend([(0, 1), (0, 2)]);
+    network.partitioned.extend([(0, 1), (0, 2)]);
     network.start(0, old);
     network.run(ms(20_000));
     assert_eq!(network.node(0).exchange.ledger().phase(), Phase::CatchingUp);
     assert!(network.add_many(0, 1_000, 10).is_empty());
-    // Healed, it learns that its store is old: what it had is spent, as far as anybody knows.
-    network.cut.clear();
+    // Once healed, it learns that its store is old: its former share counts as spent.
+    network.partitioned.clear();
     network.run(ms(6_000));
     assert_eq!(network.node(0).exchange.ledger().phase(), Phase::Writing);
     let status = network.node(0).exchange.ledger().team_statuses()[1].clone();
-    let life = network.node(0).exchange.ledger().incarnation();
-    let got =
-        network.node(0).exchange.ledger().fleet_logs().transferred_in(&name(0), life, &"pay".into(), 24_321);
-    assert!(status.free.open + status.available.open <= got.open, "{status:?}, gifts {got:?}");
+    let incarnation = network.node(0).exchange.ledger().incarnation();
+    let got = network.node(0).exchange.ledger().fleet_logs().transferred_in(
+        &name(0),
+        incarnation,
+        &"pay".into(),
+        24_321,
+    );
+    assert!(status.free.open + status.available.open <= got.open, "{status:?}, transfers {got:?}");
 }
 
 #[test]
 fn partitioned_scheduler_spends_only_its_share() {
     let mut network = Network::new(3, cap_for(300));
-    network.cut.extend([(0, 1), (0, 2)]);
+    network.partitioned.extend([(0, 1), (0, 2)]);
     network.run(ms(20_000));
     assert_eq!(member_state(&mut network, 0, 1), MemberState::Dead);
     let added = network.fill(0, 0, 200).len();
@@ -142,11 +146,11 @@
     let mut network = Network::new(24, cap_for(300));
     let across = |(a, b): &(usize, usize)| a % 2 != b % 2;
     let pairs = (0..24).flat_map(|a| (a + 1..24).map(move |b| (a, b)));
-    network.cut.extend(pairs.filter(across));
+    network.partitioned.extend(pairs.filter(across));
     network.run(Duration::from_secs(60));
     assert_eq!(member_state(&mut network, 0, 1), MemberState::Dead);
     assert_eq!(network.fill(0, 0, 5).len(), 5);
-    network.cut.clear();
+    network.partitioned.clear();
     network.run(Duration::from_secs(30));
     for n in 0..24 {
         assert!(
@@ -170,10 +174,10 @@
     network.kill(0);
     network.run(ms(500));
     assert!(network.add(1, 8).is_err(), "nobody knows of it");
-    let again = network.add(1, 7).expect("it ran");
-    assert_eq!((again.key, again.rate), (ran.key, ran.rate));
+    let readmitted = network.add(1, 7).expect("it ran");
+    assert_eq!((readmitted.key, readmitted.rate), (ran.key, ran.rate));
     network.run(ms(500));
-    assert!(network.add(2, 7).is_err(), "it has its place again");
+    assert!(network.add(2, 7).is_err(), "it was readmitted already");
 }
 
 #[test]
@@ -195,7 +199,7 @@
         assert!(free.is_err(), "a team of the same account, without a cap");
         assert_eq!(network.node(n).admission.admit(now, "other", TaskKey(80), resources, 0.5), Ok(None));
     }
-    // It could not be placed, and its owner asks another scheduler.
+    // It could not be placed, and its client submits it to another scheduler.
     network.node(3).admission.on_never_ran(now, taken.expect("its tenant is of a team"));
     assert_eq!(network.fill(1, 50, 1).len(), 1);
     network.apply_directive(2, acme(), 2, DirectiveAction::Reinstate {});
@@ -207,14 +211,14 @@
 fn conflicting_directives_converge_to_the_strictest() {
     let mut network = Network::new(3, cap_for(300));
     let acme = || Subject::Account("acme".into());
-    network.cut.extend([(0, 1), (0, 2), (1, 2)]);
+    network.partitioned.extend([(0, 1), (0, 2), (1, 2)]);
     network.run(ms(100));
     network.apply_directive(0, acme(), 1, DirectiveAction::Suspend { finish_by: None });
     network.apply_directive(1, acme(), 2, DirectiveAction::Reinstate {});
     network.apply_directive(2, acme(), 2, DirectiveAction::Suspend { finish_by: Some(9_999_999_999) });
     network.run(ms(500));
     assert_eq!(network.fill(1, 1, 1).len(), 1, "it knows of the clearing alone");
-    network.cut.clear();
+    network.partitioned.clear();
     network.run(ms(8_000));
     for n in 0..3 {
         assert!(network.add(n, 10 + n as u64).is_err(), "of one number the stricter holds");
@@ -251,7 +255,7 @@
         1,
         DirectiveAction::Suspend { finish_by: None },
     );
-    // The other one stands still from before the order until ten seconds later.
+    // The other process is paused from before the directive until ten seconds later.
     for _ in 0..1_000 {
         network.now = network.now + STEP;
         network.poll(0);
@@ -294,7 +298,7 @@
     assert!((9 * 200..=8_000).contains(&old), "{old}");
 }
 
-// Peers that speak wrongly.
+// Faulty peers.
 
 fn heads_digest(network: &mut Network, n: usize) -> Digest {
     network.node(n).exchange.ledger().fleet_logs().heads_digest()
@@ -329,7 +333,7 @@
         network.run(ms(3_000));
         assert_eq!(network.fill(0, 0, 3).len(), 3, "the others go on");
     }
-    // Rows that nobody asked for, or that don't follow, change nothing.
+    // Entries that were not requested, or that don't follow, change nothing.
     let mut network = Network::new(3, cap_for(30));
     let before = heads_digest(&mut network, 0);
     let rows = |life, after, digest| Message::Rows {
@@ -345,7 +349,7 @@
     network.intruder_sends(0, "s1", &[rows(99, 0, &first.0), want(99), want(2)]);
     network.run(ms(100));
     assert_eq!(heads_digest(&mut network, 0), before);
-    // It claims more rows of a column than there are, is asked for them, and sends what doesn't chain.
+    // It announces more entries of a log than there are, gets a request, and sends entries that don't chain.
     let head_announcement = protocol::Tip { writer: "s1", life: 2, number: 9_999, digest };
     network.intruder_sends(
         0,
@@ -394,7 +398,7 @@
 #[test]
 fn heartbeats_arrive_through_other_members() {
     let mut network = Network::new(4, cap_for(30));
-    network.cut.insert((0, 1));
+    network.partitioned.insert((0, 1));
     network.run(Duration::from_secs(20));
     assert_eq!(member_state(&mut network, 0, 1), MemberState::Alive);
     network.kill(1);
@@ -402,7 +406,7 @@
     assert_eq!(member_state(&mut network, 0, 1), MemberState::Dead);
 }
 
-/// The same stories where each scheduler has a work log with two replicas.
+/// The same scenarios where each scheduler has a work log with two replicas.
 mod with_work_logs {
     use crate::network::with_replica_count;
 
--- a/crates/ledger/tests/interleavings.rs
+++ b/crates/ledger/tests/interleavings.rs
@@ -1,4 +1,5 @@
-//! Every interleaving of the planner's loop and the keeper at the shelf, explored:
+//! All interleavings of the planner's event loop and the ledger's thread on the shared pools, explored by
+//! loom:
 //!
 //!     cargo test --release -p mulleinhub-ledger --features explored --test interleavings
 
@@ -15,7 +16,7 @@
 use std::collections::BTreeMap;
 
 const RESERVATION: u64 = 100;
-const AWAY: RetryAfter = RetryAfter { min: Duration::ZERO, max: Duration::ZERO };
+const NO_RETRY_DELAY: RetryAfter = RetryAfter { min: Duration::ZERO, max: Duration::ZERO };
 const CAPPED: TeamLimits = TeamLimits {
     has_cap: true,
     has_account: true,
@@ -49,23 +50,24 @@
     let pools = SharedPools::new(&settings());
     let admission = AdmissionHandle::new(pools.clone(), &settings());
     for team in 0..2 {
-        (&mut &*pools)
-            .with_pool(team, &mut |pool| pool.refresh(Timestamp::from_nanos(u64::MAX), AWAY, CAPPED));
+        (&mut &*pools).with_pool(team, &mut |pool| {
+            pool.refresh(Timestamp::from_nanos(u64::MAX), NO_RETRY_DELAY, CAPPED)
+        });
     }
     (pools, admission)
 }
 
-fn ask(admission: &mut AdmissionHandle, key: u64) -> Option<Ticket> {
+fn admit(admission: &mut AdmissionHandle, key: u64) -> Option<Ticket> {
     admission.admit(Timestamp::default(), "pay", TaskKey(key), Resources::new(1.0, 1.0), 0.0).ok().flatten()
 }
 
-fn status(pools: &SharedPools) -> PoolSnapshot {
+fn snapshot(pools: &SharedPools) -> PoolSnapshot {
     let mut seen = PoolSnapshot::default();
     (&mut &*pools).with_pool(0, &mut |pool| seen = pool.take_snapshot(Timestamp::default()));
     seen
 }
 
-/// Whatever was drawn is at hand, reserved or spent, however looks and blocks fall between asks and ends.
+/// Credited quota is available, committed or withdrawn, however the ledger's calls and admissions interleave.
 #[test]
 fn concurrent_use_conserves_quota() {
     loom::model(|| {
@@ -83,18 +85,17 @@
                 back.open
             })
         };
-        let one = ask(&mut admission, 1);
-        let two = ask(&mut admission, 2);
+        let one = admit(&mut admission, 1);
+        let two = admit(&mut admission, 2);
         one.into_iter().for_each(|ticket| admission.on_never_ran(Timestamp::default(), ticket));
         let back = ledger.join().expect("it ends");
-        let seen = status(&pools);
+        let seen = snapshot(&pools);
         assert_eq!(seen.available.open + seen.committed + back, 2 * RESERVATION);
         assert_eq!(seen.committed, if two.is_some() { RESERVATION } else { 0 });
     });
 }
 
-/// A refusal is seen by the keeper's next status, or its block came before: nobody waits for a wake that is
-/// lost.
+/// A rejection is seen by the ledger's next snapshot or leaves a tick requested: no wake-up is lost.
 #[test]
 fn rejection_is_never_missed() {
     loom::model(|| {
@@ -102,25 +103,29 @@
         let ledger = {
             let pools = pools.clone();
             thread::spawn(move || {
-                let wanted = pools.take_tick_request();
-                let asked = status(&pools).requested;
-                (wanted, asked)
+                let tick_requested = pools.take_tick_request();
+                let requested = snapshot(&pools).requested;
+                (tick_requested, requested)
             })
         };
-        let refused = ask(&mut admission, 1).is_none();
-        let (wanted, asked) = ledger.join().expect("it ends");
-        assert!(refused);
+        let rejected = admit(&mut admission, 1).is_none();
+        let (tick_requested, requested) = ledger.join().expect("it ends");
+        assert!(rejected);
         assert!(
-            wanted || asked == RESERVATION || pools.is_tick_requested(),
-            "a refusal that nobody will status at"
+            tick_requested || requested == RESERVATION || pools.is_tick_requested(),
+            "a rejection that the ledger will not see"
         );
-        if wanted {
-            assert_eq!(asked + status(&pools).requested, RESERVATION, "it was woken for what it sees");
+        if tick_requested {
+            assert_eq!(
+                requested + snapshot(&pools).requested,
+                RESERVATION,
+                "the snapshots contain the request"
+            );
         }
     });
 }
 
-/// Two teams are under two locks, and the loop never holds both: it can't wait for itself.
+/// Two teams are under two locks, and the event loop never holds both: it can't deadlock with itself.
 #[test]
 fn access_to_two_teams_does_not_deadlock() {
     loom::model(|| {
@@ -137,7 +142,7 @@
         };
         let resources = Resources::new(1.0, 1.0);
         let ship = admission.admit(Timestamp::default(), "ship", TaskKey(1), resources, 0.0);
-        let pay = ask(&mut admission, 2);
+        let pay = admit(&mut admission, 2);
         ledger.join().expect("it ends");
         if ship.is_ok() {
             assert!(pay.is_some(), "the first team's block came before the second's");
--- a/crates/ledger/tests/network/mod.rs
+++ b/crates/ledger/tests/network/mod.rs
@@ -1,4 +1,4 @@
-//! A few schedulers' books joined by wires that take no time, with disks that can be held up.
+//! Test harness: ledgers of a few schedulers, connected without delay, with disks that can be blocked.
 
 #![allow(dead_code, reason = "each test file uses its part")]
 
@@ -19,27 +19,27 @@
 /// An instant in the middle of a month, in milliseconds of Unix time.
 const MID_MONTH_MS: u64 = 1_792_022_400_000;
 
-/// What is on a disk: rows by the kind of their log, column and number.
+/// The entries on a disk, by kind of log, log and number.
 pub type Disk = BTreeMap<(LogKind, LogId, u64), (Digest, Vec<u8>)>;
 
 thread_local! {
-    /// What the settings of the schedulers ask for that are started in this test.
+    /// Replicas of work logs in the settings of schedulers that are started from now on.
     static REPLICAS: Cell<Option<usize>> = const { Cell::new(None) };
 }
 
-/// A scenario in which each scheduler has a work log with so many replicas.
+/// Runs a scenario in which each scheduler has a work log with this many replicas.
 pub fn with_replica_count(count: usize, scenario: fn()) {
     REPLICAS.set(Some(count));
     scenario();
     REPLICAS.set(None);
 }
 
-/// Schedulers that start from now on ask for so many replicas of their work logs.
+/// Schedulers that start from now on have this many replicas of their work logs; `None` for no work logs.
 pub fn set_replica_count(count: Option<usize>) {
     REPLICAS.set(count);
 }
 
-/// How many regions, and zones in all, the schedulers lie in, one after the other.
+/// Number of regions, and of zones in all; the schedulers are spread over them in turn.
 #[derive(Clone, Copy, Debug)]
 pub struct Topology {
     pub regions: usize,
@@ -55,7 +55,7 @@
         self.zone(n) % self.regions
     }
 
-    fn site(self, n: usize) -> Location {
+    fn location(self, n: usize) -> Location {
         let named = |what: &str, n: usize| Some(format!("{what}-{n}").as_str().into());
         Location { region: named("region", self.region(n)), zone: named("zone", self.zone(n)) }
     }
@@ -64,28 +64,28 @@
 pub struct Node {
     pub exchange: Exchange,
     pub admission: AdmissionHandle,
-    /// Nothing is written to its disk while this holds.
+    /// Nothing is written to the disk while this is set.
     pub disk_blocked: bool,
     pub disk: Disk,
-    waiting: Vec<(LogChanges, LogPositions)>,
+    unwritten: Vec<(LogChanges, LogPositions)>,
 }
 
 pub struct Network {
     pub now: Timestamp,
     pub nodes: Vec<Option<Node>>,
-    /// Pairs between whom nothing goes.
-    pub cut: BTreeSet<(usize, usize)>,
-    wires: BTreeMap<(usize, ConnectionId), (usize, ConnectionId)>,
-    /// What goes to and comes from somebody who is no scheduler of ours.
+    /// Pairs of schedulers that can't reach each other, the lower index first.
+    pub partitioned: BTreeSet<(usize, usize)>,
+    peers: BTreeMap<(usize, ConnectionId), (usize, ConnectionId)>,
+    /// What was sent to a peer that is not one of the schedulers.
     pub intruder: Vec<u8>,
     intruder_connection: Option<(usize, ConnectionId)>,
     incarnations: u64,
     pub utc_offset_ms: u64,
-    /// Messages by their kind.
-    pub counted: BTreeMap<&'static str, u64>,
-    /// Bytes that each scheduler wrote to others, of rows and all else.
+    /// Number of messages by kind.
+    pub message_counts: BTreeMap<&'static str, u64>,
+    /// Bytes that each scheduler sent to others.
     pub bytes: Vec<u64>,
-    /// Schedulers that know no work logs, as versions before them.
+    /// Schedulers of an earlier version, which knows no work logs.
     pub older: BTreeSet<usize>,
     map: Topology,
     cap: u64,
@@ -116,28 +116,28 @@
         commitment: Duration::from_secs(10),
         catch_up_timeout: Duration::from_secs(3),
         replicas: REPLICAS.get(),
-        locations: (0..count).map(|n| (name(n), map.site(n))).collect(),
+        locations: (0..count).map(|n| (name(n), map.location(n))).collect(),
     }
 }
 
 impl Network {
-    /// So many schedulers that share a cap, all started and caught up.
+    /// This many schedulers that share a cap, all started and caught up.
     pub fn new(count: usize, cap: u64) -> Self {
         Self::over(count, cap, Topology { regions: 1, zones: count }, &[])
     }
 
-    /// The same, in zones and regions, and with some that know no work logs.
+    /// The same, in zones and regions, and with some schedulers of an earlier version.
     pub fn over(count: usize, cap: u64, map: Topology, older: &[usize]) -> Self {
         let mut network = Self {
             now: Timestamp::from_nanos(1_000_000_000),
             nodes: (0..count).map(|_| None).collect(),
-            cut: BTreeSet::new(),
-            wires: BTreeMap::new(),
+            partitioned: BTreeSet::new(),
+            peers: BTreeMap::new(),
             intruder: Vec::new(),
             intruder_connection: None,
             incarnations: 0,
             utc_offset_ms: 0,
-            counted: BTreeMap::new(),
+            message_counts: BTreeMap::new(),
             bytes: vec![0; count],
             older: older.iter().copied().collect(),
             map,
@@ -166,22 +166,22 @@
             persisted.collect()
         };
         let is_older = self.older.contains(&n);
-        // A version that knows no work logs leaves their rows where they are, unread.
+        // An earlier version leaves the entries of work logs on disk, unread.
         let work = if is_older { Vec::new() } else { persisted(LogKind::Work) };
         let persisted = PersistedLogs { fleet: persisted(LogKind::Fleet), work };
         let exchange = Exchange::new(settings, members, self.incarnations, 7 + n as u64, persisted, pools);
         let exchange = if is_older { exchange.without_work_logs() } else { exchange };
-        self.nodes[n] = Some(Node { exchange, admission, disk_blocked: false, disk, waiting: Vec::new() });
+        self.nodes[n] = Some(Node { exchange, admission, disk_blocked: false, disk, unwritten: Vec::new() });
     }
 
-    /// It dies at once; what is left of its disk.
+    /// Kills a scheduler; returns its disk.
     pub fn kill(&mut self, n: usize) -> Disk {
         let node = self.nodes[n].take().expect("is up");
         let connections: Vec<(usize, ConnectionId)> =
-            self.wires.keys().filter(|(of, _)| *of == n).copied().collect();
+            self.peers.keys().filter(|(of, _)| *of == n).copied().collect();
         for end in connections {
-            if let Some((other, connection)) = self.wires.remove(&end) {
-                self.wires.remove(&(other, connection));
+            if let Some((other, connection)) = self.peers.remove(&end) {
+                self.peers.remove(&(other, connection));
                 if let Some(node) = &mut self.nodes[other] {
                     node.exchange.on_closed(self.now, connection, CloseReason::Broken);
                 }
@@ -190,16 +190,16 @@
         node.disk
     }
 
-    /// Connections that a scheduler has, whoever opened them.
+    /// Number of connections of a scheduler, whoever opened them.
     pub fn connections(&self, n: usize) -> usize {
-        self.wires.keys().filter(|(of, _)| *of == n).count()
+        self.peers.keys().filter(|(of, _)| *of == n).count()
     }
 
     pub fn node(&mut self, n: usize) -> &mut Node {
         self.nodes[n].as_mut().expect("is up")
     }
 
-    /// Time passes for all that are up.
+    /// Advances the time for all schedulers that are up.
     pub fn run(&mut self, duration: Duration) {
         let until = self.now + duration;
         while self.now < until {
@@ -219,10 +219,10 @@
         let changes = node.exchange.take_changes();
         if !changes.is_empty() {
             let last = node.exchange.last_own_entries(&changes);
-            node.waiting.push((changes, last));
+            node.unwritten.push((changes, last));
         }
         if !node.disk_blocked {
-            for (changes, last) in std::mem::take(&mut node.waiting) {
+            for (changes, last) in std::mem::take(&mut node.unwritten) {
                 for (kind, change) in changes.into_each() {
                     match change {
                         LogChange::Append { id, number, before, bytes } => {
@@ -250,18 +250,18 @@
                 self.deliver_on(n, connection);
                 continue;
             }
-            let Some(ask) = connections.next_command() else { return };
-            match ask {
+            let Some(command) = connections.next_command() else { return };
+            match command {
                 Command::Open(connection, address) => {
                     let other: usize = address.parse().expect("is a number");
-                    let partitioned = self.cut.contains(&(n.min(other), n.max(other)));
+                    let is_partitioned = self.partitioned.contains(&(n.min(other), n.max(other)));
                     let now = self.now;
-                    match self.nodes[other].as_mut().filter(|_| !partitioned) {
+                    match self.nodes[other].as_mut().filter(|_| !is_partitioned) {
                         Some(node) => {
                             let theirs = node.exchange.connections().register();
                             node.exchange.on_connection_accepted(now, theirs, ListenerId(0));
-                            self.wires.insert((n, connection), (other, theirs));
-                            self.wires.insert((other, theirs), (n, connection));
+                            self.peers.insert((n, connection), (other, theirs));
+                            self.peers.insert((other, theirs), (n, connection));
                             self.node(n).exchange.on_connected(now, connection);
                         }
                         None => self.node(n).exchange.on_closed(now, connection, CloseReason::Refused),
@@ -270,8 +270,8 @@
                 Command::Close { connection, .. } => {
                     self.deliver_on(n, connection);
                     self.node(n).exchange.connections().discard(connection);
-                    if let Some((other, theirs)) = self.wires.remove(&(n, connection)) {
-                        self.wires.remove(&(other, theirs));
+                    if let Some((other, theirs)) = self.peers.remove(&(n, connection)) {
+                        self.peers.remove(&(other, theirs));
                         let now = self.now;
                         if let Some(node) = &mut self.nodes[other] {
                             node.exchange.on_closed(now, theirs, CloseReason::Closed);
@@ -286,20 +286,21 @@
 
     fn deliver_on(&mut self, n: usize, connection: ConnectionId) {
         let now = self.now;
-        let wire = self.wires.get(&(n, connection)).copied();
-        let is_strange = self.intruder_connection == Some((n, connection));
-        let partitioned = wire.is_some_and(|(other, _)| self.cut.contains(&(n.min(other), n.max(other))));
+        let peer = self.peers.get(&(n, connection)).copied();
+        let is_intruder = self.intruder_connection == Some((n, connection));
+        let is_partitioned =
+            peer.is_some_and(|(other, _)| self.partitioned.contains(&(n.min(other), n.max(other))));
         let connections = self.node(n).exchange.connections();
         let bytes = connections.outgoing(connection).to_vec();
-        if bytes.is_empty() || partitioned {
+        if bytes.is_empty() || is_partitioned {
             return;
         }
         connections.mark_written(connection, bytes.len());
-        if is_strange {
+        if is_intruder {
             self.intruder.extend(bytes);
             return;
         }
-        let Some((other, theirs)) = wire else { return };
+        let Some((other, theirs)) = peer else { return };
         self.bytes[n] += bytes.len() as u64;
         let mut frames = Frames::default();
         frames.take(&bytes);
@@ -313,14 +314,14 @@
                 Ok(Message::Tips { .. }) => "tips",
                 _ => "other",
             };
-            *self.counted.entry(kind).or_default() += 1;
+            *self.message_counts.entry(kind).or_default() += 1;
         }
         if let Some(node) = &mut self.nodes[other] {
             node.exchange.on_data(now, theirs, &bytes);
         }
     }
 
-    /// Somebody who is none of ours opens a connection, greets by this name, and writes these messages.
+    /// A peer that is not one of the schedulers connects, sends a hello with this name, and these messages.
     pub fn intruder_sends(&mut self, n: usize, name: &str, messages: &[Message<'_>]) {
         let mut bytes = Vec::new();
         if self.intruder_connection.is_none() {
@@ -347,7 +348,7 @@
         self.intruder_connection.is_none()
     }
 
-    /// A worker of two cores, 20 micro-units a second, 200 reserved: asked for and running at once.
+    /// Admits and starts a worker of two cores: 20 micro-units a second, 200 reserved.
     pub fn add(&mut self, n: usize, key: u64) -> Result<Ticket, Duration> {
         let now = self.now;
         let admission = &mut self.node(n).admission;
@@ -357,12 +358,12 @@
         Ok(ticket)
     }
 
-    /// As many as are taken, of so many.
+    /// Tries to add this many; returns those admitted.
     pub fn add_many(&mut self, n: usize, first: u64, count: u64) -> Vec<Ticket> {
         (first..first + count).filter_map(|key| self.add(n, key).ok()).collect()
     }
 
-    /// So many, while blocks are drawn; those that were added within a second.
+    /// Adds this many, unwritten for reservations; returns those admitted within a second.
     pub fn fill(&mut self, n: usize, first: u64, count: u64) -> Vec<Ticket> {
         let mut added = Vec::new();
         for _ in 0..20 {
@@ -384,7 +385,7 @@
         self.node(n).exchange.apply_directives(&[Directive { subject, number, action: word }]);
     }
 
-    /// Of all rows on all disks: how far each scheduler knows each column.
+    /// The digest of all heads of fleet logs, at each scheduler that is up.
     pub fn heads_digests(&self) -> Vec<Digest> {
         self.nodes.iter().flatten().map(|node| node.exchange.ledger().fleet_logs().heads_digest()).collect()
     }
--- a/crates/ledger/tests/store.rs
+++ b/crates/ledger/tests/store.rs
@@ -1,4 +1,4 @@
-//! The store on disk: what is persisted comes back, and every kind of broken store is told in error.
+//! The store on disk: persisted entries are read back, and every kind of unusable store is reported.
 
 #![cfg(not(feature = "explored"))]
 
@@ -8,11 +8,11 @@
 };
 use std::path::Path;
 
-/// A row as it lies on disk.
+/// Key of an entry on disk.
 type EntryKey = (&'static str, u64, u64);
 type EntryValue = (&'static [u8; 16], &'static [u8]);
 
-fn row(number: u64) -> LogChange {
+fn append(number: u64) -> LogChange {
     let id = LogId { writer: "one".into(), incarnation: 7 };
     LogChange::Append { id, number, before: Digest([number as u8; 16]), bytes: vec![number as u8; 40].into() }
 }
@@ -21,14 +21,14 @@
     persisted.iter().map(|persisted| persisted.number).collect()
 }
 
-fn begun(dir: &Path) -> Store {
+fn new_store(dir: &Path) -> Store {
     Store::open(dir).expect("a fresh one").0
 }
 
 #[test]
 fn persisted_entries_return_without_trimmed_and_dropped() {
     let dir = tempfile::tempdir().expect("a directory");
-    let store = begun(dir.path());
+    let store = new_store(dir.path());
     let other = LogId { writer: "two".into(), incarnation: 1 };
     let of_other = LogChange::Append {
         id: other.clone(),
@@ -36,10 +36,10 @@
         before: Digest::default(),
         bytes: [1, 2][..].into(),
     };
-    store.persist(&vec![row(1), row(2), row(3), of_other.clone()].into()).expect("there is room");
+    store.persist(&vec![append(1), append(2), append(3), of_other.clone()].into()).expect("there is room");
     let id = LogId { writer: "one".into(), incarnation: 7 };
     store
-        .persist(&vec![row(4), LogChange::Trim { id, below: 3 }, LogChange::Drop { id: other }].into())
+        .persist(&vec![append(4), LogChange::Trim { id, below: 3 }, LogChange::Drop { id: other }].into())
         .expect("there is room");
     drop(store);
     let (store, PersistedLogs { fleet: persisted, work }) = Store::open(dir.path()).expect("it is whole");
@@ -49,14 +49,15 @@
     store.persist(&vec![of_other].into()).expect("there is room");
 }
 
-/// Rows of work logs stand apart from those of fleet logs, of the same writer and life, too; a version that
-/// knows no work logs reads and writes the others beside them.
+/// Entries of work logs are separate from those of fleet logs, also of the same writer and incarnation; an
+/// earlier version reads and writes the latter beside them.
 #[test]
 fn fleet_and_work_entries_are_stored_separately() {
     let dir = tempfile::tempdir().expect("a directory");
-    let store = begun(dir.path());
+    let store = new_store(dir.path());
     let id = LogId { writer: "one".into(), incarnation: 7 };
-    let changes = LogChanges { fleet: vec![row(1), row(2)], work: vec![row(1), row(2), row(3)] };
+    let changes =
+        LogChanges { fleet: vec![append(1), append(2)], work: vec![append(1), append(2), append(3)] };
     store.persist(&changes).expect("there is room");
     let trims = vec![LogChange::Trim { id: id.clone(), below: 3 }];
     store.persist(&LogChanges { fleet: Vec::new(), work: trims }).expect("there is room");
@@ -80,7 +81,7 @@
 #[test]
 fn locked_store_is_reported() {
     let dir = tempfile::tempdir().expect("a directory");
-    let _store = begun(dir.path());
+    let _store = new_store(dir.path());
     let error = Store::open(dir.path()).err().expect("it is locked");
     assert!(matches!(error, StoreError::Locked { .. }), "{error:?}");
     assert!(error.to_string().contains("another process has these books open"), "{error}");
@@ -118,12 +119,12 @@
     assert!(error.to_string().contains("can't be opened"), "{error}");
 }
 
-/// Wherever a store is cut or changed: what it opens with chains to what was written, or it says that it is
+/// Wherever a store is truncated or changed: the entries read chain to those written, or it is reported as
 /// damaged.
 #[test]
 fn damaged_store_opens_with_valid_entries_or_is_reported() {
     let dir = tempfile::tempdir().expect("a directory");
-    let store = begun(dir.path());
+    let store = new_store(dir.path());
     let id = LogId { writer: "one".into(), incarnation: 7 };
     let mut log_store = LogStore::new(id.clone());
     log_store.open(LogState::default());
@@ -135,24 +136,24 @@
     drop(store);
     let path = dir.path().join("books");
     let whole = std::fs::read(&path).expect("it is there");
-    let (mut told, mut opened) = (0, 0);
+    let (mut reported, mut opened) = (0, 0);
     let mut status = |bytes: &[u8], what: String| {
         let dir = tempfile::tempdir().expect("a directory");
         std::fs::write(dir.path().join("books"), bytes).expect("a file");
-        let looked =
+        let opened_store =
             std::panic::catch_unwind(|| Store::open(dir.path()).map(|(_, persisted)| persisted.fleet));
-        match looked.unwrap_or_else(|_| panic!("{what}: it must not panic")) {
+        match opened_store.unwrap_or_else(|_| panic!("{what}: it must not panic")) {
             Ok(persisted) => {
                 let mut restored = LogStore::new(LogId { incarnation: 8, ..id.clone() });
                 restored.restore(persisted);
                 let (number, digest) = restored.known_head(&id);
-                let written = log_store.log(&id).and_then(|column| column.digest_at(number));
+                let written = log_store.log(&id).and_then(|log| log.digest_at(number));
                 assert_eq!(written, Some(digest), "{what}: row {number} was never written");
                 opened += 1;
             }
             Err(error) => {
                 assert!(error.to_string().contains("move the file away"), "{what}: {error}");
-                told += 1;
+                reported += 1;
             }
         }
     };
@@ -164,5 +165,5 @@
         bytes[at] ^= 0x55;
         status(&bytes, format!("byte {at} changed"));
     }
-    assert!(told > 0 && opened > 0, "{told} told, {opened} opened");
+    assert!(reported > 0 && opened > 0, "{reported} reported, {opened} opened");
 }
--- a/crates/ledger/tests/work_logs.rs
+++ b/crates/ledger/tests/work_logs.rs
@@ -1,4 +1,4 @@
-//! Work logs: ordinary work is known to a few replicas, and comes again anywhere when its scheduler dies.
+//! Work logs: running tasks are known to a few replicas, and readmitted anywhere when their scheduler dies.
 
 #![cfg(not(feature = "explored"))]
 
@@ -13,7 +13,7 @@
 use network::*;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Each new worker reserves this, and costs it in its ten seconds.
+/// Each new worker reserves this much, and costs it in its ten seconds.
 const RESERVATION: u64 = 200;
 const REPLICAS: usize = 2;
 const TOPOLOGY: Topology = Topology { regions: 2, zones: 4 };
@@ -26,7 +26,7 @@
     Resources::new(2.0, 1.0)
 }
 
-/// A fleet of so many in which each has a work log.
+/// A fleet of this many schedulers, each with a work log.
 fn fleet(count: usize, workers: u64) -> Network {
     set_replica_count(Some(REPLICAS));
     Network::over(count, cap_for(workers), TOPOLOGY, &[])
@@ -46,7 +46,7 @@
     network.node(n).exchange.ledger().fleet_logs().latest_state(&name(of)).cloned().unwrap_or_default()
 }
 
-/// Who holds a copy of a scheduler's work log.
+/// The schedulers that hold a copy of a scheduler's work log.
 fn holders(network: &Network, of: usize) -> Vec<usize> {
     let holds = |n: &usize| {
         let node = network.nodes[*n].as_ref();
@@ -60,7 +60,7 @@
     network.node(n).exchange.replicas().iter().map(place).collect()
 }
 
-/// Keys that run by a scheduler's own work log, as one knows it.
+/// Keys that run according to a scheduler's work log, as known at scheduler `n`.
 fn work_keys(network: &mut Network, n: usize, of: usize) -> BTreeSet<u64> {
     let logs = network.node(n).exchange.ledger().logs(LogKind::Work);
     logs.latest_state(&name(of)).map(|state| state.running.keys().copied().collect()).unwrap_or_default()
@@ -71,7 +71,7 @@
     all.into_iter().filter(|n| fleet_state(network, *n, *n).announced.contains_key(&name(of))).collect()
 }
 
-/// Kinds of rows in a scheduler's own fleet log, by its disk.
+/// Kinds of entries in a scheduler's own fleet log, by its disk.
 fn fleet_entry_kinds(network: &mut Network, n: usize) -> BTreeMap<&'static str, usize> {
     let own = network.node(n).exchange.ledger().fleet_logs().own_id().clone();
     let rows = network.node(n).disk.iter().filter(|((kind, id, _), _)| *kind == LogKind::Fleet && *id == own);
@@ -104,7 +104,7 @@
     network.node(n).admission.on_recovery_complete(now);
 }
 
-/// All of these come again, at the schedulers in turn, while nothing new may be added.
+/// All of these are readmitted, at the schedulers in turn, while nothing new is admitted.
 fn assert_readmitted(network: &mut Network, at: &[usize], keys: impl Iterator<Item = u64>) {
     for (key, n) in keys.zip(at.iter().cycle()) {
         assert!(network.add(*n, key).is_ok(), "{key} at {n}: it ran");
@@ -112,7 +112,7 @@
     }
 }
 
-// Who knows what.
+// Which members know what.
 
 #[test]
 fn work_is_replicated_to_replicas_and_not_to_fleet_log() {
@@ -122,7 +122,7 @@
     for second in 0..20u64 {
         running.extend(network.add_many(0, second * 100, 10));
         network.run(ms(1_000));
-        // The half of them end in their place.
+        // Half of them end.
         let over = running.split_off(running.len() / 2);
         over.into_iter().for_each(|ticket| end_task(&mut network, 0, ticket, false));
     }
@@ -186,13 +186,13 @@
     }
     assert!(network.add(3, 1).is_err(), "it ended for good");
     assert!(network.add(3, 2).is_err(), "it runs, and its scheduler is there");
-    let again = network.add(3, 0).expect("it was lost");
+    let readmitted = network.add(3, 0).expect("it was lost");
     network.run(ms(300));
     for n in 0..6 {
         assert!(fleet_state(&mut network, n, 3).running.contains_key(&0), "at {n}");
         assert!(network.add(n, 0).is_err(), "at {n}: it has its place again");
     }
-    end_task(&mut network, 3, again, false);
+    end_task(&mut network, 3, readmitted, false);
     network.run(ms(300));
     assert!((0..6).all(|n| network.add(n, 0).is_err()), "it ended for good");
     assert_eq!(work_keys(&mut network, 0, 0), [2, 3].into());
@@ -212,7 +212,7 @@
     assert_eq!(announced_by(&mut network, 0).len(), 1);
     network.run(ms(1_000));
     assert!((1..8).all(|n| network.add(n, 3).is_err()), "it has its place again");
-    // Nor later, as long as nothing new is to be told.
+    // Nor later, as long as there is nothing new to announce.
     network.run(Duration::from_secs(30));
     assert_eq!(announced_by(&mut network, 0).len(), 1);
 }
@@ -278,7 +278,7 @@
     }
 }
 
-/// One that is a replica no longer keeps its copy for a while; what it says is old.
+/// A former replica keeps its copy for a while; what the copy says is old.
 #[test]
 fn stale_copy_does_not_hide_lost_tasks() {
     let mut network = fleet(6, 600);
@@ -304,7 +304,7 @@
     assert_eq!(holders(&network, 0), holders_now, "it lets go of it");
 }
 
-// Members that come back.
+// Members that restart.
 
 #[test]
 fn restart_recovers_work_from_store_or_replicas() {
@@ -329,7 +329,7 @@
         network.run(ms(2_500));
         assert_eq!(network.node(0).exchange.ledger().phase(), Phase::Writing, "{store}");
         assert_eq!(work_keys(&mut network, 0, 0), (0..20).collect(), "{store}");
-        // Its machines hold twelve of them.
+        // Its machines run twelve of them.
         let reported: Vec<u64> = (0..12).collect();
         let tickets = adopt_tasks(&mut network, 0, &reported);
         report_all_machines(&mut network, 0);
@@ -342,7 +342,7 @@
         network.run(ms(300));
         assert!(work_keys(&mut network, 0, 0).is_empty());
         assert!((1..6).all(|n| network.add(n, 3).is_err()), "{store}: it ended for good");
-        // The copies are of its present life.
+        // The copies are of its present incarnation.
         for n in replicas_of(&mut network, 0) {
             let logs = network.node(n).exchange.ledger().logs(LogKind::Work);
             assert_eq!(logs.logs().filter(|(id, _)| id.writer == name(0)).count(), 1, "{store}");
@@ -373,33 +373,33 @@
     let mut network = fleet(6, 600);
     let ran = network.fill(0, 0, 2);
     network.run(ms(300));
-    network.cut.extend((1..6).map(|n| (0, n)));
+    network.partitioned.extend((1..6).map(|n| (0, n)));
     network.run(Duration::from_secs(12));
-    let again = network.add(3, 0).expect("its scheduler is silent, and a holder announced it");
-    network.cut.clear();
+    let readmitted = network.add(3, 0).expect("its scheduler is silent, and a holder announced it");
+    network.partitioned.clear();
     network.run(Duration::from_secs(8));
-    // Crossed: now all know of both.
+    // Now all know of both.
     for n in 0..6 {
         assert!(fleet_state(&mut network, n, 0).running.contains_key(&0), "at {n}");
         assert!(fleet_state(&mut network, n, 3).running.contains_key(&0), "at {n}");
     }
     assert_eq!(work_keys(&mut network, 0, 0), [1].into());
     suspend_account(&mut network, 1, 1);
-    end_task(&mut network, 3, again, false);
+    end_task(&mut network, 3, readmitted, false);
     end_task(&mut network, 0, ran[0], false);
     network.run(ms(300));
     assert!((0..6).all(|n| network.add(n, 0).is_err()), "it ended for good at both");
 }
 
-// Regions that lose each other.
+// Partitioned regions.
 
 #[test]
 fn region_partition_heals_within_bounds_and_cap_holds() {
     run_region_partition(Some(REPLICAS), 200_000);
 }
 
-/// As the form without work logs does. Met with this scenario: more small rows than one message holds went as
-/// one piece, so that whoever had missed as many could never catch up.
+/// The same without work logs. Seen in this scenario: more small entries than one message holds were sent in
+/// one, so that a member that lacked as many could never catch up.
 #[test]
 fn region_partition_heals_without_work_logs() {
     run_region_partition(None, 400_000);
@@ -435,9 +435,9 @@
         second(&mut network, &[0, 1, 4]);
     }
     for a in 0..MANY {
-        network.cut.extend((a + 1..MANY).filter(|b| across(a, *b)).map(|b| (a, b)));
+        network.partitioned.extend((a + 1..MANY).filter(|b| across(a, *b)).map(|b| (a, b)));
     }
-    // Of each side one is idle at first and gives of its share.
+    // On each side one scheduler is idle at first and grants parts of its share.
     for _ in 0..1_200 {
         second(&mut network, &[0, 1, 4]);
     }
@@ -455,7 +455,7 @@
     assert!(network.heads_digests().iter().collect::<BTreeSet<_>>().len() >= 2, "the halves differ");
     assert_eq!(network.node(0).exchange.ledger().fleet_logs().directives().len(), 1);
     let before = network.bytes.clone();
-    network.cut.clear();
+    network.partitioned.clear();
     let healed = network.now;
     let mut busy = 0;
     let equal = |network: &mut Network| {
@@ -477,7 +477,7 @@
     }
     let added = second(&mut network, &[0]);
     let status = network.node(0).exchange.ledger().team_statuses()[1].clone();
-    // Each cost what it reserved. Of the last part, running ones were paid when all was reserved.
+    // Each cost what it reserved; the last part paid for running tasks once all was reserved.
     assert!(added * RESERVATION <= cap_for(WORKERS), "{added} were added, {status:?}");
     assert!(status.spent <= cap_for(WORKERS) && status.overspent == 0, "{status:?}");
     assert!(added * 10 > WORKERS * 9, "{added} were added of {WORKERS}");
@@ -493,7 +493,7 @@
     network.node(n).exchange.ledger().membership.member_state(now, &name(of))
 }
 
-// Fleets of two forms.
+// Mixed fleets.
 
 #[test]
 fn member_without_replicas_reads_work_logs_of_others() {
@@ -542,7 +542,7 @@
         assert_eq!(keys, (100 * n as u64..100 * n as u64 + 5).collect());
         assert!(work_keys(&mut network, n, n).is_empty());
     }
-    // What ran at the one that died, and in its own life before, which its version knows nothing of.
+    // What ran at the one that died, and in its own earlier incarnation, of which its version knows nothing.
     assert_readmitted(&mut network, &[5], 400..405);
     assert_readmitted(&mut network, &[0, 1, 2, 5], 500..505);
     network.kill(0);
@@ -558,7 +558,7 @@
 fn legacy_member_prevents_work_logs() {
     set_replica_count(Some(REPLICAS));
     let mut network = Network::over(4, cap_for(300), TOPOLOGY, &[3]);
-    // Those that began before it was heard of fall back.
+    // Those that began before they knew of it fall back.
     network.run(ms(1_000));
     assert!((0..4).all(|n| !network.node(n).exchange.ledger().writes_work_log()));
     let disk = network.kill(0);
@@ -611,9 +611,10 @@
             report_all_machines(&mut network, n);
             network.run(ms(500));
             assert!(network.add(other, held[0]).is_err(), "{form} {n}: it runs");
-            let again = network.add(other, *lost).unwrap_or_else(|_| panic!("{form} {n}: {lost} was lost"));
+            let readmitted =
+                network.add(other, *lost).unwrap_or_else(|_| panic!("{form} {n}: {lost} was lost"));
             network.run(ms(300));
-            end_task(&mut network, other, again, false);
+            end_task(&mut network, other, readmitted, false);
             number += 1;
             network.apply_directive(other, acme(), number, DirectiveAction::Reinstate {});
             network.run(ms(300));
@@ -636,9 +637,9 @@
     }
 }
 
-// Peers that speak wrongly.
+// Faulty peers.
 
-/// The copy of a work log that somebody holds: its column, its rows, and the digest before each.
+/// The copy of a work log that a scheduler holds: its id, its entries, and the digest before each.
 fn copy(network: &mut Network, n: usize, of: usize) -> (LogId, Vec<(u64, Digest, Vec<u8>)>) {
     let disk = &network.node(n).disk;
     let rows = disk.iter().filter(|((kind, id, _), _)| *kind == LogKind::Work && id.writer == name(of));
@@ -666,12 +667,12 @@
     assert_eq!(network.fill(0, 0, 3).len(), 3);
     network.run(ms(300));
     let before = keys(&mut network);
-    // The log of a third, which nobody has to be asked for.
+    // The log of a third scheduler, which concerns neither.
     network.intruder_sends(0, "s1", &[announces(vec![head_announcement(&other, 9, digest)])]);
     network.run(ms(100));
     assert!(network.intruder_is_disconnected(), "it tells of another's work log");
     assert_eq!(network.node(0).exchange.counters().protocol_errors, 1);
-    // More rows of ours than we wrote, and then some of them.
+    // More entries of the receiver's own log than it wrote, and then some of them.
     network.run(ms(6_000));
     network.intruder_sends(0, "s3", &[announces(vec![head_announcement(&own_id, 999, digest)])]);
     network.run(ms(100));
@@ -690,7 +691,7 @@
     network.run(ms(100));
     assert!(network.intruder_is_disconnected(), "it writes our log");
     assert_eq!(keys(&mut network), before);
-    // Of its own log, rows that don't chain.
+    // Entries of its own log that don't chain.
     network.run(ms(6_000));
     let holder = replicas_of(&mut network, 0)[0];
     let (id, persisted) = copy(&mut network, holder, 0);
