--- a/crates/cli/src/day.rs
+++ b/crates/cli/src/day.rs
@@ -8,7 +8,7 @@
 use mulleinhub_load_test::play_over_sockets;
 use mulleinhub_scenario::{Day, Progress, Score, parse_day};
 use mulleinhub_settings::{Directive, Faults, parse, parse_text};
-use mulleinhub_simulation::{Ranking, Runner};
+use mulleinhub_simulation::{Ranking, Simulation};
 use std::fs::File;
 use std::io::{BufReader, BufWriter, IsTerminal, Write};
 use std::path::{Path, PathBuf};
@@ -228,16 +228,16 @@
         let watch = Watch::new(&day);
         let mut end = Timestamp::default();
         let rule = self.baseline.map(Baseline::rule);
-        let mut runner = Runner::new(day, out).with_baseline(rule);
-        runner.play_to_end(|now, stage| {
+        let mut simulation = Simulation::new(day, out).with_baseline(rule);
+        simulation.run_to_end(|now, stage| {
             end = now;
             watch.see(now, &stage.progress());
         });
         watch.done();
         if self.status {
-            runner.status().iter().for_each(|words| println!("{words}\n"));
+            simulation.status().iter().for_each(|words| println!("{words}\n"));
         }
-        let played = runner.play(|_, _| ());
+        let played = simulation.run(|_, _| ());
         let (score, _, mut out) = played.map_err(words)?;
         out.flush().map_err(words)?;
         Ok((path.to_owned(), score, end))
@@ -261,7 +261,7 @@
                         let one = Day { seed, ..day.clone() };
                         let played = std::panic::catch_unwind(|| {
                             let rule = self.baseline.map(Baseline::rule);
-                            let played = Runner::new(one, Vec::new()).with_baseline(rule).play(|_, _| ());
+                            let played = Simulation::new(one, Vec::new()).with_baseline(rule).run(|_, _| ());
                             let (score, _, capture) = played.map_err(|e| e.to_string())?;
                             let verdict =
                                 mulleinhub_checker::judge(&capture[..]).map_err(|e| e.to_string())?;
--- a/crates/load-test/src/planners.rs
+++ b/crates/load-test/src/planners.rs
@@ -2,7 +2,7 @@
 
 use crate::process::{PlannerProcess, kib};
 use mulleinhub_scenario::Day;
-use mulleinhub_simulation::planner_text;
+use mulleinhub_simulation::planner_settings_text;
 use std::net::{Ipv4Addr, SocketAddr, TcpListener};
 use std::path::Path;
 
@@ -29,7 +29,7 @@
         let probe = TcpListener::bind((host, 0)).map_err(|e| format!("a free port: {e}"))?;
         let address = probe.local_addr().map_err(|e| format!("a free port: {e}"))?;
         drop(probe);
-        let text = planner_text(day, n, Some(address), list, None, None).render() + clients;
+        let text = planner_settings_text(day, n, Some(address), list, None, None).render() + clients;
         let settings = folder.join(format!("planner-{}.conf", n + 1));
         std::fs::write(&settings, text).map_err(|e| format!("{}: {e}", settings.display()))?;
         let log = folder.join(format!("planner-{}.log", n + 1));
--- a/crates/load-test/src/stage_host.rs
+++ b/crates/load-test/src/stage_host.rs
@@ -5,7 +5,7 @@
 use mulleinhub_interface::Timestamp;
 use mulleinhub_planner::LedgerText;
 use mulleinhub_scenario::{Behind, Day, Fate, PlannerDeed, Progress, Score, Stage};
-use mulleinhub_simulation::planner_text;
+use mulleinhub_simulation::planner_settings_text;
 use rustix::process::Signal;
 use std::fs::File;
 use std::io::{BufWriter, Write};
@@ -35,7 +35,8 @@
             directives_file: Some(&self.orders),
             clock_ahead_ms: self.ahead,
         });
-        planner_text(day, self.n, Some(self.listen), self.list.clone(), Some(&self.state), books).render()
+        planner_settings_text(day, self.n, Some(self.listen), self.list.clone(), Some(&self.state), books)
+            .render()
     }
 
     /// What is in the store's place: now, when it was killed last, and the time before.
--- a/crates/replay/src/play.rs
+++ b/crates/replay/src/play.rs
@@ -3,7 +3,7 @@
 use mulleinhub_checker::Verdict;
 use mulleinhub_interface::Timestamp;
 use mulleinhub_scenario::{Day, Look, Score};
-use mulleinhub_simulation::{Ranking, Runner};
+use mulleinhub_simulation::{Ranking, Simulation};
 use std::io::{BufReader, BufWriter, Seek, Write};
 
 /// How things were at an instant.
@@ -32,8 +32,8 @@
     let every = (day.length.nanos() / POINTS).max(1);
     let mut points = Vec::new();
     let mut next = 0;
-    let runner = Runner::new(day.clone(), BufWriter::new(file)).with_baseline(rule);
-    let played = runner.play(|now, stage| {
+    let simulation = Simulation::new(day.clone(), BufWriter::new(file)).with_baseline(rule);
+    let played = simulation.run(|now, stage| {
         watch(now);
         if now.nanos() >= next {
             next = now.nanos() + every;
--- a/crates/simulation/tests/mutants.rs
+++ b/crates/simulation/tests/mutants.rs
@@ -1,5 +1,5 @@
-//! The judge is judged: captures of a day that kept all rules are edited so that one rule is broken, and the
-//! verdict must name that rule and the task or machine.
+//! Tests of the checker: captures of a scenario that violates no rule are edited so that one rule is violated,
+//! and the report must name that rule and the task or machine.
 
 use mulleinhub_capture::{Deed, Record, Recorder, Side, Terms, read};
 use mulleinhub_checker::{Verdict, judge};
@@ -7,20 +7,20 @@
 use mulleinhub_protocol::{self as protocol, Ending, Entry, ListKind, Message, Mode, Shape};
 use mulleinhub_scenario::parse_day;
 use mulleinhub_settings::{Faults, parse};
-use mulleinhub_simulation::Runner;
+use mulleinhub_simulation::Simulation;
 use std::collections::BTreeMap;
 use std::path::Path;
 use std::sync::LazyLock;
 
-const LOST: usize = 0;
-const TWICE: usize = 1;
-const DRAINS: usize = 2;
-const COLD: usize = 3;
+const TASK_LOST: usize = 0;
+const EFFECT_TWICE: usize = 1;
+const DRAIN: usize = 2;
+const SLOW_START: usize = 3;
 const SPREAD: usize = 4;
 
-/// A record that owns what it tells.
+/// A record that owns its data.
 #[derive(Clone)]
-enum Kept {
+enum OwnedRecord {
     Terms(Terms),
     Opened(u32, String, String),
     Frame(u32, Side, u32, Vec<u8>),
@@ -30,68 +30,73 @@
     Unread(u32, Side, bool),
 }
 
-type Tape = Vec<(u64, Kept)>;
+type Records = Vec<(u64, OwnedRecord)>;
 
-fn keep(record: &Record<'_>) -> Option<Kept> {
+fn to_owned_record(record: &Record<'_>) -> Option<OwnedRecord> {
     Some(match record {
-        Record::Terms(terms) => Kept::Terms(terms.clone()),
+        Record::Terms(terms) => OwnedRecord::Terms(terms.clone()),
         Record::Opened { link, opener, opened } => {
-            Kept::Opened(*link, (*opener).to_owned(), (*opened).to_owned())
+            OwnedRecord::Opened(*link, (*opener).to_owned(), (*opened).to_owned())
         }
-        Record::Frame { link, side, number, bytes } => Kept::Frame(*link, *side, *number, bytes.to_vec()),
-        Record::Delivered { link, side, number } => Kept::Delivered(*link, *side, *number),
-        Record::Ended { link, how } => Kept::Ended(*link, (*how).to_owned()),
-        Record::Deed { deed, who, machine } => Kept::Deed(*deed, (*who).to_owned(), *machine),
-        Record::Unread { link, side, on } => Kept::Unread(*link, *side, *on),
+        Record::Frame { link, side, number, bytes } => {
+            OwnedRecord::Frame(*link, *side, *number, bytes.to_vec())
+        }
+        Record::Delivered { link, side, number } => OwnedRecord::Delivered(*link, *side, *number),
+        Record::Ended { link, how } => OwnedRecord::Ended(*link, (*how).to_owned()),
+        Record::Deed { deed, who, machine } => OwnedRecord::Deed(*deed, (*who).to_owned(), *machine),
+        Record::Unread { link, side, on } => OwnedRecord::Unread(*link, *side, *on),
         Record::Order { .. } | Record::Close { .. } => return None,
     })
 }
 
-fn rewrite(tape: &Tape) -> Verdict {
-    let mut tape = tape.clone();
-    tape.sort_by_key(|(at, _)| *at);
+fn check(records: &Records) -> Verdict {
+    let mut records = records.clone();
+    records.sort_by_key(|(at, _)| *at);
     let mut recorder = Recorder::new(Vec::new());
-    for (at, kept) in &tape {
-        let record = match kept {
-            Kept::Terms(terms) => Record::Terms(terms.clone()),
-            Kept::Opened(link, opener, opened) => Record::Opened { link: *link, opener, opened },
-            Kept::Frame(link, side, number, bytes) => {
+    for (at, record) in &records {
+        let record = match record {
+            OwnedRecord::Terms(terms) => Record::Terms(terms.clone()),
+            OwnedRecord::Opened(link, opener, opened) => Record::Opened { link: *link, opener, opened },
+            OwnedRecord::Frame(link, side, number, bytes) => {
                 Record::Frame { link: *link, side: *side, number: *number, bytes }
             }
-            Kept::Delivered(link, side, number) => {
+            OwnedRecord::Delivered(link, side, number) => {
                 Record::Delivered { link: *link, side: *side, number: *number }
             }
-            Kept::Ended(link, how) => Record::Ended { link: *link, how },
-            Kept::Deed(deed, who, machine) => Record::Deed { deed: *deed, who, machine: *machine },
-            Kept::Unread(link, side, on) => Record::Unread { link: *link, side: *side, on: *on },
+            OwnedRecord::Ended(link, how) => Record::Ended { link: *link, how },
+            OwnedRecord::Deed(deed, who, machine) => Record::Deed { deed: *deed, who, machine: *machine },
+            OwnedRecord::Unread(link, side, on) => Record::Unread { link: *link, side: *side, on: *on },
         };
         recorder.record(Timestamp::from_nanos(*at), record);
     }
-    let end = tape.last().map_or(0, |(at, _)| *at);
-    let bytes = recorder.close(Timestamp::from_nanos(end)).expect("a vector takes all");
-    judge(&bytes[..]).expect("is whole")
+    let end = records.last().map_or(0, |(at, _)| *at);
+    let bytes = recorder.close(Timestamp::from_nanos(end)).expect("a vector can be written to");
+    judge(&bytes[..]).expect("the capture is complete")
 }
 
-/// A quiet day, of which mutants are made.
-static QUIET: LazyLock<Tape> = LazyLock::new(|| {
+/// A scenario without faults, of which the mutants are made.
+static FAULT_FREE: LazyLock<Records> = LazyLock::new(|| {
     let path = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../days/bad-day.day");
     let mut faults = Faults::default();
-    let directives = parse(&path, &mut faults).expect("is in the repository");
+    let directives = parse(&path, &mut faults).expect("the scenario file exists");
     let mut day = parse_day(&directives, &mut faults).unwrap_or_else(|| panic!("{}", faults.render()));
     day.troubles.clear();
     day.length = Duration::from_secs(12);
-    let (_, _, capture) = Runner::new(day, Vec::new()).play(|_, _| ()).expect("a vector takes all");
-    let mut tape = Tape::new();
-    read(&capture[..], |stamped| tape.extend(keep(&stamped.record).map(|kept| (stamped.at, kept))))
-        .expect("is whole");
-    let verdict = rewrite(&tape);
-    assert!(verdict.holds(), "the day itself keeps all rules");
-    tape
+    let (_, _, capture) =
+        Simulation::new(day, Vec::new()).run(|_, _| ()).expect("a vector can be written to");
+    let mut records = Records::new();
+    read(&capture[..], |stamped| {
+        records.extend(to_owned_record(&stamped.record).map(|record| (stamped.at, record)))
+    })
+    .expect("the capture is complete");
+    let report = check(&records);
+    assert!(report.holds(), "the unedited capture violates a rule");
+    records
 });
 
-fn message(kept: &Kept) -> Option<Message<'_>> {
-    match kept {
-        Kept::Frame(.., bytes) => protocol::decode(bytes).ok(),
+fn message(record: &OwnedRecord) -> Option<Message<'_>> {
+    match record {
+        OwnedRecord::Frame(.., bytes) => protocol::decode(bytes).ok(),
         _ => None,
     }
 }
@@ -102,23 +107,23 @@
     bytes
 }
 
-/// Puts a frame into a tape, entered and delivered; its number is one that no other frame has.
-fn put(tape: &mut Tape, at: u64, link: u32, side: Side, message: &Message<'_>) {
-    let number = 1_000_000 + tape.len() as u32;
-    tape.push((at, Kept::Frame(link, side, number, frame(message))));
-    tape.push((at + 200_000, Kept::Delivered(link, side, number)));
+/// Adds a frame to the records, sent and delivered, with a number that no other frame has.
+fn insert(records: &mut Records, at: u64, link: u32, side: Side, message: &Message<'_>) {
+    let number = 1_000_000 + records.len() as u32;
+    records.push((at, OwnedRecord::Frame(link, side, number, frame(message))));
+    records.push((at + 200_000, OwnedRecord::Delivered(link, side, number)));
 }
 
-/// Which planner and machine a link joins.
-fn machine_links(tape: &Tape) -> BTreeMap<u32, (String, u64)> {
-    let of = |(_, kept): &(u64, Kept)| match kept {
-        Kept::Opened(link, opener, opened) => {
+/// The planner and the machine of each connection between the two.
+fn machine_links(records: &Records) -> BTreeMap<u32, (String, u64)> {
+    let of = |(_, record): &(u64, OwnedRecord)| match record {
+        OwnedRecord::Opened(link, opener, opened) => {
             let machine = opened.strip_prefix("machine-")?.parse().ok()?;
             Some((*link, (opener.clone(), machine)))
         }
         _ => None,
     };
-    tape.iter().filter_map(of).collect()
+    records.iter().filter_map(of).collect()
 }
 
 #[derive(Clone)]
@@ -130,172 +135,175 @@
     shape: Shape,
 }
 
-fn offers(tape: &Tape, use_case: u32) -> Vec<Offer> {
-    let of = |(at, kept): &(u64, Kept)| match (kept, message(kept)?) {
-        (Kept::Frame(link, ..), Message::Offer { task, send, shape, .. }) if shape.use_case == use_case => {
+fn offers(records: &Records, use_case: u32) -> Vec<Offer> {
+    let of = |(at, record): &(u64, OwnedRecord)| match (record, message(record)?) {
+        (OwnedRecord::Frame(link, ..), Message::Offer { task, send, shape, .. })
+            if shape.use_case == use_case =>
+        {
             Some(Offer { at: *at, link: *link, task, send, shape })
         }
         _ => None,
     };
-    tape.iter().filter_map(of).collect()
+    records.iter().filter_map(of).collect()
 }
 
 /// The first frame that is this task's final answer: its place, time, link.
-fn answer(tape: &Tape) -> (usize, u64, u32, u64) {
-    let of = |(place, (at, kept)): (usize, &(u64, Kept))| match (kept, message(kept)?) {
-        (Kept::Frame(link, ..), Message::Placed { task, .. }) => Some((place, *at, *link, task)),
+fn answer(records: &Records) -> (usize, u64, u32, u64) {
+    let of = |(place, (at, record)): (usize, &(u64, OwnedRecord))| match (record, message(record)?) {
+        (OwnedRecord::Frame(link, ..), Message::Placed { task, .. }) => Some((place, *at, *link, task)),
         _ => None,
     };
-    tape.iter().enumerate().find_map(of).expect("a day places tasks")
+    records.iter().enumerate().find_map(of).expect("the scenario places tasks")
 }
 
-/// Tells that a task is over, or withdraws it.
-fn is_over(kept: &Kept, task: u64) -> bool {
-    let over = message(kept);
+/// Whether a record says that a task ended, or cancels it.
+fn is_over(record: &OwnedRecord, task: u64) -> bool {
+    let over = message(record);
     matches!(over, Some(Message::Ended { task: t, .. } | Message::Withdraw { task: t }) if t == task)
 }
 
 #[track_caller]
-fn caught(tape: &Tape, rule: usize, task: Option<u64>, machine: Option<u64>) {
-    let verdict = rewrite(tape);
-    for (n, ruling) in verdict.rules.iter().enumerate().filter(|(n, _)| *n != rule) {
+fn assert_detected(records: &Records, rule: usize, task: Option<u64>, machine: Option<u64>) {
+    let report = check(records);
+    for (n, ruling) in report.rules.iter().enumerate().filter(|(n, _)| *n != rule) {
         assert_eq!(ruling.breaches, [], "rule {} is not the broken one", n + 1);
     }
     let names = |b: &&mulleinhub_checker::Breach| {
         (task.is_none() || b.task == task) && (machine.is_none() || b.machine == machine)
     };
-    let breaches = &verdict.rules[rule].breaches;
-    assert!(breaches.iter().any(|b| names(&b)), "rule {}: {breaches:?}", rule + 1);
+    let violations = &report.rules[rule].breaches;
+    assert!(violations.iter().any(|b| names(&b)), "rule {}: {violations:?}", rule + 1);
 }
 
 // No task lost.
 
 #[test]
-fn a_swallowed_answer_is_caught() {
-    let mut tape = QUIET.clone();
-    let (.., task) = answer(&tape);
-    tape.retain(|(_, kept)| {
-        !matches!(message(kept), Some(Message::Placed { task: t, .. }) if t == task) && !is_over(kept, task)
+fn missing_answer_is_detected() {
+    let mut records = FAULT_FREE.clone();
+    let (.., task) = answer(&records);
+    records.retain(|(_, record)| {
+        !matches!(message(record), Some(Message::Placed { task: t, .. }) if t == task)
+            && !is_over(record, task)
     });
-    caught(&tape, LOST, Some(task), None);
+    assert_detected(&records, TASK_LOST, Some(task), None);
 }
 
 #[test]
-fn an_answer_given_twice_is_caught() {
-    let mut tape = QUIET.clone();
-    let (_, at, link, task) = answer(&tape);
-    put(&mut tape, at + 1_000_000, link, Side::Opened, &Message::Placed { task, machine: 1 });
-    caught(&tape, LOST, Some(task), None);
+fn duplicate_answer_is_detected() {
+    let mut records = FAULT_FREE.clone();
+    let (_, at, link, task) = answer(&records);
+    insert(&mut records, at + 1_000_000, link, Side::Opened, &Message::Placed { task, machine: 1 });
+    assert_detected(&records, TASK_LOST, Some(task), None);
 }
 
 #[test]
-fn another_answer_after_the_first_is_caught() {
-    let mut tape = QUIET.clone();
-    let (_, at, link, task) = answer(&tape);
-    put(&mut tape, at + 1_000_000, link, Side::Opened, &Message::Errored { task });
-    caught(&tape, LOST, Some(task), None);
+fn conflicting_answer_is_detected() {
+    let mut records = FAULT_FREE.clone();
+    let (_, at, link, task) = answer(&records);
+    insert(&mut records, at + 1_000_000, link, Side::Opened, &Message::Errored { task });
+    assert_detected(&records, TASK_LOST, Some(task), None);
 }
 
 #[test]
-fn an_answer_after_the_client_timeout_is_caught() {
-    let mut tape = QUIET.clone();
-    let (place, at, _, task) = answer(&tape);
-    tape[place].0 = at + 9_000_000_000;
-    tape.retain(|(_, kept)| !is_over(kept, task));
-    caught(&tape, LOST, Some(task), None);
+fn answer_after_client_timeout_is_detected() {
+    let mut records = FAULT_FREE.clone();
+    let (place, at, _, task) = answer(&records);
+    records[place].0 = at + 9_000_000_000;
+    records.retain(|(_, record)| !is_over(record, task));
+    assert_detected(&records, TASK_LOST, Some(task), None);
 }
 
 // No effect twice.
 
 #[test]
-fn an_offer_doubled_while_the_first_is_out_is_caught() {
+fn concurrent_attempt_is_detected() {
     for use_case in 0..3 {
-        let mut tape = QUIET.clone();
-        let first = &offers(&tape, use_case)[0];
-        let (planner, machine) = machine_links(&tape)[&first.link].clone();
-        // To a neighbour in the rack, so that the group is no matter.
-        let links = machine_links(&tape);
-        let near =
+        let mut records = FAULT_FREE.clone();
+        let first = &offers(&records, use_case)[0];
+        let (planner, machine) = machine_links(&records)[&first.link].clone();
+        // On a machine of the same rack, so that the group of machines does not matter.
+        let links = machine_links(&records);
+        let same_rack =
             |(_, (p, m)): &(&u32, &(String, u64))| *p == planner && *m != machine && m % 4 == machine % 4;
-        let link = *links.iter().find(near).expect("racks have three machines").0;
+        let link = *links.iter().find(same_rack).expect("racks have three machines").0;
         let (task, shape) = (first.task, first.shape);
-        let again = Message::Offer { task, send: 1, shape, time_out: 1_000_000_000, owner: "owner-1" };
-        put(&mut tape, first.at + 2_000_000, link, Side::Opener, &again);
-        caught(&tape, TWICE, Some(task), None);
+        let retry = Message::Offer { task, send: 1, shape, time_out: 1_000_000_000, owner: "owner-1" };
+        insert(&mut records, first.at + 2_000_000, link, Side::Opener, &retry);
+        assert_detected(&records, EFFECT_TWICE, Some(task), None);
     }
 }
 
-/// Takes out all that a machine said of a task's first send, so that it may have run.
-fn unanswered(use_case: u32) -> (Tape, Offer) {
-    let mut tape = QUIET.clone();
-    let first = offers(&tape, use_case).remove(0);
-    tape.retain(|(_, kept)| {
-        !matches!(message(kept), Some(
+/// Removes all that a machine answered to a task's first attempt, so that the task may have run.
+fn without_answers(use_case: u32) -> (Records, Offer) {
+    let mut records = FAULT_FREE.clone();
+    let first = offers(&records, use_case).remove(0);
+    records.retain(|(_, record)| {
+        !matches!(message(record), Some(
             Message::Accepted { task, .. } | Message::Runs { task, .. } | Message::Closed { task, .. }
             | Message::Placed { task, .. } | Message::Ended { task, .. } | Message::Withdraw { task }
             | Message::Note { task, .. }
         ) if task == first.task)
     });
     let recall = Message::Recall { task: first.task, send: first.send };
-    put(&mut tape, first.at + 500_000_000, first.link, Side::Opener, &recall);
-    (tape, first)
+    insert(&mut records, first.at + 500_000_000, first.link, Side::Opener, &recall);
+    (records, first)
 }
 
-fn client_link(tape: &Tape, task: u64) -> u32 {
-    let of = |(_, kept): &(u64, Kept)| match (kept, message(kept)?) {
-        (Kept::Frame(link, ..), Message::Ask { task: t, .. }) if t == task => Some(*link),
+fn client_link(records: &Records, task: u64) -> u32 {
+    let of = |(_, record): &(u64, OwnedRecord)| match (record, message(record)?) {
+        (OwnedRecord::Frame(link, ..), Message::Ask { task: t, .. }) if t == task => Some(*link),
         _ => None,
     };
-    tape.iter().find_map(of).expect("was asked for")
+    records.iter().find_map(of).expect("a client requested it")
 }
 
 #[test]
-fn a_nack_of_a_task_that_may_have_run_is_caught() {
+fn rejection_of_possibly_run_task_is_detected() {
     for use_case in [0, 2] {
-        let (mut tape, first) = unanswered(use_case);
-        let client = client_link(&tape, first.task);
+        let (mut records, first) = without_answers(use_case);
+        let client = client_link(&records, first.task);
         let nack = Message::Nacked { task: first.task, stay_away: 0 };
-        put(&mut tape, first.at + 600_000_000, client, Side::Opened, &nack);
-        caught(&tape, TWICE, Some(first.task), None);
+        insert(&mut records, first.at + 600_000_000, client, Side::Opened, &nack);
+        assert_detected(&records, EFFECT_TWICE, Some(first.task), None);
     }
 }
 
 #[test]
-fn a_single_use_task_sent_again_and_a_referenced_one_outside_its_group_are_caught() {
+fn unsafe_retry_is_detected() {
     for use_case in [0, 2] {
-        let (mut tape, first) = unanswered(use_case);
-        let links = machine_links(&tape);
+        let (mut records, first) = without_answers(use_case);
+        let links = machine_links(&records);
         let (planner, machine) = links[&first.link].clone();
-        let far = |(_, (p, m)): &(&u32, &(String, u64))| *p == planner && m % 4 != machine % 4;
-        let link = *links.iter().find(far).expect("there are four racks").0;
+        let other_rack = |(_, (p, m)): &(&u32, &(String, u64))| *p == planner && m % 4 != machine % 4;
+        let link = *links.iter().find(other_rack).expect("there are four racks").0;
         let Offer { task, shape, at, .. } = first;
-        let again = Message::Offer { task, send: 1, shape, time_out: 1_000_000_000, owner: "owner-1" };
-        put(&mut tape, at + 600_000_000, link, Side::Opener, &again);
-        let client = client_link(&tape, task);
-        put(&mut tape, at + 700_000_000, client, Side::Opened, &Message::Errored { task });
-        caught(&tape, TWICE, Some(task), None);
+        let retry = Message::Offer { task, send: 1, shape, time_out: 1_000_000_000, owner: "owner-1" };
+        insert(&mut records, at + 600_000_000, link, Side::Opener, &retry);
+        let client = client_link(&records, task);
+        insert(&mut records, at + 700_000_000, client, Side::Opened, &Message::Errored { task });
+        assert_detected(&records, EFFECT_TWICE, Some(task), None);
     }
 }
 
 #[test]
-fn a_referenced_task_sent_again_after_its_window_is_caught() {
-    let (mut tape, first) = unanswered(0);
+fn retry_after_idempotency_window_is_detected() {
+    let (mut records, first) = without_answers(0);
     let Offer { task, shape, at, link, .. } = first;
-    let again = Message::Offer { task, send: 1, shape, time_out: 1_000_000_000, owner: "owner-1" };
-    put(&mut tape, at + 4_100_000_000, link, Side::Opener, &again);
-    let client = client_link(&tape, task);
-    put(&mut tape, at + 4_500_000_000, client, Side::Opened, &Message::Errored { task });
-    caught(&tape, TWICE, Some(task), None);
+    let retry = Message::Offer { task, send: 1, shape, time_out: 1_000_000_000, owner: "owner-1" };
+    insert(&mut records, at + 4_100_000_000, link, Side::Opener, &retry);
+    let client = client_link(&records, task);
+    insert(&mut records, at + 4_500_000_000, client, Side::Opened, &Message::Errored { task });
+    assert_detected(&records, EFFECT_TWICE, Some(task), None);
 }
 
 // Drains.
 
-fn told_drain(tape: &mut Tape, planner: &str, machine: u64, at: u64, mode: Mode) {
-    let of = |(_, kept): &(u64, Kept)| match kept {
-        Kept::Opened(link, opener, opened) if opener == planner && opened == "list" => Some(*link),
+fn insert_drain(records: &mut Records, planner: &str, machine: u64, at: u64, mode: Mode) {
+    let of = |(_, record): &(u64, OwnedRecord)| match record {
+        OwnedRecord::Opened(link, opener, opened) if opener == planner && opened == "list" => Some(*link),
         _ => None,
     };
-    let link = tape.iter().find_map(of).expect("planners watch the list");
+    let link = records.iter().find_map(of).expect("planners watch the endpoint list");
     let entry = Entry {
         machine,
         address: "x",
@@ -309,52 +317,52 @@
         memory_left: None,
     };
     let list = Message::List { kind: ListKind::Changes, version: 1_000, entries: vec![entry] };
-    // What the list says of this machine later would take it back.
-    for (_, kept) in tape.iter_mut() {
-        let Some(Message::List { kind, version, mut entries }) = message(kept) else { continue };
+    // Later entries of the endpoint list for this machine would revert the drain.
+    for (_, record) in records.iter_mut() {
+        let Some(Message::List { kind, version, mut entries }) = message(record) else { continue };
         entries.retain(|entry| kind == ListKind::Whole || entry.machine != machine);
         let bytes = frame(&Message::List { kind, version, entries });
-        if let Kept::Frame(l, _, _, old) = kept
+        if let OwnedRecord::Frame(l, _, _, old) = record
             && *l == link
         {
             *old = bytes;
         }
     }
-    put(tape, at, link, Side::Opened, &list);
+    insert(records, at, link, Side::Opened, &list);
 }
 
 #[test]
-fn a_send_after_a_drain_was_told_is_caught() {
+fn attempt_on_draining_machine_is_detected() {
     for (mode, ms) in [(Mode::Leaving, 2_200), (Mode::Left, 2_500)] {
-        let mut tape = QUIET.clone();
-        let late = offers(&tape, 0).pop().expect("a day has offers");
-        let (planner, machine) = machine_links(&tape)[&late.link].clone();
-        told_drain(&mut tape, &planner, machine, late.at - ms * 1_000_000, mode);
-        caught(&tape, DRAINS, Some(late.task), Some(machine));
+        let mut records = FAULT_FREE.clone();
+        let last = offers(&records, 0).pop().expect("the scenario has offers");
+        let (planner, machine) = machine_links(&records)[&last.link].clone();
+        insert_drain(&mut records, &planner, machine, last.at - ms * 1_000_000, mode);
+        assert_detected(&records, DRAIN, Some(last.task), Some(machine));
     }
 }
 
 #[test]
-fn a_send_within_the_grace_is_not() {
-    let mut tape = QUIET.clone();
-    // The last of all: one of the other use case may come after the last of this one, past the grace.
-    let all = [offers(&tape, 0), offers(&tape, 1)].concat();
-    let late = all.into_iter().max_by_key(|offer| offer.at).expect("a day has offers");
-    let (planner, machine) = machine_links(&tape)[&late.link].clone();
-    told_drain(&mut tape, &planner, machine, late.at - 1_500_000_000, Mode::Leaving);
-    let verdict = rewrite(&tape);
-    assert_eq!((verdict.rules[DRAINS].breaches.len(), verdict.rules[DRAINS].cases), (0, 1));
+fn attempt_within_drain_grace_is_allowed() {
+    let mut records = FAULT_FREE.clone();
+    // The last of both use cases: one of the other may come later, past the grace period.
+    let all = [offers(&records, 0), offers(&records, 1)].concat();
+    let last = all.into_iter().max_by_key(|offer| offer.at).expect("the scenario has offers");
+    let (planner, machine) = machine_links(&records)[&last.link].clone();
+    insert_drain(&mut records, &planner, machine, last.at - 1_500_000_000, Mode::Leaving);
+    let report = check(&records);
+    assert_eq!((report.rules[DRAIN].breaches.len(), report.rules[DRAIN].cases), (0, 1));
 }
 
-// Cold machines.
+// Slow start.
 
 #[test]
-fn a_flood_of_a_cold_machine_is_caught() {
-    let mut tape = QUIET.clone();
-    let first = &offers(&tape, 2)[0];
-    let (_, machine) = machine_links(&tape)[&first.link].clone();
+fn flood_of_warming_machine_is_detected() {
+    let mut records = FAULT_FREE.clone();
+    let first = &offers(&records, 2)[0];
+    let (_, machine) = machine_links(&records)[&first.link].clone();
     let (at, link, shape) = (first.at, first.link, first.shape);
-    tape.push((at - 1, Kept::Deed(Deed::MachineUp, format!("machine-{machine}"), Some(machine))));
+    records.push((at - 1, OwnedRecord::Deed(Deed::MachineUp, format!("machine-{machine}"), Some(machine))));
     for n in 0..200 {
         let task = 77_000 + n;
         let flood = Message::Offer {
@@ -364,26 +372,26 @@
             time_out: 1,
             owner: "x",
         };
-        put(&mut tape, at + n * 1_000_000, link, Side::Opener, &flood);
+        insert(&mut records, at + n * 1_000_000, link, Side::Opener, &flood);
     }
-    let verdict = rewrite(&tape);
-    assert!(verdict.rules[COLD].breaches.iter().any(|b| b.machine == Some(machine)));
+    let report = check(&records);
+    assert!(report.rules[SLOW_START].breaches.iter().any(|b| b.machine == Some(machine)));
 }
 
 #[test]
-fn a_machine_that_fell_over_is_caught() {
-    let mut tape = QUIET.clone();
-    let at = tape.last().expect("is long").0;
-    tape.push((at, Kept::Deed(Deed::FellOver, "machine-3".to_owned(), Some(3))));
-    caught(&tape, COLD, None, Some(3));
+fn collapsed_machine_is_detected() {
+    let mut records = FAULT_FREE.clone();
+    let at = records.last().expect("there are records").0;
+    records.push((at, OwnedRecord::Deed(Deed::FellOver, "machine-3".to_owned(), Some(3))));
+    assert_detected(&records, SLOW_START, None, Some(3));
 }
 
 // Spread.
 
 #[test]
-fn a_third_task_of_a_service_on_one_machine_is_caught() {
-    let mut tape = QUIET.clone();
-    let first = &offers(&tape, 0)[0];
+fn third_task_of_service_on_machine_is_detected() {
+    let mut records = FAULT_FREE.clone();
+    let first = &offers(&records, 0)[0];
     let (at, link, shape) = (first.at, first.link, first.shape);
     for n in 0..3 {
         let more = Message::Offer {
@@ -393,19 +401,19 @@
             time_out: 3_000_000_000,
             owner: "x",
         };
-        put(&mut tape, at + 1_000_000 + n, link, Side::Opener, &more);
+        insert(&mut records, at + 1_000_000 + n, link, Side::Opener, &more);
     }
-    caught(&tape, SPREAD, Some(88_002), None);
+    assert_detected(&records, SPREAD, Some(88_002), None);
 }
 
 #[test]
-fn a_fourth_task_of_a_service_in_one_rack_is_caught() {
-    let mut tape = QUIET.clone();
-    let first = &offers(&tape, 2)[0];
-    let links = machine_links(&tape);
+fn fourth_task_of_service_in_rack_is_detected() {
+    let mut records = FAULT_FREE.clone();
+    let first = &offers(&records, 2)[0];
+    let links = machine_links(&records);
     let (planner, machine) = links[&first.link].clone();
-    let near = |(_, (p, m)): &(&u32, &(String, u64))| *p == planner && m % 4 == machine % 4;
-    let rack: Vec<u32> = links.iter().filter(near).map(|(link, _)| *link).collect();
+    let same_rack = |(_, (p, m)): &(&u32, &(String, u64))| *p == planner && m % 4 == machine % 4;
+    let rack: Vec<u32> = links.iter().filter(same_rack).map(|(link, _)| *link).collect();
     let (at, shape) = (first.at, first.shape);
     for n in 0..4u64 {
         let link = rack[n as usize % rack.len()];
@@ -416,24 +424,24 @@
             time_out: 3_000_000_000,
             owner: "x",
         };
-        put(&mut tape, at + 1_000_000 + n, link, Side::Opener, &more);
+        insert(&mut records, at + 1_000_000 + n, link, Side::Opener, &more);
     }
-    caught(&tape, SPREAD, Some(99_003), None);
+    assert_detected(&records, SPREAD, Some(99_003), None);
 }
 
 #[test]
-fn a_task_that_ended_no_longer_counts_for_spread() {
-    let mut tape = QUIET.clone();
-    let first = &offers(&tape, 0)[0];
+fn ended_task_does_not_count_for_spread() {
+    let mut records = FAULT_FREE.clone();
+    let first = &offers(&records, 0)[0];
     let (at, link, shape) = (first.at, first.link, first.shape);
     for n in 0..3u64 {
         let task = 88_000 + n;
         let shape = Shape { key: task, service: 4_243, ..shape };
         let offer = Message::Offer { task, send: 0, shape, time_out: 3_000_000_000, owner: "x" };
-        put(&mut tape, at + n * 100_000_000, link, Side::Opener, &offer);
+        insert(&mut records, at + n * 100_000_000, link, Side::Opener, &offer);
         let reason = protocol::Reason::NoCores;
         let closed = Message::Closed { task, send: 0, ending: Ending::Nacked, reason };
-        put(&mut tape, at + n * 100_000_000 + 1_000_000, link, Side::Opened, &closed);
+        insert(&mut records, at + n * 100_000_000 + 1_000_000, link, Side::Opened, &closed);
     }
-    assert_eq!(rewrite(&tape).rules[SPREAD].breaches, []);
+    assert_eq!(check(&records).rules[SPREAD].breaches, []);
 }
