--- a/crates/cli/src/day.rs
+++ b/crates/cli/src/day.rs
@@ -7,7 +7,7 @@
 use mulleinhub_interface::Timestamp;
 use mulleinhub_load_test::play_over_sockets;
 use mulleinhub_scenario::{Day, Progress, Score, parse_day};
-use mulleinhub_settings::{Directive, Faults, parse, parse_text};
+use mulleinhub_settings::{Diagnostics, Directive, parse, parse_text};
 use mulleinhub_simulation::{Ranking, Runner};
 use std::fs::File;
 use std::io::{BufReader, BufWriter, IsTerminal, Write};
@@ -95,7 +95,7 @@
     }
 }
 
-fn scripts(path: Option<&Path>, faults: &mut Faults) -> Result<Vec<Directive>, String> {
+fn scripts(path: Option<&Path>, faults: &mut Diagnostics) -> Result<Vec<Directive>, String> {
     match path {
         Some(path) => parse(path, faults).map_err(|error| format!("{}: {error}", path.display())),
         None => {
@@ -109,14 +109,14 @@
 }
 
 fn read(path: Option<&Path>) -> Result<Day, String> {
-    let mut faults = Faults::default();
+    let mut faults = Diagnostics::default();
     let directives = scripts(path, &mut faults)?;
     parse_day(&directives, &mut faults).ok_or_else(|| faults.render())
 }
 
 /// A day's script has `length`, a planner's settings have `list`.
 pub fn check(path: &Path) -> Result<ExitCode, String> {
-    let mut faults = Faults::default();
+    let mut faults = Diagnostics::default();
     let directives = scripts(Some(path), &mut faults)?;
     let is_day = directives.iter().any(|d| d.name.text == "length");
     let fine = if is_day {
@@ -179,7 +179,7 @@
         }
         if let Some(length) = &self.length {
             use mulleinhub_settings::Value;
-            day.length = mulleinhub_interface::Duration::read(length)
+            day.length = mulleinhub_interface::Duration::parse(length)
                 .map_err(|words| format!("--length {length}: {words}"))?;
         }
         match day.too_large() {
--- a/crates/cli/src/load.rs
+++ b/crates/cli/src/load.rs
@@ -58,7 +58,7 @@
 }
 
 fn span(text: &str) -> Result<StdDuration, String> {
-    Duration::read(text).map(|span| StdDuration::from_nanos(span.nanos()))
+    Ok(StdDuration::from_nanos(Duration::parse(text)?.nanos()))
 }
 
 pub fn run(command: LoadCommand) -> Result<ExitCode, String> {
--- a/crates/cli/src/scale.rs
+++ b/crates/cli/src/scale.rs
@@ -250,5 +250,5 @@
 }
 
 fn span(text: &str) -> Result<StdDuration, String> {
-    Duration::read(text).map(|span| StdDuration::from_nanos(span.nanos()))
+    Ok(StdDuration::from_nanos(Duration::parse(text)?.nanos()))
 }
--- a/crates/cli/src/trace.rs
+++ b/crates/cli/src/trace.rs
@@ -6,7 +6,7 @@
 use mulleinhub_interface::{Duration, Timestamp};
 use mulleinhub_replay::{Bound, DEFAULT_MAP, Replay, Report, bound, build, html, play, read_map, text};
 use mulleinhub_scenario::Day;
-use mulleinhub_settings::{Faults, Value, parse, parse_text};
+use mulleinhub_settings::{Diagnostics, Value, parse, parse_text};
 use mulleinhub_simulation::Ranking;
 use mulleinhub_trace::{
     Inspection, LAYOUTS, Mapping, Model, Progress, Reader, Sample, Share, Work, by_name, collect,
@@ -134,7 +134,7 @@
 }
 
 fn span(text: &str) -> Result<Duration, String> {
-    Duration::read(text)
+    Ok(Duration::parse(text)?)
 }
 
 pub fn run(command: TraceCommand) -> Result<ExitCode, String> {
@@ -157,7 +157,7 @@
 
 impl Files {
     fn map(&self) -> Result<(Mapping, Day), String> {
-        let mut faults = Faults::default();
+        let mut faults = Diagnostics::default();
         let directives = match &self.map {
             Some(path) => parse(path, &mut faults).map_err(|e| format!("{}: {e}", path.display()))?,
             None => parse_text("traces.map", DEFAULT_MAP, &mut faults),
--- a/crates/load-test/src/town.rs
+++ b/crates/load-test/src/town.rs
@@ -3,7 +3,7 @@
 use mulleinhub_event_loop::EventLoop;
 use mulleinhub_interface::Duration;
 use mulleinhub_scenario::{Behind, Day, PlannerDeed, Stage, parse_day};
-use mulleinhub_settings::{Faults, parse_text};
+use mulleinhub_settings::{Diagnostics, parse_text};
 use std::net::{Ipv4Addr, SocketAddr};
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -14,7 +14,7 @@
 
 /// The town's day: no owner asks for anything, and machines answer at once.
 pub fn day(planners: usize) -> Result<Day, String> {
-    let mut faults = Faults::default();
+    let mut faults = Diagnostics::default();
     let text = format!(
         "name load\nlength 24h\nplanners {planners}\nowners 1\nrate 0\nracks 4\nmachines 24\n\
          delay 0ms\ncross-delay 0ms\n{TOWN}"
--- a/crates/planner/src/settings.rs
+++ b/crates/planner/src/settings.rs
@@ -12,8 +12,8 @@
 use mulleinhub_engine::Settings;
 use mulleinhub_interface::{AcceptanceRules, Discovery, Duration, LocalityCosts, SlowStart, UseCase, ZoneId};
 use mulleinhub_limits::Settings as ClientLimits;
-use mulleinhub_settings::{Bytes, Directive, Faults, Name, Place, Scope, parse, parse_text};
-use mulleinhub_workload_settings::{Kind, Rules, read_case, read_kind, read_rules};
+use mulleinhub_settings::{Bytes, Diagnostics, Directive, Name, Scope, SourceSpan, parse, parse_text};
+use mulleinhub_workload_settings::{MachineKind, RuleSettings, read_machine_kind, read_rules, read_use_case};
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 
@@ -54,7 +54,7 @@
 /// # Errors
 /// If the file can't be read, or has faults.
 pub fn read_settings(path: &Path) -> Result<PlannerSettings, PlannerError> {
-    let mut faults = Faults::default();
+    let mut faults = Diagnostics::default();
     let directives = parse(path, &mut faults).map_err(PlannerError::file(path))?;
     settings_or_faults(&directives, faults)
 }
@@ -64,29 +64,32 @@
 /// # Errors
 /// If the text has faults.
 pub fn parse_settings_text(text: &str) -> Result<PlannerSettings, PlannerError> {
-    let mut faults = Faults::default();
+    let mut faults = Diagnostics::default();
     let directives = parse_text(UNNAMED_FILE, text, &mut faults);
     settings_or_faults(&directives, faults)
 }
 
-fn settings_or_faults(directives: &[Directive], mut faults: Faults) -> Result<PlannerSettings, PlannerError> {
+fn settings_or_faults(
+    directives: &[Directive],
+    mut faults: Diagnostics,
+) -> Result<PlannerSettings, PlannerError> {
     parse_settings(directives, &mut faults)
         .ok_or_else(|| PlannerError::InvalidSettings { report: faults.render() })
 }
 
 /// Reads a planner's settings from parsed directives. Returns `None` if there are faults, which are added to
 /// `faults`.
-pub fn parse_settings(directives: &[Directive], faults: &mut Faults) -> Option<PlannerSettings> {
-    let file_start = Place { file: 0, bytes: 0..0 };
+pub fn parse_settings(directives: &[Directive], faults: &mut Diagnostics) -> Option<PlannerSettings> {
+    let file_start = SourceSpan { file: 0, bytes: 0..0 };
     let mut scope = Scope::new(directives, file_start.clone());
     let identity = Identity::read(&mut scope, faults);
     let listen = loopback_address(&mut scope, "listen", faults);
-    let shared_port = scope.or("listen-shared", false, faults);
+    let shared_port = scope.optional_or("listen-shared", false, faults);
     let metrics = loopback_address(&mut scope, "metrics", faults);
-    let list_address = scope.must::<String>("list", faults);
-    let state_dir = scope.maybe::<String>("state-dir", faults).map(PathBuf::from);
+    let list_address = scope.required::<String>("list", faults);
+    let state_dir = scope.optional::<String>("state-dir", faults).map(PathBuf::from);
     let log_format = read_log_format(&mut scope, &file_start, faults);
-    let poll_for_list = scope.or("list-must-be-asked", false, faults);
+    let poll_for_list = scope.optional_or("list-must-be-asked", false, faults);
     let rules = read_rules(scope.once("rules", faults), faults);
     let workload = Workload::read(&mut scope, &file_start, faults);
     let acceptance = read_acceptance_rules(&mut scope, &rules, faults);
@@ -109,7 +112,7 @@
         machine_kinds: workload.kinds.iter().map(|kind| kind.size).collect(),
         acceptance,
         slow_start,
-        discovery: Discovery { watch_required: poll_for_list, max_staleness: rules.ask_within },
+        discovery: Discovery { watch_required: poll_for_list, max_staleness: rules.max_staleness },
         locality: costs,
         endpoint_list_address: list_address?,
         reconnect_backoff: connections.reconnect,
@@ -136,28 +139,28 @@
 }
 
 impl Identity {
-    fn read(scope: &mut Scope<'_>, faults: &mut Faults) -> Self {
+    fn read(scope: &mut Scope<'_>, faults: &mut Diagnostics) -> Self {
         Self {
-            name: scope.must::<Name>("name", faults),
-            number: scope.or("number", 0, faults),
-            schedulers: scope.or("schedulers", 1, faults),
-            seed: scope.or("seed", 1, faults),
-            zone: scope.or("hall", 0, faults),
+            name: scope.required::<Name>("name", faults),
+            number: scope.optional_or("number", 0, faults),
+            schedulers: scope.optional_or("schedulers", 1, faults),
+            seed: scope.optional_or("seed", 1, faults),
+            zone: scope.optional_or("hall", 0, faults),
         }
     }
 
-    fn check(&self, place: &Place, faults: &mut Faults) {
+    fn check(&self, place: &SourceSpan, faults: &mut Diagnostics) {
         let Self { number, schedulers, .. } = self;
         if number >= schedulers {
             faults.add(place, format!("number {number} of {schedulers} schedulers: numbers count from 0"));
         }
     }
 
-    fn slow_start(&self, rules: &Rules) -> SlowStart {
+    fn slow_start(&self, rules: &RuleSettings) -> SlowStart {
         SlowStart {
-            warm_up_time: rules.warm_after,
-            budget_window: rules.fall,
-            attempt_budget: f64::from(rules.young_limit),
+            warm_up_time: rules.warm_up_time,
+            budget_window: rules.budget_window,
+            attempt_budget: f64::from(rules.attempt_budget),
             scheduler_count: self.schedulers,
             scheduler_index: self.number,
         }
@@ -166,25 +169,25 @@
 
 /// Kinds of machines, and use cases that run on them.
 struct Workload {
-    kinds: Vec<Kind>,
+    kinds: Vec<MachineKind>,
     use_cases: Vec<UseCase>,
 }
 
 impl Workload {
-    fn read(scope: &mut Scope<'_>, file_start: &Place, faults: &mut Faults) -> Self {
-        let kinds: Vec<Kind> =
-            scope.each("kind").into_iter().filter_map(|kind| read_kind(kind, faults)).collect();
+    fn read(scope: &mut Scope<'_>, file_start: &SourceSpan, faults: &mut Diagnostics) -> Self {
+        let kinds: Vec<MachineKind> =
+            scope.each("kind").into_iter().filter_map(|kind| read_machine_kind(kind, faults)).collect();
         let mut use_cases = Vec::new();
         let mut any = false;
         for directive in scope.each("use-case") {
             let mut block = Scope::of(directive);
-            let use_case = read_case(directive, &mut block, faults);
+            let use_case = read_use_case(directive, &mut block, faults);
             block.finish(faults);
             let Some(use_case) = use_case else { continue };
             any = true;
-            match use_case.for_module(&kinds) {
+            match use_case.to_use_case(&kinds) {
                 Some(use_case) => use_cases.push(use_case),
-                None => faults.add(&directive.place, "its kind of machine is not among the kinds"),
+                None => faults.add(&directive.span, "its kind of machine is not among the kinds"),
             }
         }
         if !any {
@@ -206,23 +209,23 @@
 }
 
 impl ConnectionSettings {
-    fn read(scope: &mut Scope<'_>, faults: &mut Faults) -> Self {
+    fn read(scope: &mut Scope<'_>, faults: &mut Diagnostics) -> Self {
         let millis = |millis: u64| Duration::from_nanos(millis * NANOS_PER_MILLI);
         let mut block = optional_block(scope, "links", faults);
         let settings = Self {
-            reconnect: block.or("reconnect", millis(200), faults),
-            lost_after: block.or("lost-after", millis(2_000), faults),
-            silence: block.or("silence", millis(2_000), faults),
-            remember: block.or("remember", Duration::from_secs(60), faults),
-            start_wait: block.or("start-wait", millis(1_000), faults),
-            max_in_flight: block.or("most-in-hand", 20_000, faults),
-            max_unsent_bytes: block.or("most-unwritten", Bytes(4 << 20), faults).0 as usize,
+            reconnect: block.optional_or("reconnect", millis(200), faults),
+            lost_after: block.optional_or("lost-after", millis(2_000), faults),
+            silence: block.optional_or("silence", millis(2_000), faults),
+            remember: block.optional_or("remember", Duration::from_secs(60), faults),
+            start_wait: block.optional_or("start-wait", millis(1_000), faults),
+            max_in_flight: block.optional_or("most-in-hand", 20_000, faults),
+            max_unsent_bytes: block.optional_or("most-unwritten", Bytes(4 << 20), faults).0 as usize,
         };
         block.finish(faults);
         settings
     }
 
-    fn check(&self, place: &Place, faults: &mut Faults) {
+    fn check(&self, place: &SourceSpan, faults: &mut Diagnostics) {
         let durations =
             [("reconnect", self.reconnect), ("silence", self.silence), ("remember", self.remember)];
         for (name, duration) in durations {
@@ -233,54 +236,62 @@
     }
 }
 
-fn read_acceptance_rules(scope: &mut Scope<'_>, rules: &Rules, faults: &mut Faults) -> AcceptanceRules {
+fn read_acceptance_rules(
+    scope: &mut Scope<'_>,
+    rules: &RuleSettings,
+    faults: &mut Diagnostics,
+) -> AcceptanceRules {
     let mut block = optional_block(scope, "taking", faults);
     let acceptance = AcceptanceRules {
-        cores_overcommit: block.or("accepts-cores", 1.0, faults),
-        memory_overcommit: block.or("accepts-memory", 1.0, faults),
-        accepts_when_running: block.or("yes-when-running", false, faults),
-        max_attempts: rules.most_sends,
-        reports_pressure: block.or("tells-pressure", true, faults),
-        supports_cancel: block.or("recalls", true, faults),
+        cores_overcommit: block.optional_or("accepts-cores", 1.0, faults),
+        memory_overcommit: block.optional_or("accepts-memory", 1.0, faults),
+        accepts_when_running: block.optional_or("yes-when-running", false, faults),
+        max_attempts: rules.max_attempts,
+        reports_pressure: block.optional_or("tells-pressure", true, faults),
+        supports_cancel: block.optional_or("recalls", true, faults),
     };
     block.finish(faults);
     acceptance
 }
 
-fn read_locality_costs(scope: &mut Scope<'_>, zone: u32, faults: &mut Faults) -> LocalityCosts {
+fn read_locality_costs(scope: &mut Scope<'_>, zone: u32, faults: &mut Diagnostics) -> LocalityCosts {
     let mut block = optional_block(scope, "prices", faults);
     let costs = LocalityCosts {
         local_zone: ZoneId(zone),
-        cross_zone_cost: block.or("cross-hall", 0.0, faults),
-        machine_cost: block.or("machine", 0.0, faults),
+        cross_zone_cost: block.optional_or("cross-hall", 0.0, faults),
+        machine_cost: block.optional_or("machine", 0.0, faults),
     };
     block.finish(faults);
     costs
 }
 
-fn read_client_limits(scope: &mut Scope<'_>, faults: &mut Faults) -> ClientLimits {
+fn read_client_limits(scope: &mut Scope<'_>, faults: &mut Diagnostics) -> ClientLimits {
     let mut block = optional_block(scope, "clients", faults);
     let default = ClientLimits::default();
     let limits = ClientLimits {
-        max_connections: block.or("most", default.max_connections, faults).max(1),
-        max_per_tenant: block.or("most-of-a-tenant", default.max_per_tenant, faults).max(1),
-        max_per_name: block.or("most-of-a-name", default.max_per_name, faults).max(1),
-        max_unidentified: block.or("most-strangers", default.max_unidentified, faults).max(1),
-        max_accepts_per_iteration: block.or("opens-a-turn", default.max_accepts_per_iteration, faults).max(1),
-        greeting_timeout: block.or("greet-within", default.greeting_timeout, faults),
-        frame_timeout: block.or("frame-within", default.frame_timeout, faults),
-        keepalive_time: block.or("idle-after", default.keepalive_time, faults),
-        keepalive_timeout: block.or("sign-within", default.keepalive_timeout, faults),
-        steady_period: block.or("steady-for", default.steady_period, faults),
+        max_connections: block.optional_or("most", default.max_connections, faults).max(1),
+        max_per_tenant: block.optional_or("most-of-a-tenant", default.max_per_tenant, faults).max(1),
+        max_per_name: block.optional_or("most-of-a-name", default.max_per_name, faults).max(1),
+        max_unidentified: block.optional_or("most-strangers", default.max_unidentified, faults).max(1),
+        max_accepts_per_iteration: block
+            .optional_or("opens-a-turn", default.max_accepts_per_iteration, faults)
+            .max(1),
+        greeting_timeout: block.optional_or("greet-within", default.greeting_timeout, faults),
+        frame_timeout: block.optional_or("frame-within", default.frame_timeout, faults),
+        keepalive_time: block.optional_or("idle-after", default.keepalive_time, faults),
+        keepalive_timeout: block.optional_or("sign-within", default.keepalive_timeout, faults),
+        steady_period: block.optional_or("steady-for", default.steady_period, faults),
         eviction_grace: default.eviction_grace,
-        max_queued_per_iteration: block.or("woken-a-turn", default.max_queued_per_iteration, faults).max(1),
+        max_queued_per_iteration: block
+            .optional_or("woken-a-turn", default.max_queued_per_iteration, faults)
+            .max(1),
     };
     block.finish(faults);
     limits
 }
 
-fn read_log_format(scope: &mut Scope<'_>, place: &Place, faults: &mut Faults) -> LogFormat {
-    match scope.maybe::<String>("log", faults).as_deref() {
+fn read_log_format(scope: &mut Scope<'_>, place: &SourceSpan, faults: &mut Diagnostics) -> LogFormat {
+    match scope.optional::<String>("log", faults).as_deref() {
         None | Some("text") => LogFormat::Text,
         Some("json") => LogFormat::Json,
         Some(other) => {
@@ -291,10 +302,14 @@
 }
 
 /// A loopback address and port; no other addresses are served.
-fn loopback_address(scope: &mut Scope<'_>, name: &'static str, faults: &mut Faults) -> Option<SocketAddr> {
+fn loopback_address(
+    scope: &mut Scope<'_>,
+    name: &'static str,
+    faults: &mut Diagnostics,
+) -> Option<SocketAddr> {
     let directive = scope.once(name, faults)?;
     let argument = directive.args.first();
-    let place = argument.map_or(&directive.place, |argument| &argument.place).clone();
+    let place = argument.map_or(&directive.span, |argument| &argument.span).clone();
     match argument.and_then(|argument| argument.text.parse::<SocketAddr>().ok()) {
         Some(address) if address.ip().is_loopback() => Some(address),
         Some(_) => {
@@ -309,8 +324,8 @@
 }
 
 /// A block that may be left out; it is empty then, and all its directives have their defaults.
-fn optional_block<'a>(scope: &mut Scope<'a>, name: &'static str, faults: &mut Faults) -> Scope<'a> {
-    let empty = Scope::new(&[], Place { file: 0, bytes: 0..0 });
+fn optional_block<'a>(scope: &mut Scope<'a>, name: &'static str, faults: &mut Diagnostics) -> Scope<'a> {
+    let empty = Scope::new(&[], SourceSpan { file: 0, bytes: 0..0 });
     scope.once(name, faults).map_or(empty, Scope::of)
 }
 
--- a/crates/planner/src/settings/directives.rs
+++ b/crates/planner/src/settings/directives.rs
@@ -2,7 +2,7 @@
 
 use crate::error::PlannerError;
 use mulleinhub_replicated_log::{Directive as OperatorDirective, DirectiveAction, Name, Subject};
-use mulleinhub_settings::{Args, Directive as SettingsLine, Faults, Name as NameValue, parse_text};
+use mulleinhub_settings::{Args, Diagnostics, Directive as SettingsLine, Name as NameValue, parse_text};
 
 /// Sets the cap of a team.
 const CAP: &str = "cap";
@@ -20,7 +20,7 @@
 /// # Errors
 /// If there are faults.
 pub fn parse_operator_directives(file: &str, text: &str) -> Result<Vec<OperatorDirective>, PlannerError> {
-    let mut faults = Faults::default();
+    let mut faults = Diagnostics::default();
     let lines = parse_text(file, text, &mut faults);
     let directives: Vec<OperatorDirective> =
         lines.iter().filter_map(|line| read(line, &mut faults)).collect();
@@ -31,18 +31,18 @@
     }
 }
 
-fn read(line: &SettingsLine, faults: &mut Faults) -> Option<OperatorDirective> {
+fn read(line: &SettingsLine, faults: &mut Diagnostics) -> Option<OperatorDirective> {
     let keyword = line.name.text.as_str();
     if ![CAP, SUSPEND, REINSTATE].contains(&keyword) {
         let message = format!("unknown order {keyword} ({CAP}, {SUSPEND} or {REINSTATE} is wanted)");
-        faults.add(&line.name.place, message);
+        faults.add(&line.name.span, message);
         return None;
     }
     let mut args = Args::of(line);
     let (name, number) = (args.next::<NameValue>(faults), args.next::<u64>(faults));
     let state = match keyword {
         CAP => args.next(faults).map(|amount| DirectiveAction::Cap { amount }),
-        SUSPEND if args.takes(FINISH_BY) => {
+        SUSPEND if args.next_if(FINISH_BY) => {
             args.next(faults).map(|by| DirectiveAction::Suspend { finish_by: Some(by) })
         }
         SUSPEND => Some(DirectiveAction::Suspend { finish_by: None }),
--- a/crates/planner/src/settings/ledger.rs
+++ b/crates/planner/src/settings/ledger.rs
@@ -4,8 +4,8 @@
 use mulleinhub_ledger::Member;
 use mulleinhub_quota::{Calendar, Prices, Settings, Team};
 use mulleinhub_replicated_log::{Location, Name};
-use mulleinhub_settings::{Args, Directive, Faults, Name as NameValue, Scope};
-use mulleinhub_workload_settings::{BooksTerms, SiteTerms, read_books};
+use mulleinhub_settings::{Args, Diagnostics, Directive, Name as NameValue, Scope};
+use mulleinhub_workload_settings::{SharedLedgerSettings, SiteSettings, read_ledger_settings};
 use std::net::SocketAddr;
 use std::path::PathBuf;
 
@@ -29,27 +29,31 @@
     /// By how many milliseconds the clock that months are counted by is ahead of the system's.
     pub clock_ahead_ms: i64,
     /// The block as it was read.
-    pub terms: BooksTerms,
+    pub terms: SharedLedgerSettings,
 }
 
 /// Reads a planner's `books` block. `own_name` is the planner's name.
-pub(super) fn read(directive: &Directive, own_name: &str, faults: &mut Faults) -> Option<LedgerSettings> {
+pub(super) fn read(
+    directive: &Directive,
+    own_name: &str,
+    faults: &mut Diagnostics,
+) -> Option<LedgerSettings> {
     let mut scope = Scope::of(directive);
-    let mut terms = read_books(directive, &mut scope, faults);
+    let mut terms = read_ledger_settings(directive, &mut scope, faults);
     let members = read_members(&mut scope, &mut terms, directive, faults);
     let own = members.iter().find(|member| *member.name == *own_name);
     if own.is_none() {
-        faults.add(&directive.place, format!("this planner, {own_name}, is none of the members"));
+        faults.add(&directive.span, format!("this planner, {own_name}, is none of the members"));
     }
     let listen = own.and_then(|member| parse_loopback_address(&member.address));
-    let directives_file = scope.maybe::<String>("orders", faults).map(PathBuf::from);
-    let clock_ahead = scope.maybe("clock-ahead", faults).map_or(0, to_millis);
-    let clock_behind = scope.maybe("clock-behind", faults).map_or(0, to_millis);
+    let directives_file = scope.optional::<String>("orders", faults).map(PathBuf::from);
+    let clock_ahead = scope.optional("clock-ahead", faults).map_or(0, to_millis);
+    let clock_behind = scope.optional("clock-behind", faults).map_or(0, to_millis);
     scope.finish(faults);
     let months = match Calendar::in_zone(&terms.zone) {
         Ok(months) => months,
         Err(reason) => {
-            faults.add(&directive.place, format!("zone {:?}: {reason}", terms.zone));
+            faults.add(&directive.span, format!("zone {:?}: {reason}", terms.zone));
             return None;
         }
     };
@@ -61,9 +65,9 @@
 /// Reads the `member` lines, and notes each member's site in `terms`.
 fn read_members(
     scope: &mut Scope<'_>,
-    terms: &mut BooksTerms,
+    terms: &mut SharedLedgerSettings,
     block: &Directive,
-    faults: &mut Faults,
+    faults: &mut Diagnostics,
 ) -> Vec<Member> {
     let mut members: Vec<Member> = Vec::new();
     for line in scope.each("member") {
@@ -73,27 +77,36 @@
     }
     members.sort_by(|a, b| a.name.cmp(&b.name));
     if members.len() > MAX_MEMBERS {
-        faults.add(&block.place, format!("{} members, {MAX_MEMBERS} at most", members.len()));
+        faults.add(&block.span, format!("{} members, {MAX_MEMBERS} at most", members.len()));
     }
     members
 }
 
-fn read_member(line: &Directive, earlier: &[Member], faults: &mut Faults) -> Option<(Member, SiteTerms)> {
+fn read_member(
+    line: &Directive,
+    earlier: &[Member],
+    faults: &mut Diagnostics,
+) -> Option<(Member, SiteSettings)> {
     let mut args = Args::of(line);
     let (name, address) = (args.next::<NameValue>(faults), args.next::<String>(faults));
-    let site = SiteTerms::read(&mut args, faults);
+    let site = SiteSettings::read(&mut args, faults);
     args.finish(faults);
     let (name, address) = (name?, address?);
     if earlier.iter().any(|member| *member.name == *name.0) {
-        faults.add(&line.place, format!("member {} stands here for the second time", name.0));
+        faults.add(&line.span, format!("member {} stands here for the second time", name.0));
     }
     if parse_loopback_address(&address).is_none() && !address.starts_with(VIRTUAL_ADDRESS_PREFIX) {
-        faults.add(&line.place, "a member's loopback address and port are wanted, as 127.0.0.1:7300");
+        faults.add(&line.span, "a member's loopback address and port are wanted, as 127.0.0.1:7300");
     }
     Some((Member { name: Name::from(name.0.as_str()), address }, site))
 }
 
-fn ledger_settings(own_name: &str, members: &[Member], months: Calendar, terms: &BooksTerms) -> Settings {
+fn ledger_settings(
+    own_name: &str,
+    members: &[Member],
+    months: Calendar,
+    terms: &SharedLedgerSettings,
+) -> Settings {
     let name = |text: &String| Name::from(text.as_str());
     let teams = terms.teams.iter().map(|team| Team {
         name: name(&team.name),
@@ -107,15 +120,15 @@
         teams: teams.collect(),
         prices: Prices { core_second: terms.core_second, memory_second: terms.memory_second },
         calendar: months,
-        open_millionths: terms.near,
-        commitment: terms.stretch,
-        catch_up_timeout: terms.catch_up,
+        open_millionths: terms.open_millionths,
+        commitment: terms.commitment,
+        catch_up_timeout: terms.catch_up_timeout,
         replicas: terms.replicas,
         locations: terms.sites.iter().map(|(site_name, site)| (name(site_name), site_of(site))).collect(),
     }
 }
 
-fn site_of(terms: &SiteTerms) -> Location {
+fn site_of(terms: &SiteSettings) -> Location {
     let name = |text: &Option<String>| text.as_deref().map(Name::from);
     Location { region: name(&terms.region), zone: name(&terms.zone) }
 }
--- a/crates/planner/src/settings/tests.rs
+++ b/crates/planner/src/settings/tests.rs
@@ -19,7 +19,7 @@
 
 fn read_ledger(lines: &str) -> Result<LedgerSettings, String> {
     let text = format!("books {{\n    member planner-1 127.0.0.1:7301 zone a region east\n{lines}\n}}\n");
-    let mut faults = Faults::default();
+    let mut faults = Diagnostics::default();
     let directives = parse_text("planner.conf", &text, &mut faults);
     let settings = ledger::read(&directives[0], "planner-1", &mut faults);
     settings.filter(|_| faults.is_empty()).ok_or_else(|| faults.render())
@@ -39,8 +39,11 @@
     let expected = [site(Some("a"), Some("east")), site(None, Some("west")), site(None, None)];
     let sites = &replicated.settings.locations;
     assert!(sites.values().eq(&expected), "{sites:?}");
-    assert!(replicated.terms.show().contains("    replicas 2\n") && !plain.terms.show().contains("replicas"));
-    assert_eq!(replicated.terms.sites["planner-1"].show(), " zone a region east");
+    assert!(
+        replicated.terms.to_text().contains("    replicas 2\n")
+            && !plain.terms.to_text().contains("replicas")
+    );
+    assert_eq!(replicated.terms.sites["planner-1"].to_text(), " zone a region east");
 }
 
 #[test]
--- a/crates/planner/src/settings/text.rs
+++ b/crates/planner/src/settings/text.rs
@@ -1,6 +1,8 @@
 //! Writes settings files, for planners that a scenario or a load test starts.
 
-use mulleinhub_workload_settings::{BooksTerms, Case, Kind, Rules, SiteTerms};
+use mulleinhub_workload_settings::{
+    MachineKind, RuleSettings, SharedLedgerSettings, SiteSettings, UseCaseSettings,
+};
 use std::net::SocketAddr;
 use std::path::Path;
 
@@ -26,11 +28,11 @@
     /// The list service notifies nobody and must be polled.
     pub poll_for_list: bool,
     /// Rules of the workload.
-    pub rules: &'a Rules,
+    pub rules: &'a RuleSettings,
     /// Kinds of machines.
-    pub kinds: &'a [Kind],
+    pub kinds: &'a [MachineKind],
     /// Use cases.
-    pub use_cases: Vec<&'a Case>,
+    pub use_cases: Vec<&'a UseCaseSettings>,
     /// Factors by which machines accept more cores and memory than they have.
     pub accepts: (f64, f64),
     /// Machines accept a task only once it runs.
@@ -49,7 +51,7 @@
 #[derive(Clone, Debug)]
 pub struct LedgerText<'a> {
     /// Teams, prices and replication.
-    pub terms: &'a BooksTerms,
+    pub terms: &'a SharedLedgerSettings,
     /// Names and addresses of the members.
     pub members: Vec<(String, String)>,
     /// The operators' directives file.
@@ -62,7 +64,7 @@
     fn render(&self) -> String {
         let mut text = "books {\n".to_owned();
         for (name, address) in &self.members {
-            let site = self.terms.sites.get(name).map_or(String::new(), SiteTerms::show);
+            let site = self.terms.sites.get(name).map_or(String::new(), SiteSettings::to_text);
             text += &format!("    member {name} {address:?}{site}\n");
         }
         if let Some(file) = self.directives_file {
@@ -70,7 +72,7 @@
         }
         let keyword = if self.clock_ahead_ms < 0 { "clock-behind" } else { "clock-ahead" };
         text += &format!("    {keyword} {}ms\n", self.clock_ahead_ms.unsigned_abs());
-        text + &self.terms.show() + "}\n"
+        text + &self.terms.to_text() + "}\n"
     }
 }
 
@@ -84,9 +86,9 @@
         if let Some(dir) = self.state_dir {
             text += &format!("state-dir {:?}\n", dir.display().to_string());
         }
-        text += &self.rules.show();
-        self.kinds.iter().for_each(|kind| text += &kind.show());
-        self.use_cases.iter().for_each(|use_case| text += &use_case.show());
+        text += &self.rules.to_text();
+        self.kinds.iter().for_each(|kind| text += &kind.to_text());
+        self.use_cases.iter().for_each(|use_case| text += &use_case.to_text());
         text += &self.render_acceptance();
         if let Some(limit) = self.max_in_flight {
             text += &format!("links {{\n    most-in-hand {limit}\n}}\n");
--- a/crates/replay/src/build.rs
+++ b/crates/replay/src/build.rs
@@ -3,9 +3,9 @@
 use mulleinhub_emulators::{Planned, UseBook, UsePart, planned_key};
 use mulleinhub_interface::{Duration, Resources};
 use mulleinhub_scenario::{Day, Fleet, Spot, parse_day};
-use mulleinhub_settings::{Directive, Faults, Place, parse_text};
+use mulleinhub_settings::{Diagnostics, Directive, SourceSpan, parse_text};
 use mulleinhub_trace::{Mapping, Work, read_mapping};
-use mulleinhub_workload_settings::Kind;
+use mulleinhub_workload_settings::MachineKind;
 use serde::Serialize;
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -44,7 +44,7 @@
 ///
 /// # Errors
 /// All faults, rendered.
-pub fn read_map(directives: &[Directive], mut faults: Faults) -> Result<(Mapping, Day), String> {
+pub fn read_map(directives: &[Directive], mut faults: Diagnostics) -> Result<(Mapping, Day), String> {
     let (mapping, mut others) = read_mapping(directives, &mut faults);
     // What the trace tells stands in for these.
     let text = "length 1h\nkind trace {\n    cores 1\n    memory 1GiB\n}\n";
@@ -53,7 +53,7 @@
     let is = |directive: &Directive, name: &str| {
         directive.name.text == "use-case" && directive.args.first().is_some_and(|word| word.text == name)
     };
-    let nowhere = Place { file: 0, bytes: 0..0 };
+    let nowhere = SourceSpan { file: 0, bytes: 0..0 };
     for rule in &mapping.rules {
         if !others.iter().any(|directive| is(directive, &rule.use_case)) {
             faults.add(&nowhere, format!("class: there is no use case {}", rule.use_case));
@@ -170,7 +170,7 @@
 }
 
 /// The kinds that these sizes make, and each size's.
-fn kinds(sizes: impl Iterator<Item = (f64, f64)> + Clone) -> (Vec<Kind>, Vec<usize>) {
+fn kinds(sizes: impl Iterator<Item = (f64, f64)> + Clone) -> (Vec<MachineKind>, Vec<usize>) {
     let round = |(cores, memory): (f64, f64)| {
         ((cores * 100.0).round().max(1.0) as u64, (memory * 100.0).round().max(1.0) as u64)
     };
@@ -192,7 +192,7 @@
     let kinds = common
         .iter()
         .enumerate()
-        .map(|(n, ((cores, memory), _))| Kind {
+        .map(|(n, ((cores, memory), _))| MachineKind {
             name: format!("size-{}", n + 1),
             size: Resources::new(*cores as f64 / 100.0, *memory as f64 / 100.0),
         })
--- a/crates/replay/tests/replays.rs
+++ b/crates/replay/tests/replays.rs
@@ -1,13 +1,13 @@
 //! Whole replays of made traces, in virtual time.
 
 use mulleinhub_replay::*;
-use mulleinhub_settings::{Faults, parse_text};
+use mulleinhub_settings::{Diagnostics, parse_text};
 use mulleinhub_simulation::Ranking;
 use mulleinhub_trace::*;
 use std::path::Path;
 
 fn read(folder: &Path, sample: &Sample) -> (Work, Replay) {
-    let mut faults = Faults::default();
+    let mut faults = Diagnostics::default();
     let directives = parse_text("traces.map", DEFAULT_MAP, &mut faults);
     let (mapping, base) = read_map(&directives, faults).expect("is in the repository");
     let (layout, sources) = find_sources(&[folder.to_owned()], None, None).expect("tables are there");
@@ -102,7 +102,7 @@
 #[test]
 fn what_no_rule_maps_or_no_machine_holds_is_counted_and_a_faulty_map_is_told() {
     let folder = made("google-2011", |_| ());
-    let mut faults = Faults::default();
+    let mut faults = Diagnostics::default();
     let text = DEFAULT_MAP.replace("class 2..3                   use-case service", "");
     let (mapping, base) = read_map(&parse_text("m", &text, &mut faults), faults).expect("is fine");
     let (layout, sources) = find_sources(&[folder.path().to_owned()], None, None).expect("tables");
@@ -112,7 +112,7 @@
     let replay = build(&work, &mapping, &base, "a trace").expect("something is left");
     assert!(replay.left_out.unmapped > 0);
     assert_eq!(replay.tasks + replay.left_out.unmapped, work.tasks.len() as u64);
-    let mut faults = Faults::default();
+    let mut faults = Diagnostics::default();
     let text = DEFAULT_MAP.replace("use-case batch\n", "use-case bach\n") + "fault negativ skip\n";
     let words = read_map(&parse_text("m", &text, &mut faults), faults).expect_err("is faulty");
     assert!(words.contains("no use case bach") && words.contains("did you mean negative?"), "{words}");
--- a/crates/scale/src/profile.rs
+++ b/crates/scale/src/profile.rs
@@ -26,7 +26,9 @@
 
 use crate::results::{Host, Size};
 use mulleinhub_interface::Duration;
-use mulleinhub_settings::{Args, Directive, Faults, Name, Place, Scope, Value, Word, parse_text, suggest};
+use mulleinhub_settings::{
+    Args, Diagnostics, Directive, Name, Scope, SourceSpan, Value, ValueError, Word, parse_text, suggest,
+};
 
 /// The longest span that a profile may measure or cut.
 const MOST_SPAN: Duration = Duration::from_secs(24 * 3600);
@@ -251,10 +253,10 @@
 /// # Errors
 /// All faults of the text, each with its place and cause.
 pub fn parse(file: &str, text: &str) -> Result<Profile, String> {
-    let mut faults = Faults::default();
+    let mut faults = Diagnostics::default();
     let directives = parse_text(file, text, &mut faults);
     let end = text.lines().next().map_or(0, str::len);
-    let whole = Place { file: 0, bytes: 0..end };
+    let whole = SourceSpan { file: 0, bytes: 0..end };
     let mut reader = Reader { scope: Scope::new(&directives, whole.clone()), faults: &mut faults, whole };
     let profile = reader.profile();
     reader.scope.finish(&mut faults);
@@ -265,14 +267,14 @@
 }
 
 impl Value for Host {
-    const WANTED: &'static str = "hollow-ledgers, hollow-planners or real-planners";
+    const EXPECTED: &'static str = "hollow-ledgers, hollow-planners or real-planners";
 
-    fn read(text: &str) -> Result<Self, String> {
+    fn parse(text: &str) -> Result<Self, ValueError> {
         match text {
             "hollow-ledgers" => Ok(Self::HollowLedgers),
             "hollow-planners" => Ok(Self::HollowPlanners),
             "real-planners" => Ok(Self::RealPlanners),
-            _ => Err(format!("{} is wanted", Self::WANTED)),
+            _ => Err(ValueError::unexpected::<Self>()),
         }
     }
 }
@@ -280,21 +282,21 @@
 /// Reads directives one after the other, and adds up what is wrong.
 struct Reader<'a, 'f> {
     scope: Scope<'a>,
-    faults: &'f mut Faults,
+    faults: &'f mut Diagnostics,
     /// Where faults are shown that no single directive has.
-    whole: Place,
+    whole: SourceSpan,
 }
 
 /// A value of the varied variable, with its place.
-type Placed = (f64, Place);
+type Placed = (f64, SourceSpan);
 
 impl<'a> Reader<'a, '_> {
     fn profile(&mut self) -> Option<Profile> {
-        let name: Option<Name> = self.scope.must("name", self.faults);
-        let host: Option<Host> = self.scope.must("host", self.faults);
-        let seed = self.scope.or("seed", 1, self.faults);
+        let name: Option<Name> = self.scope.required("name", self.faults);
+        let host: Option<Host> = self.scope.required("host", self.faults);
+        let seed = self.scope.optional_or("seed", 1, self.faults);
         let length = self.length();
-        let warm_up = self.scope.or("warm-up", DEFAULT_WARM_UP, self.faults);
+        let warm_up = self.scope.optional_or("warm-up", DEFAULT_WARM_UP, self.faults);
         let size = self.size();
         let round_trips = self.round_trips();
         let drops = self.drops();
@@ -319,7 +321,7 @@
     }
 
     fn length(&mut self) -> Option<Duration> {
-        let length: Duration = self.scope.must("length", self.faults)?;
+        let length: Duration = self.scope.required("length", self.faults)?;
         if length == Duration::ZERO || length > MOST_SPAN {
             let place = self.place_of("length");
             self.faults.add(&place, "length is more than nothing and a day at the most");
@@ -335,7 +337,7 @@
             let mut args = Args::of(directive);
             let word = args.peek();
             if let (Some(value), Some(word)) = (args.next::<f64>(self.faults), word) {
-                self.check_value(variable, value, &word.place);
+                self.check_value(variable, value, &word.span);
                 variable.set(&mut size, value);
             }
             args.finish(self.faults);
@@ -343,7 +345,7 @@
         size
     }
 
-    fn check_value(&mut self, variable: Variable, value: f64, place: &Place) {
+    fn check_value(&mut self, variable: Variable, value: f64, place: &SourceSpan) {
         if let Err(words) = variable.check(value) {
             self.faults.add(place, words);
         }
@@ -354,14 +356,14 @@
         for directive in self.scope.each("round-trip") {
             let mut args = Args::of(directive);
             let kinds = ["zone", "region", "between-regions"];
-            let Some(at) = kinds.iter().position(|kind| args.takes(kind)) else {
-                let place = args.peek().map_or(&directive.place, |word| &word.place);
+            let Some(at) = kinds.iter().position(|kind| args.next_if(kind)) else {
+                let place = args.peek().map_or(&directive.span, |word| &word.span);
                 self.faults.add(place, "zone, region or between-regions is wanted");
                 continue;
             };
             if read[at].is_some() {
                 let words = format!("round-trip {} stands here for the second time", kinds[at]);
-                self.faults.add(&directive.place, words);
+                self.faults.add(&directive.span, words);
             }
             read[at] = args.next::<Duration>(self.faults).or(read[at]);
             args.finish(self.faults);
@@ -375,7 +377,7 @@
     }
 
     fn drops(&mut self) -> f64 {
-        let drops = self.scope.or("drops", 0.0, self.faults);
+        let drops = self.scope.optional_or("drops", 0.0, self.faults);
         if drops >= 1.0 {
             let place = self.place_of("drops");
             self.faults.add(&place, "drops is a chance from 0 to below 1");
@@ -383,14 +385,14 @@
         drops
     }
 
-    fn cuts(&mut self, length: Option<Duration>) -> Vec<(Cut, Place)> {
+    fn cuts(&mut self, length: Option<Duration>) -> Vec<(Cut, SourceSpan)> {
         let directives = self.scope.each("cut");
         let cuts = directives.into_iter().filter_map(|directive| {
             let cut = self.cut(directive)?;
             if length.is_some_and(|length| cut.until() > length) {
-                self.faults.add(&directive.place, "the cut lasts longer than what is measured");
+                self.faults.add(&directive.span, "the cut lasts longer than what is measured");
             }
-            Some((cut, directive.place.clone()))
+            Some((cut, directive.span.clone()))
         });
         cuts.collect()
     }
@@ -410,8 +412,8 @@
         args: &mut Args<'a>,
         directive: &Directive,
     ) -> Option<Duration> {
-        if !args.takes(word) {
-            let place = args.peek().map_or(&directive.place, |word| &word.place);
+        if !args.next_if(word) {
+            let place = args.peek().map_or(&directive.span, |word| &word.span);
             self.faults.add(place, format!("{word} and a span of time are wanted"));
             return None;
         }
@@ -419,7 +421,7 @@
     }
 
     fn replicas(&mut self) -> Option<u32> {
-        let replicas: u32 = self.scope.maybe("replicas", self.faults)?;
+        let replicas: u32 = self.scope.optional("replicas", self.faults)?;
         if replicas == 0 || replicas > MOST_REPLICAS {
             let place = self.place_of("replicas");
             self.faults.add(&place, format!("replicas is from 1 to {MOST_REPLICAS}"));
@@ -428,12 +430,12 @@
     }
 
     /// What is changed, and where its values stand, the held-out one last.
-    fn vary(&mut self) -> (Option<Vary>, Vec<Place>) {
+    fn vary(&mut self) -> (Option<Vary>, Vec<SourceSpan>) {
         let directive = self.scope.once("vary", self.faults);
         let hold_out = self.scope.once("hold-out", self.faults);
         let Some(directive) = directive else {
             if let Some(hold_out) = hold_out {
-                self.faults.add(&hold_out.place, "hold-out needs a variable to vary");
+                self.faults.add(&hold_out.span, "hold-out needs a variable to vary");
             }
             return (None, Vec::new());
         };
@@ -441,7 +443,7 @@
         let words = directive.args.iter().skip(1);
         let values: Vec<Placed> = words.filter_map(|word| self.value_of(variable, word)).collect();
         if directive.args.len() < 2 {
-            self.faults.add(&directive.place, "vary lacks values");
+            self.faults.add(&directive.span, "vary lacks values");
         }
         let held_out = hold_out.and_then(|directive| self.held_out(variable, directive));
         self.check_rises(&values, held_out.as_ref());
@@ -453,26 +455,26 @@
 
     fn variable(&mut self, directive: &Directive) -> Option<Variable> {
         let Some(word) = directive.args.first() else {
-            self.faults.add(&directive.place, "vary lacks a variable");
+            self.faults.add(&directive.span, "vary lacks a variable");
             return None;
         };
         let variable = Variable::of(&word.text);
         if variable.is_none() {
             let known = Variable::ALL.map(Variable::word);
             let words = format!("{} is no variable ({} are)", word.text, known.join(", "));
-            self.faults.add_with_hint(&word.place, words, suggest(&word.text, &known));
+            self.faults.add_with_hint(&word.span, words, suggest(&word.text, &known));
         }
         variable
     }
 
     fn value_of(&mut self, variable: Variable, word: &Word) -> Option<Placed> {
-        match f64::read(&word.text) {
+        match f64::parse(&word.text) {
             Ok(value) => {
-                self.check_value(variable, value, &word.place);
-                Some((value, word.place.clone()))
+                self.check_value(variable, value, &word.span);
+                Some((value, word.span.clone()))
             }
             Err(words) => {
-                self.faults.add(&word.place, format!("{}: {words}", word.text));
+                self.faults.add(&word.span, format!("{}: {words}", word.text));
                 None
             }
         }
@@ -480,8 +482,8 @@
 
     fn held_out(&mut self, variable: Variable, directive: &Directive) -> Option<Placed> {
         let mut args = Args::of(directive);
-        let Some(word) = args.word() else {
-            self.faults.add(&directive.place, "hold-out lacks a value");
+        let Some(word) = args.next_word() else {
+            self.faults.add(&directive.span, "hold-out lacks a value");
             return None;
         };
         args.finish(self.faults);
@@ -502,7 +504,7 @@
     }
 
     /// What only a whole run tells: whether its numbers go together.
-    fn check_runs(&mut self, profile: &Profile, places: &[Place], cuts: &[(Cut, Place)]) {
+    fn check_runs(&mut self, profile: &Profile, places: &[SourceSpan], cuts: &[(Cut, SourceSpan)]) {
         for (at, plan) in profile.runs().iter().enumerate() {
             let place = places.get(at).cloned();
             let size = plan.size;
@@ -524,7 +526,7 @@
         }
     }
 
-    fn place_of(&mut self, name: &'static str) -> Place {
-        self.scope.each(name).first().map_or_else(|| self.whole.clone(), |found| found.place.clone())
+    fn place_of(&mut self, name: &'static str) -> SourceSpan {
+        self.scope.each(name).first().map_or_else(|| self.whole.clone(), |found| found.span.clone())
     }
 }
--- a/crates/scale/src/record.rs
+++ b/crates/scale/src/record.rs
@@ -8,7 +8,7 @@
 
 use crate::results::{Host, Metric, Results, Role};
 use crate::units::{by_name, name, unit};
-use mulleinhub_settings::{Args, Directive, Faults, Name, Place, Scope, parse_text};
+use mulleinhub_settings::{Args, Diagnostics, Directive, Name, Scope, SourceSpan, parse_text};
 use std::fmt::Write;
 use std::path::Path;
 
@@ -165,11 +165,11 @@
     /// # Errors
     /// With all faults, each with its place.
     pub fn parse(file: &str, text: &str) -> Result<Self, RecordError> {
-        let mut faults = Faults::default();
+        let mut faults = Diagnostics::default();
         let directives = parse_text(file, text, &mut faults);
-        let mut scope = Scope::new(&directives, Place { file: 0, bytes: 0..0 });
-        let profile: Option<Name> = scope.must("profile", &mut faults);
-        let seed = scope.must("seed", &mut faults);
+        let mut scope = Scope::new(&directives, SourceSpan { file: 0, bytes: 0..0 });
+        let profile: Option<Name> = scope.required("profile", &mut faults);
+        let seed = scope.required("seed", &mut faults);
         let samples = scope.each("sample");
         let figures = samples.into_iter().filter_map(|sample| figure(sample, &mut faults)).collect();
         scope.finish(&mut faults);
@@ -238,7 +238,7 @@
 }
 
 /// `sample VARIED ROLE METRIC VALUE`
-fn figure(directive: &Directive, faults: &mut Faults) -> Option<Figure> {
+fn figure(directive: &Directive, faults: &mut Diagnostics) -> Option<Figure> {
     let mut args = Args::of(directive);
     let varied = args.next(faults)?;
     let role = named(&mut args, directive, "role", faults)?;
@@ -253,15 +253,15 @@
     args: &mut Args<'_>,
     directive: &Directive,
     what: &str,
-    faults: &mut Faults,
+    faults: &mut Diagnostics,
 ) -> Option<T> {
-    let Some(word) = args.word() else {
-        faults.add(&directive.place, format!("sample lacks a {what}"));
+    let Some(word) = args.next_word() else {
+        faults.add(&directive.span, format!("sample lacks a {what}"));
         return None;
     };
     let value = by_name(&word.text);
     if value.is_none() {
-        faults.add(&word.place, format!("there is no {what} {}", word.text));
+        faults.add(&word.span, format!("there is no {what} {}", word.text));
     }
     value
 }
--- a/crates/scale/src/targets.rs
+++ b/crates/scale/src/targets.rs
@@ -3,7 +3,9 @@
 use crate::profile::Variable;
 use crate::results::{Metric, Size};
 use mulleinhub_interface::Duration;
-use mulleinhub_settings::{Args, Bytes, Directive, Faults, Place, Scope, Share, Value, parse_text};
+use mulleinhub_settings::{
+    Args, Bytes, Diagnostics, Directive, Fraction, Scope, SourceSpan, Value, parse_text,
+};
 use std::path::Path;
 
 const SECONDS_A_DAY: f64 = 86_400.0;
@@ -91,7 +93,7 @@
     /// # Errors
     /// With all faults, each with its place.
     pub fn parse(name: &str, text: &str) -> Result<Self, TargetError> {
-        let mut faults = Faults::default();
+        let mut faults = Diagnostics::default();
         let directives = parse_text(name, text, &mut faults);
         let target = read(&directives, &mut faults);
         match target {
@@ -138,12 +140,12 @@
     }
 }
 
-fn read(directives: &[Directive], faults: &mut Faults) -> Option<Target> {
-    let mut scope = Scope::new(directives, Place { file: 0, bytes: 0..0 });
+fn read(directives: &[Directive], faults: &mut Diagnostics) -> Option<Target> {
+    let mut scope = Scope::new(directives, SourceSpan { file: 0, bytes: 0..0 });
     let schedulers = numbers_of_schedulers(&mut scope, faults);
     let chosen = positive(&mut scope, "chosen", faults);
     let workers = positive(&mut scope, "workers", faults);
-    let accelerators = scope.must("accelerators", faults);
+    let accelerators = scope.required("accelerators", faults);
     let jobs_a_day = positive(&mut scope, "jobs-a-day", faults);
     let starts_a_second = positive(&mut scope, "starts-a-second", faults);
     let running = positive(&mut scope, "running", faults);
@@ -152,18 +154,18 @@
     let regions = positive(&mut scope, "regions", faults);
     let zones = positive(&mut scope, "zones", faults);
     let changes_a_day = positive(&mut scope, "changes-a-day", faults);
-    let machine_failures_a_day = scope.must("machine-failures-a-day", faults);
-    let restarts_a_day = scope.must("restarts-a-day", faults);
+    let machine_failures_a_day = scope.required("machine-failures-a-day", faults);
+    let restarts_a_day = scope.required("restarts-a-day", faults);
     let control_machines = positive(&mut scope, "control-machines", faults);
     let urgent_start = positive::<Duration>(&mut scope, "urgent-start", faults);
     let in_force = positive::<Duration>(&mut scope, "in-force", faults);
-    let cores = positive::<Share>(&mut scope, "core-part", faults);
+    let cores = positive::<Fraction>(&mut scope, "core-part", faults);
     let memory = positive::<Bytes>(&mut scope, "memory", faults);
     let bytes = positive::<Bytes>(&mut scope, "bytes-a-second", faults);
     scope.finish(faults);
     let (schedulers, chosen) = (schedulers?, chosen?);
     if !schedulers.contains(&chosen) {
-        let place = directives.iter().find(|directive| directive.name.text == "chosen")?.place.clone();
+        let place = directives.iter().find(|directive| directive.name.text == "chosen")?.span.clone();
         faults.add(&place, format!("{chosen} is none of the numbers of schedulers"));
     }
     Some(Target {
@@ -211,7 +213,7 @@
     }
 }
 
-impl Figure for Share {
+impl Figure for Fraction {
     fn is_zero(self) -> bool {
         self.0 == 0.0
     }
@@ -224,21 +226,21 @@
 }
 
 /// A directive that must stand, with more than zero.
-fn positive<T: Figure>(scope: &mut Scope<'_>, name: &'static str, faults: &mut Faults) -> Option<T> {
-    let value: T = scope.must(name, faults)?;
+fn positive<T: Figure>(scope: &mut Scope<'_>, name: &'static str, faults: &mut Diagnostics) -> Option<T> {
+    let value: T = scope.required(name, faults)?;
     if !value.is_zero() {
         return Some(value);
     }
-    let place = scope.each(name).first()?.place.clone();
+    let place = scope.each(name).first()?.span.clone();
     faults.add(&place, format!("{name}: more than zero is wanted"));
     None
 }
 
 /// `schedulers 100 350 1000`: at least one number, rising.
-fn numbers_of_schedulers(scope: &mut Scope<'_>, faults: &mut Faults) -> Option<Vec<u32>> {
+fn numbers_of_schedulers(scope: &mut Scope<'_>, faults: &mut Diagnostics) -> Option<Vec<u32>> {
     let Some(directive) = scope.once("schedulers", faults) else {
         // Says that it is missing, and where.
-        let _: Option<u32> = scope.must("schedulers", faults);
+        let _: Option<u32> = scope.required("schedulers", faults);
         return None;
     };
     let mut args = Args::of(directive);
@@ -247,7 +249,7 @@
         numbers.push(args.next(faults)?);
     }
     if numbers[0] == 0 || !numbers.is_sorted_by(|one, next| one < next) {
-        faults.add(&directive.place, "schedulers: rising numbers from 1 on are wanted, as 100 350 1000");
+        faults.add(&directive.span, "schedulers: rising numbers from 1 on are wanted, as 100 350 1000");
         return None;
     }
     Some(numbers)
--- a/crates/scenario/src/script.rs
+++ b/crates/scenario/src/script.rs
@@ -6,17 +6,17 @@
 use mulleinhub_emulators::{Planned, UseBook, Worth};
 use mulleinhub_interface::Idempotency;
 use mulleinhub_interface::{Duration, Timestamp};
-use mulleinhub_settings::{Args, Directive, Faults, Place, Range, Scope, Value};
+use mulleinhub_settings::{Args, Diagnostics, Directive, Range, Scope, SourceSpan, Value, ValueError};
 use mulleinhub_workload_settings::{
-    BooksTerms, Case, Kind, Rules, SiteTerms, check, places, range_or, read_books, read_case, read_kind,
-    read_rules,
+    MachineKind, RuleSettings, SharedLedgerSettings, SiteSettings, UseCaseSettings, check, directive_spans,
+    range_or, read_ledger_settings, read_machine_kind, read_rules, read_use_case,
 };
 use std::sync::Arc;
 
 /// What a use case's tasks are like on this day.
 #[derive(Clone, Debug)]
 pub struct CaseDay {
-    pub case: Case,
+    pub case: UseCaseSettings,
     pub share: f64,
     pub asks: Vec<(f64, f64)>,
     pub lives: Range<Duration>,
@@ -89,8 +89,8 @@
     /// New tasks a second, of all owners together.
     #[garde(range(min = 0.0, max = 100_000.0))]
     pub rate: f64,
-    pub rules: Rules,
-    pub kinds: Vec<Kind>,
+    pub rules: RuleSettings,
+    pub kinds: Vec<MachineKind>,
     pub cases: Vec<CaseDay>,
     pub machine: MachineModel,
     pub list: ListModel,
@@ -114,7 +114,7 @@
 /// The books of a day.
 #[derive(Clone, Debug, PartialEq)]
 pub struct BooksDay {
-    pub terms: BooksTerms,
+    pub terms: SharedLedgerSettings,
     /// How long a planner's disk takes, in virtual time.
     pub syncs: Range<Duration>,
     /// When a month ends, from the beginning of the day.
@@ -141,28 +141,28 @@
     }
 }
 
-fn read_books_day(directive: &Directive, planners: usize, faults: &mut Faults) -> BooksDay {
+fn read_books_day(directive: &Directive, planners: usize, faults: &mut Diagnostics) -> BooksDay {
     let mut scope = Scope::of(directive);
-    let mut terms = read_books(directive, &mut scope, faults);
+    let mut terms = read_ledger_settings(directive, &mut scope, faults);
     for line in scope.each("site") {
         let mut args = Args::of(line);
         let planner: Option<usize> = args.next(faults);
-        let site = SiteTerms::read(&mut args, faults);
+        let site = SiteSettings::read(&mut args, faults);
         args.finish(faults);
         let Some(planner) = planner else { continue };
         if !(1..=planners).contains(&planner) {
-            faults.add(&line.place, format!("there are planners 1 to {planners}, and no {planner}"));
+            faults.add(&line.span, format!("there are planners 1 to {planners}, and no {planner}"));
         }
         if terms.sites.insert(format!("planner-{planner}"), site).is_some() {
-            faults.add(&line.place, format!("the site of planner {planner} stands here for the second time"));
+            faults.add(&line.span, format!("the site of planner {planner} stands here for the second time"));
         }
     }
     if terms.zone != "UTC" {
-        faults.add(&directive.place, "days count their months in UTC");
+        faults.add(&directive.span, "days count their months in UTC");
     }
     let (low, high) = ms(2, 8);
     let syncs = range_or(&mut scope, "syncs", low, high, faults);
-    let month_ends = scope.maybe("month-ends", faults);
+    let month_ends = scope.optional("month-ends", faults);
     scope.finish(faults);
     BooksDay { terms, syncs, month_ends }
 }
@@ -200,12 +200,12 @@
 struct AskFor(f64, f64);
 
 impl Value for AskFor {
-    const WANTED: &'static str = "cores and GiB of memory, as 0.5/1";
+    const EXPECTED: &'static str = "cores and GiB of memory, as 0.5/1";
 
-    fn read(text: &str) -> Result<Self, String> {
-        let wanted = || format!("{} is wanted", Self::WANTED);
+    fn parse(text: &str) -> Result<Self, ValueError> {
+        let wanted = ValueError::unexpected::<Self>;
         let (cores, memory) = text.split_once('/').ok_or_else(wanted)?;
-        let (cores, memory) = (f64::read(cores)?, f64::read(memory)?);
+        let (cores, memory) = (f64::parse(cores)?, f64::parse(memory)?);
         if cores > 0.0 && memory > 0.0 { Ok(Self(cores, memory)) } else { Err(wanted()) }
     }
 }
@@ -214,10 +214,10 @@
     (Duration::from_nanos(low * 1_000_000), Duration::from_nanos(high * 1_000_000))
 }
 
-fn read_case_day(directive: &Directive, faults: &mut Faults) -> Option<CaseDay> {
+fn read_case_day(directive: &Directive, faults: &mut Diagnostics) -> Option<CaseDay> {
     let mut scope = Scope::of(directive);
-    let case = read_case(directive, &mut scope, faults);
-    let share = scope.or("share", 1.0, faults);
+    let case = read_use_case(directive, &mut scope, faults);
+    let share = scope.optional_or("share", 1.0, faults);
     let mut asks = Vec::new();
     if let Some(line) = scope.once("asks", faults) {
         let mut args = Args::of(line);
@@ -239,12 +239,12 @@
     Some(CaseDay { case: case?, share, asks, lives, batch, work, cores_use, memory_use })
 }
 
-fn read_machine(directive: Option<&Directive>, place: &Place, faults: &mut Faults) -> MachineModel {
+fn read_machine(directive: Option<&Directive>, place: &SourceSpan, faults: &mut Diagnostics) -> MachineModel {
     let mut scope = directive.map_or_else(|| Scope::new(&[], place.clone()), Scope::of);
     let (look_low, look_high) = ms(5, 30);
     let model = MachineModel {
-        accepts_cores: scope.or("accepts-cores", 2.0, faults),
-        accepts_memory: scope.or("accepts-memory", 1.5, faults),
+        accepts_cores: scope.optional_or("accepts-cores", 2.0, faults),
+        accepts_memory: scope.optional_or("accepts-memory", 1.5, faults),
         look: range_or(&mut scope, "look", look_low, look_high, faults),
         line: range_or(&mut scope, "line", 15, 30, faults),
         starts: range_or(&mut scope, "starts", 2, 4, faults),
@@ -252,60 +252,61 @@
         keeps: range_or(&mut scope, "keeps", 4, 10, faults),
         speed: range_or(&mut scope, "speed", 0.85, 1.15, faults),
         cold_from: range_or(&mut scope, "cold-from", 0.17, 0.5, faults),
-        tip: scope.or("tip", 2.0, faults),
-        yes_when_running: scope.or("yes-when-running", false, faults),
-        displaces: scope.or("displaces", true, faults),
-        tells_use: scope.or("tells-use", true, faults),
-        tells_pressure: scope.or("tells-pressure", true, faults),
-        note_every: scope.or("note-every", Duration::from_secs(1), faults),
-        sends_away: scope.maybe("sends-away", faults),
+        tip: scope.optional_or("tip", 2.0, faults),
+        yes_when_running: scope.optional_or("yes-when-running", false, faults),
+        displaces: scope.optional_or("displaces", true, faults),
+        tells_use: scope.optional_or("tells-use", true, faults),
+        tells_pressure: scope.optional_or("tells-pressure", true, faults),
+        note_every: scope.optional_or("note-every", Duration::from_secs(1), faults),
+        sends_away: scope.optional("sends-away", faults),
     };
     scope.finish(faults);
     model
 }
 
-fn read_list(directive: Option<&Directive>, place: &Place, faults: &mut Faults) -> ListModel {
+fn read_list(directive: Option<&Directive>, place: &SourceSpan, faults: &mut Diagnostics) -> ListModel {
     let mut scope = directive.map_or_else(|| Scope::new(&[], place.clone()), Scope::of);
     let model = ListModel {
-        late: scope.or("late", Duration::from_secs(1), faults),
-        period: scope.or("period", Duration::from_nanos(500_000_000), faults),
-        silent_notice: scope.or("silent-notice", Duration::from_secs(8), faults),
-        lines_a_second: scope.or("lines-a-second", 20_000.0, faults),
-        asked: scope.or("asked", false, faults),
+        late: scope.optional_or("late", Duration::from_secs(1), faults),
+        period: scope.optional_or("period", Duration::from_nanos(500_000_000), faults),
+        silent_notice: scope.optional_or("silent-notice", Duration::from_secs(8), faults),
+        lines_a_second: scope.optional_or("lines-a-second", 20_000.0, faults),
+        asked: scope.optional_or("asked", false, faults),
     };
     scope.finish(faults);
     model
 }
 
-fn read_owner(directive: Option<&Directive>, place: &Place, faults: &mut Faults) -> OwnerModel {
+fn read_owner(directive: Option<&Directive>, place: &SourceSpan, faults: &mut Diagnostics) -> OwnerModel {
     let mut scope = directive.map_or_else(|| Scope::new(&[], place.clone()), Scope::of);
     let (low, high) = ms(1_000, 3_000);
     let model = OwnerModel {
         again: range_or(&mut scope, "again", low, high, faults),
-        settle: scope.or("settle", Duration::from_secs(3), faults),
-        reconnect: scope.or("reconnect", Duration::from_nanos(300_000_000), faults),
+        settle: scope.optional_or("settle", Duration::from_secs(3), faults),
+        reconnect: scope.optional_or("reconnect", Duration::from_nanos(300_000_000), faults),
     };
     scope.finish(faults);
     model
 }
 
 /// Reads a script's directives; nothing where a part that must stand is missing.
-pub fn parse_day(directives: &[Directive], faults: &mut Faults) -> Option<Day> {
-    let place = Place { file: 0, bytes: 0..0 };
+pub fn parse_day(directives: &[Directive], faults: &mut Diagnostics) -> Option<Day> {
+    let place = SourceSpan { file: 0, bytes: 0..0 };
     let mut scope = Scope::new(directives, place.clone());
-    let name = scope.or("name", "a day".to_owned(), faults);
-    let seed = scope.or("seed", 1u64, faults);
-    let length = scope.must::<Duration>("length", faults);
-    let planners = scope.or("planners", 3, faults);
-    let owners = scope.or("owners", 4, faults);
-    let silent = scope.or("silent", 0, faults);
-    let halls = scope.or("halls", 2, faults);
-    let racks = scope.or("racks", 4, faults);
-    let machines = scope.or("machines", 12, faults);
-    let spare_machines = scope.or("spare-machines", 0, faults);
-    let rate = scope.or("rate", 20.0, faults);
+    let name = scope.optional_or("name", "a day".to_owned(), faults);
+    let seed = scope.optional_or("seed", 1u64, faults);
+    let length = scope.required::<Duration>("length", faults);
+    let planners = scope.optional_or("planners", 3, faults);
+    let owners = scope.optional_or("owners", 4, faults);
+    let silent = scope.optional_or("silent", 0, faults);
+    let halls = scope.optional_or("halls", 2, faults);
+    let racks = scope.optional_or("racks", 4, faults);
+    let machines = scope.optional_or("machines", 12, faults);
+    let spare_machines = scope.optional_or("spare-machines", 0, faults);
+    let rate = scope.optional_or("rate", 20.0, faults);
     let rules = read_rules(scope.once("rules", faults), faults);
-    let kinds: Vec<Kind> = scope.each("kind").into_iter().filter_map(|d| read_kind(d, faults)).collect();
+    let kinds: Vec<MachineKind> =
+        scope.each("kind").into_iter().filter_map(|d| read_machine_kind(d, faults)).collect();
     let case_directives = scope.each("use-case");
     let cases: Vec<CaseDay> = case_directives.iter().filter_map(|d| read_case_day(d, faults)).collect();
     let machine = read_machine(scope.once("machine", faults), &place, faults);
@@ -315,10 +316,10 @@
         range_or(&mut scope, "delay", Duration::from_nanos(100_000), Duration::from_nanos(400_000), faults);
     let (low, high) = ms(1, 3);
     let cross_delay = range_or(&mut scope, "cross-delay", low, high, faults);
-    let machine_price = scope.or("machine-price", 0.0, faults);
-    let cross_hall_price = scope.or("cross-hall-price", 0.0, faults);
+    let machine_price = scope.optional_or("machine-price", 0.0, faults);
+    let cross_hall_price = scope.optional_or("cross-hall-price", 0.0, faults);
     let random_troubles = range_or(&mut scope, "random-troubles", 0, 0, faults);
-    let most_in_hand = scope.maybe("most-in-hand", faults);
+    let most_in_hand = scope.optional("most-in-hand", faults);
     let books = scope.once("books", faults).map(|directive| read_books_day(directive, planners, faults));
     let mut troubles = Vec::new();
     for line in scope.each("at") {
@@ -326,7 +327,7 @@
         if let Some(case) = trouble.case()
             && !cases.iter().any(|c| c.case.name == case)
         {
-            faults.add(&line.place, format!("there is no use case {case}"));
+            faults.add(&line.span, format!("there is no use case {case}"));
         }
         troubles.push(trouble);
     }
@@ -338,8 +339,8 @@
         faults.add(&place, "a use case is missing: use-case NAME { ... }");
     }
     for (case, directive) in cases.iter().zip(&case_directives) {
-        if case.case.for_module(&kinds).is_none() {
-            faults.add(&directive.place, "its kind of machine is not among the kinds");
+        if case.case.to_use_case(&kinds).is_none() {
+            faults.add(&directive.span, "its kind of machine is not among the kinds");
         }
     }
     let day = Day {
@@ -370,7 +371,7 @@
         fleet: None,
         books,
     };
-    check(&day, &places(directives), &place, faults);
+    check(&day, &directive_spans(directives), &place, faults);
     if let Some(words) = day.too_large() {
         faults.add(&place, words);
     }
@@ -400,7 +401,7 @@
         Worth {
             mean_cores: weight(|ask| ask.0),
             mean_memory: weight(|ask| ask.1),
-            earnings: self.cases.iter().map(|case| case.case.earnings).collect(),
+            earnings: self.cases.iter().map(|case| case.case.value_per_second).collect(),
             start_seconds: self.cases.iter().map(|case| case.case.start_seconds).collect(),
         }
     }
@@ -421,7 +422,7 @@
     /// other where it is wider than a rack.
     pub(crate) fn groups_are_wide(&self) -> bool {
         use mulleinhub_interface::FailureDomain;
-        let wide = |case: &CaseDay| match case.case.effect {
+        let wide = |case: &CaseDay| match case.case.idempotency {
             Idempotency::Keyed { domain: group, .. } => {
                 matches!(group, FailureDomain::Zone | FailureDomain::Cluster)
             }
@@ -432,7 +433,7 @@
 
     /// What the day does, in words, a line each.
     pub fn explain(&self) -> Vec<String> {
-        let span = mulleinhub_workload_settings::show_span;
+        let span = mulleinhub_workload_settings::format_duration;
         let mut lines = vec![format!(
             "{}: {} long, {} planners, {} machines ({} spare) in {} racks and {} halls, \
              {} owners, {} new tasks a second",
@@ -460,7 +461,7 @@
             lines.extend(books.month_ends.map(|after| format!("a month ends after {}", span(after))));
         }
         for case in &self.cases {
-            let effect = match case.case.effect {
+            let effect = match case.case.idempotency {
                 Idempotency::Idempotent => "may run again".to_owned(),
                 Idempotency::NonIdempotent => "must never run twice".to_owned(),
                 Idempotency::Keyed { window, .. } => {
@@ -473,7 +474,7 @@
             lines.push(format!(
                 "{}: start wanted within {}, given up after {}; {effect}",
                 case.case.name,
-                span(case.case.soft_limit),
+                span(case.case.latency_objective),
                 span(case.case.client_timeout)
             ));
         }
--- a/crates/scenario/src/stage.rs
+++ b/crates/scenario/src/stage.rs
@@ -265,12 +265,12 @@
             .map(|case| CaseModel {
                 priority: case.case.priority,
                 work: self.dice.span(case.work.low, case.work.high),
-                one_copy_in: match case.case.effect {
+                one_copy_in: match case.case.idempotency {
                     Idempotency::Keyed { domain: group, .. } => Some(group),
                     _ => None,
                 },
-                full_up_to: case.case.full_up_to,
-                fade: case.case.fade,
+                full_up_to: case.case.saturation_threshold,
+                fade: case.case.degradation_range,
                 cores_use: (case.cores_use.low, case.cores_use.high),
                 memory_use: (case.memory_use.low, case.memory_use.high),
             })
@@ -313,9 +313,9 @@
             .iter()
             .map(|case| ServiceCase {
                 share: case.share,
-                soft_limit: case.case.soft_limit,
+                soft_limit: case.case.latency_objective,
                 client_timeout: case.case.client_timeout,
-                harms: case.case.effect != Idempotency::Idempotent,
+                harms: case.case.idempotency != Idempotency::Idempotent,
                 asks: case.asks.clone(),
                 lives: (case.lives.low, case.lives.high),
                 batch: (case.batch.low, case.batch.high),
@@ -393,10 +393,10 @@
             keeps: whole(dice, model.keeps),
             speed: dice.between(model.speed.low, model.speed.high),
             cold_from: dice.between(model.cold_from.low, model.cold_from.high),
-            cold_for: day.rules.warm_after,
-            fall: day.rules.fall,
+            cold_for: day.rules.warm_up_time,
+            fall: day.rules.budget_window,
             tip: model.tip,
-            young_limit: day.rules.young_limit,
+            young_limit: day.rules.attempt_budget,
             yes_when_running: model.yes_when_running,
             displaces: model.displaces,
             tells_use: model.tells_use,
@@ -414,7 +414,7 @@
             .cases
             .iter()
             .map(|CaseDay { case, work, .. }| {
-                let (effect, group, window) = match case.effect {
+                let (effect, group, window) = match case.idempotency {
                     Idempotency::Idempotent => {
                         (capture::Effect::Replayable, FailureDomain::Cluster, Duration::ZERO)
                     }
@@ -427,13 +427,13 @@
                 };
                 capture::CaseTerms {
                     name: case.name.clone(),
-                    soft_limit: case.soft_limit.nanos(),
+                    soft_limit: case.latency_objective.nanos(),
                     client_timeout: case.client_timeout.nanos(),
                     effect,
                     group: to_reach(group),
                     window: window.nanos(),
                     spread: case.spread.map(|(reach, most)| (to_reach(reach), most as u32)),
-                    earnings: case.earnings,
+                    earnings: case.value_per_second,
                     start_seconds: case.start_seconds,
                     work: work.low.nanos(),
                 }
@@ -458,11 +458,11 @@
             cases,
             machines,
             drain_grace: day.rules.drain_grace.nanos(),
-            answer_slack: day.rules.answer_slack.nanos(),
-            warm_after: day.rules.warm_after.nanos(),
-            fall: day.rules.fall.nanos(),
-            young_limit: day.rules.young_limit,
-            most_sends: day.rules.most_sends,
+            answer_slack: day.rules.response_slack.nanos(),
+            warm_after: day.rules.warm_up_time.nanos(),
+            fall: day.rules.budget_window.nanos(),
+            young_limit: day.rules.attempt_budget,
+            most_sends: day.rules.max_attempts,
             tip: day.machine.tip,
             books: day.books.as_ref().map(|books| capture::BooksTerms {
                 teams: books
@@ -478,8 +478,8 @@
                     .collect(),
                 core_second: books.terms.core_second,
                 memory_second: books.terms.memory_second,
-                near: books.terms.near,
-                stretch: books.terms.stretch.nanos(),
+                near: books.terms.open_millionths,
+                stretch: books.terms.commitment.nanos(),
                 month_ends: books.month_ends.map(Duration::nanos),
                 first_month: BooksDay::FIRST_MONTH,
             }),
@@ -1430,7 +1430,7 @@
             return;
         }
         self.next_look = now + self.day.list.period;
-        let warm_after = self.day.rules.warm_after;
+        let warm_after = self.day.rules.warm_up_time;
         let fact = |n: usize| {
             let machine = self.machine(n);
             let (settings, left) = (&machine.settings, machine.left());
--- a/crates/scenario/src/trouble.rs
+++ b/crates/scenario/src/trouble.rs
@@ -2,8 +2,8 @@
 
 use mulleinhub_emulators::Dice;
 use mulleinhub_interface::Duration;
-use mulleinhub_settings::{Args, Directive, Faults, Range, Share, Value, suggest};
-use mulleinhub_workload_settings::show_span;
+use mulleinhub_settings::{Args, Diagnostics, Directive, Fraction, Range, Value, suggest};
+use mulleinhub_workload_settings::format_duration;
 
 /// What is struck.
 #[derive(Clone, Debug, PartialEq)]
@@ -204,38 +204,38 @@
 }
 
 /// An option's word and its range of parts, spans or factors.
-fn option<T: Value>(args: &mut Args<'_>, word: &str, default: T, faults: &mut Faults) -> T {
-    if args.takes(word) { args.next(faults).unwrap_or(default) } else { default }
+fn option<T: Value>(args: &mut Args<'_>, word: &str, default: T, faults: &mut Diagnostics) -> T {
+    if args.next_if(word) { args.next(faults).unwrap_or(default) } else { default }
 }
 
-fn part(args: &mut Args<'_>, word: &str, low: f64, high: f64, faults: &mut Faults) -> Range<f64> {
-    let range = Range { low: Share(low), high: Share(high) };
+fn part(args: &mut Args<'_>, word: &str, low: f64, high: f64, faults: &mut Diagnostics) -> Range<f64> {
+    let range = Range { low: Fraction(low), high: Fraction(high) };
     let range = option(args, word, range, faults);
     share_range(range.low.0, range.high.0)
 }
 
 impl Trouble {
     /// Reads `at WHEN [for SPAN] KIND [TARGET] [options]`.
-    pub fn read(directive: &Directive, faults: &mut Faults) -> Option<Self> {
+    pub fn read(directive: &Directive, faults: &mut Diagnostics) -> Option<Self> {
         let mut args = Args::of(directive);
         let at = args.next::<Range<Duration>>(faults)?;
-        let length = if args.takes("for") { args.next::<Range<Duration>>(faults)? } else { spans(0, 0) };
-        let Some(kind) = args.word() else {
-            faults.add(&directive.place, "the kind of trouble is missing, as hang or restart");
+        let length = if args.next_if("for") { args.next::<Range<Duration>>(faults)? } else { spans(0, 0) };
+        let Some(kind) = args.next_word() else {
+            faults.add(&directive.span, "the kind of trouble is missing, as hang or restart");
             return None;
         };
         let names: Vec<&str> = KINDS.iter().map(|(name, _)| *name).collect();
         let Some((_, struck)) = KINDS.iter().find(|(name, _)| *name == kind.text) else {
             let words = format!("{} is no trouble", kind.text);
-            faults.add_with_hint(&kind.place, words, suggest(&kind.text, &names));
+            faults.add_with_hint(&kind.span, words, suggest(&kind.text, &names));
             return None;
         };
         let target = read_target(*struck, &mut args, faults)?;
-        let case = |args: &mut Args<'_>, faults: &mut Faults| {
-            if args.takes("case") {
+        let case = |args: &mut Args<'_>, faults: &mut Diagnostics| {
+            if args.next_if("case") {
                 args.next::<String>(faults)
             } else {
-                faults.add(&directive.place, format!("{} needs: case NAME", kind.text));
+                faults.add(&directive.span, format!("{} needs: case NAME", kind.text));
                 None
             }
         };
@@ -260,20 +260,20 @@
             "restart" => What::Restart { down: option(&mut args, "down", spans(500, 3_000), faults) },
             "gone" => What::Gone,
             "drain" => {
-                What::Drain { then_gone: args.takes("then-gone").then(|| args.next(faults)).flatten() }
+                What::Drain { then_gone: args.next_if("then-gone").then(|| args.next(faults)).flatten() }
             }
             "grow" => What::Grow { part: part(&mut args, "part", 1.0, 1.0, faults) },
             "surge" => What::Surge { by: option(&mut args, "by", share_range(1.5, 2.5), faults) },
             "hot-service" => What::HotService { part: part(&mut args, "part", 0.1, 0.3, faults) },
             "kill" => {
                 let down = option(&mut args, "down", spans(300, 3_000), faults);
-                let word = if args.takes("store") { args.word() } else { None };
+                let word = if args.next_if("store") { args.next_word() } else { None };
                 let store = match word.map(|word| word.text.as_str()) {
                     None => Store::Kept,
                     Some("lost") => Store::Lost,
                     Some("old") => Store::Old,
                     Some(other) => {
-                        faults.add(&directive.place, format!("store {other}: lost or old is wanted"));
+                        faults.add(&directive.span, format!("store {other}: lost or old is wanted"));
                         Store::Kept
                     }
                 };
@@ -305,7 +305,7 @@
             "silent-burst" => What::SilentBurst { part: part(&mut args, "part", 1.0, 1.0, faults) },
             "order" => What::Order { line: args.next::<String>(faults)? },
             "clock" => {
-                let ahead = args.takes("ahead") || !args.takes("behind");
+                let ahead = args.next_if("ahead") || !args.next_if("behind");
                 What::Clock { ahead, by: args.next(faults)? }
             }
             "disk-full" => What::DiskFull,
@@ -445,8 +445,8 @@
     /// What it does, in a sentence.
     pub fn words(&self) -> String {
         let span = |range: &Range<Duration>| match range.low == range.high {
-            true => show_span(range.low),
-            false => format!("{} to {}", show_span(range.low), show_span(range.high)),
+            true => format_duration(range.low),
+            false => format!("{} to {}", format_duration(range.low), format_duration(range.high)),
         };
         let share = |range: &Range<f64>| match range.low == range.high {
             true => format!("{:.0}%", range.low * 100.0),
@@ -599,49 +599,49 @@
     share_range(1.0, 1.0)
 }
 
-fn read_target(struck: Struck, args: &mut Args<'_>, faults: &mut Faults) -> Option<Target> {
+fn read_target(struck: Struck, args: &mut Args<'_>, faults: &mut Diagnostics) -> Option<Target> {
     if struck == Struck::Nothing {
         return Some(Target::All);
     }
-    if struck == Struck::Connections && args.takes("halves") {
+    if struck == Struck::Connections && args.next_if("halves") {
         return Some(Target::Link { planner: None, far: Far::OtherHalf });
     }
-    if struck == Struck::Connections && args.takes("planners") {
+    if struck == Struck::Connections && args.next_if("planners") {
         return Some(Target::Link { planner: None, far: Far::Planners });
     }
-    if args.takes("all") {
+    if args.next_if("all") {
         return Some(match struck {
             Struck::Connections => Target::Link { planner: None, far: Far::Machines },
             _ => Target::All,
         });
     }
     let word = args.peek();
-    let bad = |faults: &mut Faults, wanted: &str| {
+    let bad = |faults: &mut Diagnostics, wanted: &str| {
         if let Some(word) = word {
-            faults.add(&word.place, format!("{} is no target here ({wanted})", word.text));
+            faults.add(&word.span, format!("{} is no target here ({wanted})", word.text));
         }
         None
     };
     match struck {
-        Struck::Machines if args.takes("machine") => args.next(faults).map(Target::Machine),
-        Struck::Machines if args.takes("rack") => args.next(faults).map(Target::Rack),
-        Struck::Machines if args.takes("hall") => args.next(faults).map(Target::Hall),
-        Struck::Machines if args.takes("kind") => args.next(faults).map(Target::Kind),
-        Struck::Planners if args.takes("planner") => args.next(faults).map(Target::Planner),
-        Struck::Planners if args.takes("hall") => args.next(faults).map(Target::Hall),
-        Struck::Connections if args.takes("planner") => {
+        Struck::Machines if args.next_if("machine") => args.next(faults).map(Target::Machine),
+        Struck::Machines if args.next_if("rack") => args.next(faults).map(Target::Rack),
+        Struck::Machines if args.next_if("hall") => args.next(faults).map(Target::Hall),
+        Struck::Machines if args.next_if("kind") => args.next(faults).map(Target::Kind),
+        Struck::Planners if args.next_if("planner") => args.next(faults).map(Target::Planner),
+        Struck::Planners if args.next_if("hall") => args.next(faults).map(Target::Hall),
+        Struck::Connections if args.next_if("planner") => {
             let planner = Some(args.next(faults)?);
-            let far = if args.takes("machine") {
+            let far = if args.next_if("machine") {
                 Far::Machine(args.next(faults)?)
-            } else if args.takes("rack") {
+            } else if args.next_if("rack") {
                 Far::Rack(args.next(faults)?)
-            } else if args.takes("owners") {
+            } else if args.next_if("owners") {
                 Far::Owners
-            } else if args.takes("list") {
+            } else if args.next_if("list") {
                 Far::List
-            } else if args.takes("planner") {
+            } else if args.next_if("planner") {
                 Far::Planner(args.next(faults)?)
-            } else if args.takes("planners") {
+            } else if args.next_if("planners") {
                 Far::Planners
             } else {
                 Far::Machines
--- a/crates/scenario/tests/books.rs
+++ b/crates/scenario/tests/books.rs
@@ -1,11 +1,11 @@
 //! Work logs and sites, as a day's script states them.
 
 use mulleinhub_scenario::{Day, parse_day};
-use mulleinhub_settings::{Faults, parse};
+use mulleinhub_settings::{Diagnostics, parse};
 use std::path::Path;
 
 fn read(path: &Path) -> Result<Day, String> {
-    let mut faults = Faults::default();
+    let mut faults = Diagnostics::default();
     let directives = parse(path, &mut faults).expect("it is there");
     parse_day(&directives, &mut faults).filter(|_| faults.is_empty()).ok_or_else(|| faults.render())
 }
@@ -15,7 +15,7 @@
     let days = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../days");
     let books = read(&days.join("books-replicas.day")).expect("it is fine").books.expect("it keeps books");
     assert_eq!((books.terms.replicas, books.terms.sites.len()), (Some(2), 8));
-    assert_eq!(books.terms.sites["planner-6"].show(), " zone b region west");
+    assert_eq!(books.terms.sites["planner-6"].to_text(), " zone b region west");
     let books = read(&days.join("books-caps.day")).expect("it is fine").books.expect("it keeps books");
     assert!(books.terms.replicas.is_none() && books.terms.sites.is_empty());
 }
--- a/crates/settings/src/value.rs
+++ b/crates/settings/src/value.rs
@@ -1,33 +1,106 @@
-//! Typed values: what an argument may be, and what is said where it is not.
+//! Typed values: what an argument may be, and the error where it is something else.
 
 use mulleinhub_interface::Duration;
+use std::fmt;
 
+/// The longest name, in bytes.
+const MAX_NAME_LENGTH: usize = 64;
+/// Durations of more nanoseconds than this are rejected.
+const MAX_NANOS: f64 = 1e18;
+/// Sizes of more bytes than this are rejected.
+const MAX_BYTES: f64 = 1e18;
+
+/// A type that an argument of a directive can be read as.
 pub trait Value: Sized {
-    /// What is wanted, for messages: "a span of time, as 600ms".
-    const WANTED: &'static str;
+    /// What is expected, for messages: "a span of time, as 600ms".
+    const EXPECTED: &'static str;
 
+    /// Reads an argument.
+    ///
     /// # Errors
-    /// What is wrong, where more can be said than what is wanted.
-    fn read(text: &str) -> Result<Self, String>;
+    /// Where the text is no value of this type.
+    fn parse(text: &str) -> Result<Self, ValueError>;
 }
 
-fn wanted<T: Value>() -> String {
-    format!("{} is wanted", T::WANTED)
+/// Why an argument is no value of its type. `Display` gives the text that settings errors show.
+#[derive(Clone, Debug, PartialEq, Eq)]
+#[non_exhaustive]
+pub enum ValueError {
+    /// The text is something else than what is expected.
+    Unexpected {
+        /// [`Value::EXPECTED`] of the type.
+        expected: &'static str,
+    },
+    /// A duration without a unit.
+    MissingTimeUnit {
+        /// The text as it is written.
+        text: String,
+    },
+    /// A duration with a unit that there isn't.
+    UnknownTimeUnit {
+        /// The unit as it is written.
+        unit: String,
+    },
+    /// A duration of more than 10^18 ns.
+    DurationTooLong,
+    /// A size with a unit that there isn't.
+    UnknownByteUnit {
+        /// The unit as it is written.
+        unit: String,
+    },
+    /// A size of more than 10^18 bytes.
+    TooManyBytes,
+    /// A range whose end is less than its beginning.
+    ReversedRange,
 }
 
-/// Splits a figure from its unit.
-fn figure(text: &str) -> Option<(f64, &str)> {
+impl ValueError {
+    /// The text is not what a `T` looks like.
+    pub fn unexpected<T: Value>() -> Self {
+        Self::Unexpected { expected: T::EXPECTED }
+    }
+}
+
+impl fmt::Display for ValueError {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        match self {
+            Self::Unexpected { expected } => write!(f, "{expected} is wanted"),
+            Self::MissingTimeUnit { text } => write!(f, "a span of time needs a unit: {text}ms or {text}s?"),
+            Self::UnknownTimeUnit { unit } => {
+                write!(f, "{unit:?} is no unit of time (ns, us, ms, s, min, h are)")
+            }
+            Self::DurationTooLong => f.write_str("a span of more than thirty years"),
+            Self::UnknownByteUnit { unit } => {
+                write!(f, "{unit:?} is no unit of bytes (B, KiB, MiB, GiB, TiB, kB, MB, GB are)")
+            }
+            Self::TooManyBytes => f.write_str("more bytes than can be counted"),
+            Self::ReversedRange => f.write_str("the range ends before it begins"),
+        }
+    }
+}
+
+impl std::error::Error for ValueError {}
+
+/// For the command line, whose parsers return text.
+impl From<ValueError> for String {
+    fn from(error: ValueError) -> Self {
+        error.to_string()
+    }
+}
+
+/// Splits a number from the unit behind it.
+fn split_unit(text: &str) -> Option<(f64, &str)> {
     let end = text.find(|c: char| !(c.is_ascii_digit() || c == '.')).unwrap_or(text.len());
     let number: f64 = text[..end].parse().ok()?;
     number.is_finite().then_some((number, &text[end..]))
 }
 
 impl Value for Duration {
-    const WANTED: &'static str = "a span of time, as 600ms, 5s or 2min";
+    const EXPECTED: &'static str = "a span of time, as 600ms, 5s or 2min";
 
-    fn read(text: &str) -> Result<Self, String> {
-        let (number, unit) = figure(text).ok_or_else(wanted::<Self>)?;
-        let nanos = match unit {
+    fn parse(text: &str) -> Result<Self, ValueError> {
+        let (number, unit) = split_unit(text).ok_or_else(ValueError::unexpected::<Self>)?;
+        let nanos_per_unit = match unit {
             "ns" => 1.0,
             "us" => 1e3,
             "ms" => 1e6,
@@ -35,28 +108,24 @@
             "min" => 60e9,
             "h" => 3600e9,
             "" if number == 0.0 => 0.0,
-            "" => return Err(format!("a span of time needs a unit: {text}ms or {text}s?")),
-            other => return Err(format!("{other:?} is no unit of time (ns, us, ms, s, min, h are)")),
+            "" => return Err(ValueError::MissingTimeUnit { text: text.to_owned() }),
+            unit => return Err(ValueError::UnknownTimeUnit { unit: unit.to_owned() }),
         };
-        let nanos = number * nanos;
-        if nanos > 1e18 {
-            Err("a span of more than thirty years".into())
-        } else {
-            Ok(Self::from_nanos(nanos as u64))
-        }
+        let nanos = number * nanos_per_unit;
+        if nanos > MAX_NANOS { Err(ValueError::DurationTooLong) } else { Ok(Self::from_nanos(nanos as u64)) }
     }
 }
 
-/// Bytes, as `64GiB`.
+/// A number of bytes, as `64GiB`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Bytes(pub u64);
 
 impl Value for Bytes {
-    const WANTED: &'static str = "a number of bytes, as 512KiB or 64GiB";
+    const EXPECTED: &'static str = "a number of bytes, as 512KiB or 64GiB";
 
-    fn read(text: &str) -> Result<Self, String> {
-        let (number, unit) = figure(text).ok_or_else(wanted::<Self>)?;
-        let factor: u64 = match unit {
+    fn parse(text: &str) -> Result<Self, ValueError> {
+        let (number, unit) = split_unit(text).ok_or_else(ValueError::unexpected::<Self>)?;
+        let bytes_per_unit: u64 = match unit {
             "" | "B" => 1,
             "KiB" => 1 << 10,
             "MiB" => 1 << 20,
@@ -65,122 +134,122 @@
             "kB" => 1_000,
             "MB" => 1_000_000,
             "GB" => 1_000_000_000,
-            other => {
-                return Err(format!("{other:?} is no unit of bytes (B, KiB, MiB, GiB, TiB, kB, MB, GB are)"));
-            }
+            unit => return Err(ValueError::UnknownByteUnit { unit: unit.to_owned() }),
         };
-        let bytes = number * factor as f64;
-        if bytes > 1e18 { Err("more bytes than can be counted".into()) } else { Ok(Self(bytes as u64)) }
+        let bytes = number * bytes_per_unit as f64;
+        if bytes > MAX_BYTES { Err(ValueError::TooManyBytes) } else { Ok(Self(bytes as u64)) }
     }
 }
 
-/// Cores, as `2.5cores` or `2.5`.
+/// A number of cores above 0, as `2.5cores` or `2.5`.
 #[derive(Clone, Copy, Debug, PartialEq, PartialOrd)]
 pub struct Cores(pub f64);
 
 impl Value for Cores {
-    const WANTED: &'static str = "a number of cores, as 2.5cores";
+    const EXPECTED: &'static str = "a number of cores, as 2.5cores";
 
-    fn read(text: &str) -> Result<Self, String> {
-        match figure(text) {
+    fn parse(text: &str) -> Result<Self, ValueError> {
+        match split_unit(text) {
             Some((number, "" | "cores" | "core")) if number > 0.0 => Ok(Self(number)),
-            _ => Err(wanted::<Self>()),
+            _ => Err(ValueError::unexpected::<Self>()),
         }
     }
 }
 
-/// A part of a whole, as `0.5` or `50%`.
+/// A fraction from 0 to 1, as `0.5` or `50%`.
 #[derive(Clone, Copy, Debug, PartialEq, PartialOrd)]
-pub struct Share(pub f64);
+pub struct Fraction(pub f64);
 
-impl Value for Share {
-    const WANTED: &'static str = "a part from 0 to 1, as 0.5 or 50%";
+impl Value for Fraction {
+    const EXPECTED: &'static str = "a part from 0 to 1, as 0.5 or 50%";
 
-    fn read(text: &str) -> Result<Self, String> {
-        let share = match figure(text) {
+    fn parse(text: &str) -> Result<Self, ValueError> {
+        let fraction = match split_unit(text) {
             Some((number, "")) => number,
             Some((number, "%")) => number / 100.0,
-            _ => return Err(wanted::<Self>()),
+            _ => return Err(ValueError::unexpected::<Self>()),
         };
-        if share <= 1.0 { Ok(Self(share)) } else { Err(wanted::<Self>()) }
+        if fraction <= 1.0 { Ok(Self(fraction)) } else { Err(ValueError::unexpected::<Self>()) }
     }
 }
 
 impl Value for f64 {
-    const WANTED: &'static str = "a number";
+    const EXPECTED: &'static str = "a number";
 
-    fn read(text: &str) -> Result<Self, String> {
-        match figure(text) {
+    fn parse(text: &str) -> Result<Self, ValueError> {
+        match split_unit(text) {
             Some((number, "")) => Ok(number),
-            _ => Err(wanted::<Self>()),
+            _ => Err(ValueError::unexpected::<Self>()),
         }
     }
 }
 
-macro_rules! whole {
+macro_rules! impl_value_for_integers {
     ($($type:ty),*) => {$(
         impl Value for $type {
-            const WANTED: &'static str = "a whole number";
+            const EXPECTED: &'static str = "a whole number";
 
-            fn read(text: &str) -> Result<Self, String> {
-                text.parse().map_err(|_| wanted::<Self>())
+            fn parse(text: &str) -> Result<Self, ValueError> {
+                text.parse().map_err(|_| ValueError::unexpected::<Self>())
             }
         }
     )*};
 }
 
-whole!(u8, u32, u64, usize);
+impl_value_for_integers!(u8, u32, u64, usize);
 
 impl Value for String {
-    const WANTED: &'static str = "a text";
+    const EXPECTED: &'static str = "a text";
 
-    fn read(text: &str) -> Result<Self, String> {
+    fn parse(text: &str) -> Result<Self, ValueError> {
         Ok(text.to_owned())
     }
 }
 
 impl Value for bool {
-    const WANTED: &'static str = "yes or no";
+    const EXPECTED: &'static str = "yes or no";
 
-    fn read(text: &str) -> Result<Self, String> {
+    fn parse(text: &str) -> Result<Self, ValueError> {
         match text {
             "yes" => Ok(true),
             "no" => Ok(false),
-            _ => Err(wanted::<Self>()),
+            _ => Err(ValueError::unexpected::<Self>()),
         }
     }
 }
 
-/// A name: letters, digits, `-`, `_` and `.`.
+/// A name of 1 to 64 letters, digits, `-`, `_` and `.`.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Name(pub String);
 
 impl Value for Name {
-    const WANTED: &'static str = "a name of letters, digits, -, _ and .";
+    const EXPECTED: &'static str = "a name of letters, digits, -, _ and .";
 
-    fn read(text: &str) -> Result<Self, String> {
-        let fine = |c: char| c.is_ascii_alphanumeric() || "-_.".contains(c);
-        if !text.is_empty() && text.len() <= 64 && text.chars().all(fine) {
+    fn parse(text: &str) -> Result<Self, ValueError> {
+        let is_allowed = |c: char| c.is_ascii_alphanumeric() || "-_.".contains(c);
+        if !text.is_empty() && text.len() <= MAX_NAME_LENGTH && text.chars().all(is_allowed) {
             Ok(Self(text.to_owned()))
         } else {
-            Err(wanted::<Self>())
+            Err(ValueError::unexpected::<Self>())
         }
     }
 }
 
-/// One value or two with `..` between them, of which the second is not the lesser.
+/// A range, as `2s..1min`, or a single value, which is both ends.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Range<T> {
+    /// The least value.
     pub low: T,
+    /// The greatest value, which belongs to the range.
     pub high: T,
 }
 
 impl<T: Value + Copy + PartialOrd> Value for Range<T> {
-    const WANTED: &'static str = T::WANTED;
+    const EXPECTED: &'static str = T::EXPECTED;
 
-    fn read(text: &str) -> Result<Self, String> {
+    fn parse(text: &str) -> Result<Self, ValueError> {
         let (low, high) = text.split_once("..").unwrap_or((text, text));
-        let (low, high) = (T::read(low)?, T::read(high)?);
-        if low <= high { Ok(Self { low, high }) } else { Err("the range ends before it begins".into()) }
+        let (low, high) = (T::parse(low)?, T::parse(high)?);
+        if low <= high { Ok(Self { low, high }) } else { Err(ValueError::ReversedRange) }
     }
 }
--- a/crates/simulation/tests/days.rs
+++ b/crates/simulation/tests/days.rs
@@ -2,13 +2,13 @@
 
 use mulleinhub_checker::{Verdict, judge};
 use mulleinhub_scenario::{Day, parse_day};
-use mulleinhub_settings::{Faults, parse};
+use mulleinhub_settings::{Diagnostics, parse};
 use mulleinhub_simulation::Runner;
 use std::path::Path;
 
 fn day(name: &str, seed: u64) -> Day {
     let path = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../days").join(name);
-    let mut faults = Faults::default();
+    let mut faults = Diagnostics::default();
     let directives = parse(&path, &mut faults).expect("is in the repository");
     let day = parse_day(&directives, &mut faults);
     Day { seed, ..day.unwrap_or_else(|| panic!("{}", faults.render())) }
--- a/crates/simulation/tests/mutants.rs
+++ b/crates/simulation/tests/mutants.rs
@@ -6,7 +6,7 @@
 use mulleinhub_interface::{Duration, Timestamp};
 use mulleinhub_protocol::{self as protocol, Ending, Entry, ListKind, Message, Mode, Shape};
 use mulleinhub_scenario::parse_day;
-use mulleinhub_settings::{Faults, parse};
+use mulleinhub_settings::{Diagnostics, parse};
 use mulleinhub_simulation::Runner;
 use std::collections::BTreeMap;
 use std::path::Path;
@@ -75,7 +75,7 @@
 /// A quiet day, of which mutants are made.
 static QUIET: LazyLock<Tape> = LazyLock::new(|| {
     let path = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../days/bad-day.day");
-    let mut faults = Faults::default();
+    let mut faults = Diagnostics::default();
     let directives = parse(&path, &mut faults).expect("is in the repository");
     let mut day = parse_day(&directives, &mut faults).unwrap_or_else(|| panic!("{}", faults.render()));
     day.troubles.clear();
--- a/crates/trace/src/map.rs
+++ b/crates/trace/src/map.rs
@@ -2,7 +2,7 @@
 
 use crate::fault::{Fault, Policies, Policy};
 use mulleinhub_interface::Duration;
-use mulleinhub_settings::{Args, Bytes, Directive, Faults, Range, suggest};
+use mulleinhub_settings::{Args, Bytes, Diagnostics, Directive, Range, suggest};
 
 /// Tasks of these classes and priorities are of this use case; the first rule that fits counts.
 #[derive(Clone, Debug, PartialEq)]
@@ -51,7 +51,7 @@
 /// window 5min
 /// whole 48 96GiB
 /// ```
-pub fn read_mapping(directives: &[Directive], faults: &mut Faults) -> (Mapping, Vec<Directive>) {
+pub fn read_mapping(directives: &[Directive], faults: &mut Diagnostics) -> (Mapping, Vec<Directive>) {
     let (ours, others): (Vec<Directive>, Vec<Directive>) =
         directives.iter().cloned().partition(|directive| OURS.contains(&directive.name.text.as_str()));
     let mut mapping = Mapping::default();
@@ -74,39 +74,39 @@
     (mapping, others)
 }
 
-fn class_rule(args: &mut Args<'_>, faults: &mut Faults) -> Option<ClassRule> {
+fn class_rule(args: &mut Args<'_>, faults: &mut Diagnostics) -> Option<ClassRule> {
     let Range { low, high } = args.next::<Range<u32>>(faults)?;
     let mut priority = (0, u32::MAX);
-    if args.takes("priority") {
+    if args.next_if("priority") {
         let Range { low, high } = args.next::<Range<u32>>(faults)?;
         priority = (low, high);
     }
-    if !args.takes("use-case") {
+    if !args.next_if("use-case") {
         if let Some(word) = args.peek() {
-            faults.add(&word.place, "use-case NAME is wanted here");
+            faults.add(&word.span, "use-case NAME is wanted here");
         }
         return None;
     }
     Some(ClassRule { class: (low, high), priority, use_case: args.next::<String>(faults)? })
 }
 
-fn fault_line(args: &mut Args<'_>, policies: &mut Policies, directive: &Directive, faults: &mut Faults) {
-    let (Some(kind), Some(done)) = (args.word(), args.word()) else {
+fn fault_line(args: &mut Args<'_>, policies: &mut Policies, directive: &Directive, faults: &mut Diagnostics) {
+    let (Some(kind), Some(done)) = (args.next_word(), args.next_word()) else {
         return faults
-            .add(&directive.place, "a kind and repair, skip or stop are wanted: fault negative skip");
+            .add(&directive.span, "a kind and repair, skip or stop are wanted: fault negative skip");
     };
     let Some(fault) = Fault::ALL.into_iter().find(|fault| fault.name() == kind.text) else {
         let names: Vec<&str> = Fault::ALL.iter().map(|fault| fault.name()).collect();
         let like = suggest(&kind.text, &names).map_or(String::new(), |like| format!(" ({like})"));
-        return faults.add(&kind.place, format!("{} is no kind of fault{like}", kind.text));
+        return faults.add(&kind.span, format!("{} is no kind of fault{like}", kind.text));
     };
     let policy = match done.text.as_str() {
         "repair" => Policy::Repair,
         "skip" => Policy::Skip,
         "stop" => Policy::Stop,
-        other => return faults.add(&done.place, format!("{other}: repair, skip or stop is wanted")),
+        other => return faults.add(&done.span, format!("{other}: repair, skip or stop is wanted")),
     };
     if let Err(words) = policies.set(fault, policy) {
-        faults.add(&done.place, words);
+        faults.add(&done.span, words);
     }
 }
--- a/crates/versions/src/build.rs
+++ b/crates/versions/src/build.rs
@@ -1,6 +1,6 @@
 //! Checks a commit of this repository out beside it, and builds it.
 
-use mulleinhub_settings::{Args, Faults, Name, parse_text};
+use mulleinhub_settings::{Args, Diagnostics, Name, parse_text};
 use std::path::{Path, PathBuf};
 use std::process::Command;
 
@@ -18,7 +18,7 @@
 /// # Errors
 /// Faults of the list, rendered.
 pub fn versions() -> Result<Vec<Version>, String> {
-    let mut faults = Faults::default();
+    let mut faults = Diagnostics::default();
     let directives = parse_text("versions.list", LIST, &mut faults);
     let mut versions = Vec::new();
     for line in &directives {
--- a/crates/versions/src/mutants.rs
+++ b/crates/versions/src/mutants.rs
@@ -1,7 +1,7 @@
 //! Faults seeded into the books, one at a time: the present tree with a few words changed, built and played.
 
 use crate::build::{program, root, test_output, tree};
-use mulleinhub_settings::{Args, Faults, Scope, parse_text};
+use mulleinhub_settings::{Args, Diagnostics, Scope, parse_text};
 use std::path::Path;
 use std::process::Command;
 
@@ -25,10 +25,10 @@
 }
 
 /// Either `day`, `rule` and `seeds`, or `test PACKAGE FILE NAME`.
-fn read_finder(scope: &mut Scope<'_>, faults: &mut Faults) -> Option<Finder> {
+fn read_finder(scope: &mut Scope<'_>, faults: &mut Diagnostics) -> Option<Finder> {
     let Some(line) = scope.once("test", faults) else {
-        let (day, rule) = (scope.must("day", faults), scope.must("rule", faults));
-        let seeds = scope.or("seeds", 24, faults);
+        let (day, rule) = (scope.required("day", faults), scope.required("rule", faults));
+        let seeds = scope.optional_or("seeds", 24, faults);
         return Some(Finder::Judge { day: day?, rule: rule?, seeds });
     };
     let mut args = Args::of(line);
@@ -38,14 +38,14 @@
 }
 
 fn read() -> Result<Vec<Mutant>, String> {
-    let mut faults = Faults::default();
+    let mut faults = Diagnostics::default();
     let directives = parse_text("mutants.list", LIST, &mut faults);
     let mut mutants = Vec::new();
     for directive in &directives {
         let mut args = Args::of(directive);
         let name = args.next::<String>(&mut faults);
         let mut scope = Scope::of(directive);
-        let mut text = |name| scope.must::<String>(name, &mut faults);
+        let mut text = |name| scope.required::<String>(name, &mut faults);
         let (file, from, to) = (text("file"), text("from"), text("to"));
         let finder = read_finder(&mut scope, &mut faults);
         scope.finish(&mut faults);
--- a/crates/versions/src/play.rs
+++ b/crates/versions/src/play.rs
@@ -4,7 +4,7 @@
 use mulleinhub_checker::{Verdict, judge};
 use mulleinhub_interface::Timestamp;
 use mulleinhub_scenario::{Day, parse_day};
-use mulleinhub_settings::{Faults, parse};
+use mulleinhub_settings::{Diagnostics, parse};
 use std::io::BufReader;
 use std::os::unix::fs::PermissionsExt;
 use std::path::{Path, PathBuf};
@@ -51,7 +51,7 @@
 }
 
 fn read(path: &Path, seed: u64) -> Result<Day, String> {
-    let mut faults = Faults::default();
+    let mut faults = Diagnostics::default();
     let directives = parse(path, &mut faults).map_err(|error| format!("{}: {error}", path.display()))?;
     let day = parse_day(&directives, &mut faults).ok_or_else(|| faults.render())?;
     Ok(Day { seed, ..day })
