--- a/crates/scale/src/ledgers/member.rs
+++ b/crates/scale/src/ledgers/member.rs
@@ -349,7 +349,11 @@
     pub fn change(&mut self, change: ConfigChange) {
         let ConfigChange { team, number, cap } = change;
         let subject = Subject::Team(team_name(team));
-        self.exchange.apply_directives(&[Directive { subject, number, action: DirectiveAction::Cap { amount: cap } }]);
+        self.exchange.apply_directives(&[Directive {
+            subject,
+            number,
+            action: DirectiveAction::Cap { amount: cap },
+        }]);
     }
 
     // What is looked at.
