--- a/crates/ledger/src/exchange/mod.rs
+++ b/crates/ledger/src/exchange/mod.rs
@@ -30,6 +30,7 @@
 mod work_logs;
 
 use self::peer::Peer;
+use self::work_logs::ReplicaChoice;
 use crate::shared_pools::SharedPools;
 use mulleinhub_interface::{Duration, Pcg, Timestamp};
 use mulleinhub_quota::{Ledger, Settings};
@@ -96,8 +97,8 @@
     neighbors: BTreeSet<Name>,
     /// The replicas of our work log; they are neighbors for as long as they are replicas.
     replicas: Vec<Name>,
-    /// The members that could be replicas, and whether we write a work log, at the last choice.
-    usable_replicas: (Vec<Name>, bool),
+    /// What the replicas were last chosen by.
+    replica_choice: ReplicaChoice,
     choose_replicas_at: Timestamp,
     redraw_neighbors_at: Timestamp,
     connect_dead_at: Timestamp,
@@ -147,7 +148,7 @@
             arrived: BTreeSet::new(),
             neighbors: BTreeSet::new(),
             replicas: Vec::new(),
-            usable_replicas: (Vec::new(), false),
+            replica_choice: ReplicaChoice::default(),
             choose_replicas_at: Timestamp::default(),
             redraw_neighbors_at: Timestamp::default(),
             connect_dead_at: Timestamp::default(),
--- a/crates/ledger/src/exchange/work_logs.rs
+++ b/crates/ledger/src/exchange/work_logs.rs
@@ -23,6 +23,15 @@
 /// A replica that lacks at most this many entries, which may be in flight, holds our work log.
 const MAX_ENTRIES_IN_FLIGHT: u64 = 64;
 
+/// What the replicas of our work log are chosen by: they are chosen again when it changes.
+#[derive(Debug, Default, PartialEq, Eq)]
+pub(super) struct ReplicaChoice {
+    /// The members that can be replicas, sorted by name.
+    usable: Vec<Name>,
+    /// Whether we write a work log.
+    writes_work_log: bool,
+}
+
 /// The kind of logs that a message is about.
 pub(super) fn log_kind(log: Option<SideLog>) -> LogKind {
     log.map_or(LogKind::Fleet, |SideLog::Work| LogKind::Work)
@@ -47,11 +56,12 @@
         self.choose_replicas_at = self.now + CHOICE_INTERVAL;
         let usable: Vec<Name> = self.addresses.keys().filter(|name| self.is_usable(name)).cloned().collect();
         let writes_work_log = self.ledger.writes_work_log();
-        if (&usable, writes_work_log) == (&self.usable_replicas.0, self.usable_replicas.1) {
+        let choice = ReplicaChoice { usable, writes_work_log };
+        if choice == self.replica_choice {
             return;
         }
-        let replicas = self.ledger.replicas(|name| usable.binary_search(name).is_ok());
-        self.usable_replicas = (usable, writes_work_log);
+        let replicas = self.ledger.replicas(|name| choice.usable.binary_search(name).is_ok());
+        self.replica_choice = choice;
         if replicas == self.replicas {
             return;
         }
