--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -4,9 +4,9 @@
 //! misspelt directive, a suggestion. A directive is a line; `{` at its end opens a block, `}` closes it; `#`
 //! begins a comment; `"..."` quotes text with blanks; `include "FILE"` is replaced by the lines of that file.
 //!
-//! Reading takes two steps: [`parse`] turns text into [`Directive`]s, and a [`Scope`] per block turns directives
-//! into typed [`Value`]s. Both add what is wrong to [`Diagnostics`] and go on. What a directive means is up to the
-//! packages that read it.
+//! Reading takes two steps: [`parse`] turns text into [`Directive`]s, and a [`Scope`] per block turns
+//! directives into typed [`Value`]s. Both add what is wrong to [`Diagnostics`] and go on. What a directive
+//! means is up to the packages that read it.
 
 #![warn(missing_docs)]
 
--- a/crates/settings/src/parser.rs
+++ b/crates/settings/src/parser.rs
@@ -32,8 +32,8 @@
     pub span: SourceSpan,
 }
 
-/// Reads a file and the files it includes. Errors in the text are added to `diagnostics`; all that could be parsed is
-/// returned nevertheless.
+/// Reads a file and the files it includes. Errors in the text are added to `diagnostics`; all that could be
+/// parsed is returned nevertheless.
 ///
 /// # Errors
 /// Where the file itself can't be read.
--- a/crates/settings/src/scope.rs
+++ b/crates/settings/src/scope.rs
@@ -1,4 +1,5 @@
-//! Reading the directives of one block by name, with errors for missing, unknown, repeated and malformed ones.
+//! Reading the directives of one block by name, with errors for missing, unknown, repeated and malformed
+//! ones.
 
 use crate::args::Args;
 use crate::diagnostics::{Diagnostics, SourceSpan};
--- a/crates/workload-settings/src/ledger.rs
+++ b/crates/workload-settings/src/ledger.rs
@@ -89,8 +89,8 @@
     Some(TeamSettings { name: name?.0, account, tenants, cap })
 }
 
-/// Reads the directives of a `books` block that planners and scenarios share; the caller may read more from `scope`,
-/// and finishes it.
+/// Reads the directives of a `books` block that planners and scenarios share; the caller may read more from
+/// `scope`, and finishes it.
 pub fn read_ledger_settings(
     directive: &Directive,
     scope: &mut Scope<'_>,
--- a/crates/workload-settings/src/lib.rs
+++ b/crates/workload-settings/src/lib.rs
@@ -1,8 +1,9 @@
-//! Settings that planners and scenarios share: use cases, kinds of machines, the scheduling rules and the ledger.
+//! Settings that planners and scenarios share: use cases, kinds of machines, the scheduling rules and the
+//! ledger.
 //!
-//! Reads these directives the same way from every file, checks their values, and writes them as settings text.
-//! What is done with the values is up to the packages that read them. Directive names are part of the file format;
-//! the fields carry the names that the scheduler's interface uses.
+//! Reads these directives the same way from every file, checks their values, and writes them as settings
+//! text. What is done with the values is up to the packages that read them. Directive names are part of the
+//! file format; the fields carry the names that the scheduler's interface uses.
 
 #![warn(missing_docs)]
 
--- a/crates/workload-settings/src/use_case.rs
+++ b/crates/workload-settings/src/use_case.rs
@@ -53,8 +53,8 @@
     pub degradation_range: f64,
 }
 
-/// Reads the directives of a use case that planners and scenarios share; the caller may read more from `scope`, and
-/// finishes it. `None` where an error was added that leaves the use case incomplete.
+/// Reads the directives of a use case that planners and scenarios share; the caller may read more from
+/// `scope`, and finishes it. `None` where an error was added that leaves the use case incomplete.
 pub fn read_use_case(
     directive: &Directive,
     scope: &mut Scope<'_>,
--- a/crates/workload-settings/src/validation.rs
+++ b/crates/workload-settings/src/validation.rs
@@ -18,8 +18,8 @@
     ("warm_up_time", "warm-after"),
 ];
 
-/// Checks a value against the bounds of its fields. Each error is shown at the directive that sets the field, or at
-/// `fallback` where there is none.
+/// Checks a value against the bounds of its fields. Each error is shown at the directive that sets the field,
+/// or at `fallback` where there is none.
 pub fn check<T: Validate<Context = ()>>(
     value: &T,
     spans: &BTreeMap<String, SourceSpan>,
