--- a/crates/platform/src/tests/machine_loss.rs
+++ b/crates/platform/src/tests/machine_loss.rs
@@ -1,9 +1,10 @@
 //! Machines that stop, vanish, drain, restart or are replaced.
 
 use super::harness::*;
-use mulleinhub_interface::Duration;
+use crate::machines::Machines;
+use mulleinhub_interface::{Duration, Timestamp};
 use mulleinhub_platform_protocol::{code, kind};
-use mulleinhub_sans_io::CloseReason;
+use mulleinhub_sans_io::{CloseReason, ConnectionId};
 
 #[test]
 fn refusing_machine_drains_unless_connections_reset() {
@@ -110,3 +111,12 @@
         assert_eq!(!harness.received_on(client).is_empty(), is_over, "{line}");
     }
 }
+
+#[test]
+fn sign_of_life_on_a_closed_connection_is_ignored() {
+    // Found by reading: an earlier message of the same read may lead to the close of its connection.
+    let mut machines = Machines::new(1_000, Duration::from_secs(5), Duration::from_secs(1));
+    machines.mark_alive_on(ConnectionId(7), Timestamp::from_nanos(1));
+    assert!(machines.by_id.is_empty());
+    assert!(machines.connections.is_empty());
+}
