--- a/crates/planner/tests/fleet_faults.rs
+++ b/crates/planner/tests/fleet_faults.rs
@@ -451,14 +451,16 @@
     let machine = Machine::new(56, Behavior::Serves);
     let (draining, discovery) = (Machine::new(57, Behavior::Serves), Discovery::new(58));
     let scheduler = Scheduler::with_config(|_| {
-        config(draining.at, discovery.at).replacen("in_service", "terminating", 1)
+        with_long_timeouts(config(draining.at, discovery.at).replacen("in_service", "terminating", 1))
     });
+    // The forty disconnects may take seconds on a busy machine: no client's own timeout ends its wait.
+    let patient = |task| with_client_timeout(start_request(task), "60000");
     let mut still_open = Vec::new();
     let mut connected = scheduler.connect();
-    connected.write_all(&start_request((1 << 32) + 1)).expect("is sent");
+    connected.write_all(&patient((1 << 32) + 1)).expect("is sent");
     for task in 1..=40u64 {
         let mut client = scheduler.connect();
-        client.write_all(&start_request(task)).expect("is sent");
+        client.write_all(&patient(task)).expect("is sent");
         wait_until_handled(&mut client);
         still_open.extend(Disconnect::ALL[task as usize % 4].perform(client, task..=task));
     }
