--- a/crates/planner/tests/harness/log_lines.rs
+++ b/crates/planner/tests/harness/log_lines.rs
@@ -1,5 +1,5 @@
-//! Parts of the scheduler's log lines that tests look for. A line that is reworded is to be changed here, too: a
-//! test that expects its absence would pass with any text.
+//! Parts of the scheduler's log lines that tests look for. A line that is reworded is to be changed here,
+//! too: a test that expects its absence would pass with any text.
 
 /// Draining has begun.
 pub const DRAINING_STARTED: &str = "health checks fail from now on";
